--- a/benchmarks/book_benchmark.cc
+++ b/benchmarks/scheduler_benchmark.cc
@@ -7,65 +7,65 @@
 #include <string>
 #include <vector>
 
-#include "cluster.h"
+#include "scheduler.h"
 
 namespace corkmux {
 namespace {
 
 template <class C>
-auto next_writes(C& cluster) {
-  if constexpr (requires { cluster.next_writes(12, true, 0.0); })
-    return cluster.next_writes(12, true, 0.0);
+auto next_writes(C& scheduler) {
+  if constexpr (requires { scheduler.next_writes(12, true, 0.0); })
+    return scheduler.next_writes(12, true, 0.0);
   else
-    return cluster.next_writes(12);
+    return scheduler.next_writes(12);
 }
 
 template <class C, class W>
-void load(C& cluster, const W& w) {
-  if constexpr (requires { cluster.load_record(w.key, w.value, w.version); })
-    cluster.load_record(w.key, w.value, 1);
+void load(C& scheduler, const W& w) {
+  if constexpr (requires { scheduler.load_record(w.key, w.value, w.version); })
+    scheduler.load_record(w.key, w.value, 1);
   else
-    cluster.load_shard(w.job, w.shard, w.value, 1);
+    scheduler.load_shard(w.job, w.shard, w.value, 1);
 }
 
 template <class C>
-void all_loaded(C& cluster) {
-  if constexpr (requires { cluster.loaded(); }) cluster.loaded();
+void all_loaded(C& scheduler) {
+  if constexpr (requires { scheduler.loaded(); }) scheduler.loaded();
 }
 
 template <class C>
-void newest_form(C& cluster) {
-  if constexpr (requires { cluster.use_second_form(); }) cluster.use_second_form();
+void newest_form(C& scheduler) {
+  if constexpr (requires { scheduler.use_v2_records(); }) scheduler.use_v2_records();
 }
 
-using Writes = decltype(next_writes(std::declval<Cluster&>()));
+using Writes = decltype(next_writes(std::declval<Scheduler&>()));
 
-std::unique_ptr<Cluster> empty_book() {
-  ClusterConfig config;
+std::unique_ptr<Scheduler> empty_book() {
+  SchedulerConfig config;
   config.zones = {"a", "b", "c"};
   config.teams = {{"x", 1000, 0, 0, 0}, {"y", 0, 0, 0, 0}};
-  auto cluster = std::make_unique<Cluster>(config, 1, 0, 5);
-  cluster->set_catalog({{"plain", {32, 0, 128}, 60, 0.5, 2, 1, 15, {"a", "b", "c"}},
-                        {"gpu", {32, 4, 128}, 150, 1, 14, 4, 60, {"a", "b", "c"}}});
-  newest_form(*cluster);
-  return cluster;
+  auto scheduler = std::make_unique<Scheduler>(config, 1, 0, 5);
+  scheduler->set_catalog({{"plain", {32, 0, 128}, 60, 0.5, 2, 1, 15, {"a", "b", "c"}},
+                          {"gpu", {32, 4, 128}, 150, 1, 14, 4, 60, {"a", "b", "c"}}});
+  newest_form(*scheduler);
+  return scheduler;
 }
 
 struct Site {
-  std::unique_ptr<Cluster> cluster = empty_book();
-  std::vector<Report> workers;
+  std::unique_ptr<Scheduler> scheduler = empty_book();
+  std::vector<Heartbeat> workers;
   std::vector<JobSpec> jobs;
   Writes stored;
-  std::uint64_t stamp = 0;
+  std::uint64_t revision = 0;
   double now = 0;
 
   explicit Site(int machines) {
     for (int i = 0; i < machines; ++i) {
-      Report r;
+      Heartbeat r;
       r.machine = "n-" + std::to_string(i), r.address = "x", r.type = i % 5 < 3 ? "plain" : "gpu";
-      r.zone = std::string(1, static_cast<char>('a' + i % 3)), r.session = 1, r.seq = 1;
-      r.token = cluster->on_report(r, Cluster::Channel::Report, 0).token, r.seq = 2;
-      cluster->on_report(r, Cluster::Channel::Report, 0);
+      r.zone = std::string(1, static_cast<char>('a' + i % 3)), r.worker_epoch = 1, r.seq = 1;
+      r.fencing_token = scheduler->on_heartbeat(r, Scheduler::Channel::Heartbeat, 0).fencing_token, r.seq = 2;
+      scheduler->on_heartbeat(r, Scheduler::Channel::Heartbeat, 0);
       workers.push_back(r);
     }
     // Jobs of 200 tasks, two tasks on each machine and a rest of room on some.
@@ -73,34 +73,34 @@
       add(JobKind::Array, Priority::Normal, std::min(left, 200), {15, 0, 51});
     for (std::size_t before = 1, after = 0; before != after; after = started()) {
       before = after;
-      cluster->plan(now);
+      scheduler->schedule(now);
       store(true);
     }
-    for (const auto& [id, job] : cluster->jobs()) jobs.push_back(job.spec);
-    for (const auto& name : cluster->with_orders()) {
-      auto orders = cluster->take_orders(name, now);
-      cluster->orders_done(name, orders, Cluster::OrdersOutcome::Executed, now);
+    for (const auto& [id, job] : scheduler->jobs()) jobs.push_back(job.spec);
+    for (const auto& name : scheduler->machines_with_commands()) {
+      auto command_batch = scheduler->take_commands(name, now);
+      scheduler->dispatch_done(name, command_batch, Scheduler::DispatchOutcome::Executed, now);
     }
   }
   std::string add(JobKind kind, Priority priority, int tasks, Resources need) {
     JobSpec s;
-    s.id = "run-" + std::to_string(++stamp), s.team = "x", s.kind = kind, s.priority = priority;
+    s.id = "run-" + std::to_string(++revision), s.team = "x", s.kind = kind, s.priority = priority;
     s.tasks = tasks, s.need = need, s.one_zone = kind == JobKind::Gang;
-    s.image = "i" + std::to_string(stamp % 20), s.image_gb = 3;
-    cluster->put_job(s, stamp, false, now);
+    s.image = "i" + std::to_string(revision % 20), s.image_gb = 3;
+    scheduler->put_job(s, revision, false, now);
     return s.id;
   }
   void store(bool keep) {
     for (;;) {
-      auto batch = next_writes(*cluster);
+      auto batch = next_writes(*scheduler);
       if (batch.empty()) return;
-      cluster->written(batch, ++stamp, now);
+      scheduler->written(batch, ++revision, now);
       if (keep) stored.insert(stored.end(), batch.begin(), batch.end());
     }
   }
   std::size_t started() const {
     std::size_t n = 0;
-    for (const auto& [id, job] : cluster->jobs()) n += job.active.size();
+    for (const auto& [id, job] : scheduler->jobs()) n += job.active.size();
     return n;
   }
 };
@@ -118,8 +118,8 @@
   std::vector<std::string> queue;
   for (int i = 0; i < 40; ++i)
     queue.push_back(s.add(JobKind::Gang, Priority::Normal, 1 + i % 16, {15, 0, 51}));
-  for (auto _ : state) s.cluster->plan(s.now);
-  for (const auto& id : queue) s.cluster->forget_job(id);
+  for (auto _ : state) s.scheduler->schedule(s.now);
+  for (const auto& id : queue) s.scheduler->forget_job(id);
 }
 
 /// One job of eight tasks comes, finds the little room that there is, and goes again.
@@ -127,9 +127,9 @@
   Site& s = site(static_cast<int>(state.range(0)));
   for (auto _ : state) {
     auto id = s.add(JobKind::Array, Priority::Normal, 8, {1, 0, 1});
-    s.cluster->plan(s.now);
-    if (s.cluster->job(id)->active.size() != 8) state.SkipWithError("not placed");
-    s.cluster->forget_job(id);
+    s.scheduler->schedule(s.now);
+    if (s.scheduler->job(id)->active.size() != 8) state.SkipWithError("not placed");
+    s.scheduler->forget_job(id);
   }
 }
 
@@ -137,9 +137,9 @@
   Site& s = site(static_cast<int>(state.range(0)));
   std::size_t i = 0;
   for (auto _ : state) {
-    Report& r = s.workers[i++ % s.workers.size()];
+    Heartbeat& r = s.workers[i++ % s.workers.size()];
     ++r.seq;
-    benchmark::DoNotOptimize(s.cluster->on_report(r, Cluster::Channel::Report, s.now));
+    benchmark::DoNotOptimize(s.scheduler->on_heartbeat(r, Scheduler::Channel::Heartbeat, s.now));
   }
 }
 
@@ -148,8 +148,8 @@
   Site& s = site(static_cast<int>(state.range(0)));
   for (auto _ : state) {
     auto fresh = empty_book();
-    std::uint64_t stamp = 0;
-    for (const auto& spec : s.jobs) fresh->put_job(spec, ++stamp, false, 0, 100);
+    std::uint64_t revision = 0;
+    for (const auto& spec : s.jobs) fresh->put_job(spec, ++revision, false, 0, 100);
     for (const auto& w : s.stored) load(*fresh, w);
     all_loaded(*fresh);
     benchmark::DoNotOptimize(fresh->jobs().size());
@@ -162,11 +162,11 @@
   for (auto _ : state) {
     state.PauseTiming();
     auto id = s.add(JobKind::Array, Priority::Normal, 8, {1, 0, 1});
-    s.cluster->plan(s.now);
+    s.scheduler->schedule(s.now);
     state.ResumeTiming();
     s.store(false);
     state.PauseTiming();
-    s.cluster->forget_job(id);
+    s.scheduler->forget_job(id);
     state.ResumeTiming();
   }
 }
--- a/src/programs/scale_main.cc
+++ b/src/cmd/scale_test_main.cc
@@ -10,8 +10,8 @@
 #include <iostream>
 #include <sstream>
 
-#include "machine_host.h"
-#include "scale_run.h"
+#include "hollow_worker_host.h"
+#include "scale_test_run.h"
 #include "state_host.h"
 
 namespace {
@@ -25,8 +25,8 @@
 };
 
 /// What the command line says goes before what the file says.
-scale::ScalePlan plan_of(const Arguments& a) {
-  auto plan = scale::load_scale_plan(a.file);
+scale_test::ScaleTestPlan plan_of(const Arguments& a) {
+  auto plan = scale_test::load_scale_plan(a.file);
   if (a.workers > 0) {
     plan.accelerators *= static_cast<double>(a.workers) / plan.workers;
     plan.workers = a.workers;
@@ -74,7 +74,8 @@
 int host_workers(const Arguments& a) {
   auto plan = plan_of(a);
   Loop loop;
-  scale::MachineHost host(loop, plan, a.host, a.network, addresses_of(a.controller_addresses), a.collector);
+  scale_test::HollowWorkerHost host(loop, plan, a.host, a.network, addresses_of(a.controller_addresses),
+                                    a.collector);
   loop.run();
   return 0;
 }
@@ -82,20 +83,20 @@
 int host_state(const Arguments& a) {
   auto plan = plan_of(a);
   Loop loop;
-  scale::StateHost host(loop, plan, a.collector);
+  scale_test::StateHost host(loop, plan, a.collector);
   loop.run();
   return 0;
 }
 
 int run(const Arguments& a) {
   auto plan = plan_of(a);
-  if (auto why = scale::refusal(plan); !why.empty()) throw SettingsError(a.file + ": " + why);
+  if (auto why = scale_test::refusal(plan); !why.empty()) throw SettingsError(a.file + ": " + why);
   auto own = std::filesystem::read_symlink("/proc/self/exe");
   auto controller = a.controller.empty() ? (own.parent_path() / "corkmux").string() : a.controller;
   if (!std::filesystem::exists(controller)) throw SettingsError(controller + ": no such program");
   Loop loop;
-  scale::ScaleRun run(loop, plan, {own.string(), controller}, std::filesystem::absolute(a.file).string(),
-                      overrides_of(a));
+  scale_test::ScaleTestRun run(loop, plan, {own.string(), controller},
+                               std::filesystem::absolute(a.file).string(), overrides_of(a));
   int interrupted = 0;
   Signal terminate(loop, SIGTERM, [&] { interrupted = SIGTERM, loop.stop(); });
   Signal interrupt(loop, SIGINT, [&] { interrupted = SIGINT, loop.stop(); });
@@ -118,7 +119,8 @@
 
 int main(int argc, char** argv) {
   CLI::App app{
-      "corkmux-scale: runs deployed controllers, one process each, against hollow workers (real sockets,\n"
+      "corkmux-scale-test: runs deployed controllers, one process each, against hollow workers (real "
+      "sockets,\n"
       "reports, leases, orders and image times; no task is executed), a stand-in state service and cloud, "
       "and\n"
       "users. Prints processor time, memory, sockets, messages and waits, and holds the rules of the "
@@ -152,7 +154,7 @@
     if (a.role == "state") return host_state(a);
     return run(a);
   } catch (const std::exception& e) {
-    std::cerr << "corkmux-scale: " << e.what() << "\n";
+    std::cerr << "corkmux-scale-test: " << e.what() << "\n";
     return 2;
   }
 }
--- a/src/programs/world_main.cc
+++ b/src/cmd/simulator_main.cc
@@ -8,13 +8,13 @@
 #include <fstream>
 #include <iostream>
 
-#include "world.h"
+#include "cluster_simulation.h"
 
 int main(int argc, char** argv) {
-  CLI::App app{"corkmux-world: plays a whole cluster, simulated, from one seed"};
+  CLI::App app{"corkmux-simulator: plays a whole cluster, simulated, from one seed"};
   std::string file, day, json;
   std::uint64_t seed = 1;
-  app.add_option("file", file, "the world (TOML; docs/worlds.md)")->required();
+  app.add_option("file", file, "the world (TOML; docs/simulation.md)")->required();
   app.add_option("--day", day, "which of its days; the first if not given");
   app.add_option("--seed", seed, "where chance begins");
   app.add_option("--json", json, "also write the account there as JSON");
@@ -24,19 +24,19 @@
       std::make_shared<spdlog::logger>("", std::make_shared<spdlog::sinks::stderr_sink_st>()));
   const char* level = std::getenv("LOG_LEVEL");
   spdlog::set_level(level ? spdlog::level::from_str(level) : spdlog::level::off);
-  spdlog::set_formatter(corkmux::world::log_formatter());
+  spdlog::set_formatter(corkmux::simulation::log_formatter());
   try {
-    corkmux::world::World world(corkmux::world::load_plan(file, day), seed);
-    world.run();
-    std::cout << world.account_text();
+    corkmux::simulation::ClusterSimulation simulation(corkmux::simulation::load_plan(file, day), seed);
+    simulation.run();
+    std::cout << simulation.account_text();
     if (!json.empty()) {
       std::ofstream out(json);
-      out << world.account().dump(2) << "\n";
+      out << simulation.account().dump(2) << "\n";
       if (!out.flush()) throw std::runtime_error(json + ": cannot be written");
     }
-    return world.good() ? 0 : 1;
+    return simulation.good() ? 0 : 1;
   } catch (const std::exception& e) {
-    std::cerr << "corkmux-world: " << e.what() << "\n";
+    std::cerr << "corkmux-simulator: " << e.what() << "\n";
     return 2;
   }
 }
--- a/src/base/loop.h
+++ b/src/common/event_loop.h
@@ -1,6 +1,6 @@
 // Thin owners of libev watchers, and the mailbox through which actors are spoken to. The one place where
 // time, timers and randomness come from: libev and the system in the program, a Driver in a world
-// (`src/world/`).
+// (`src/simulation/`).
 #pragma once
 #include <ev.h>
 #include <time.h>
@@ -16,27 +16,27 @@
 namespace corkmux {
 
 namespace http {
-class Carrier;
+class Transport;
 }
 
 /// One simulated host, on which a Loop runs instead of libev. Nothing above this file and `src/net/` knows
 /// which it has. While a host's messages run, its driver is the one in use.
-class Driver {
+class Runtime {
  public:
-  virtual ~Driver() = default;
+  virtual ~Runtime() = default;
   virtual double steady() const = 0;  // s
   virtual double wall() const = 0;    // s since 1970
   virtual std::uint64_t random() = 0;
   /// Runs `fn` once, `after_s` of the steady clock from now; the answer names it to stop() and is never 0.
   virtual std::uint64_t start(double after_s, std::function<void()> fn) = 0;
   virtual void stop(std::uint64_t timer) = 0;
-  virtual http::Carrier& carrier() = 0;
-  inline static Driver* in_use = nullptr;
+  virtual http::Transport& transport() = 0;
+  inline static Runtime* in_use = nullptr;
 };
 
 /// Seconds on the steady clock; only differences mean anything.
 inline double steady_now() {
-  if (Driver::in_use) return Driver::in_use->steady();
+  if (Runtime::in_use) return Runtime::in_use->steady();
   timespec t{};
   clock_gettime(CLOCK_MONOTONIC, &t);
   return static_cast<double>(t.tv_sec) + 1e-9 * static_cast<double>(t.tv_nsec);
@@ -44,7 +44,7 @@
 
 /// Seconds since 1970; accurate only within the platform's skew, so nothing about safety rests on it.
 inline double wall_now() {
-  if (Driver::in_use) return Driver::in_use->wall();
+  if (Runtime::in_use) return Runtime::in_use->wall();
   timespec t{};
   clock_gettime(CLOCK_REALTIME, &t);
   return static_cast<double>(t.tv_sec) + 1e-9 * static_cast<double>(t.tv_nsec);
@@ -52,7 +52,7 @@
 
 /// A seed that nobody can foresee; in a world, the next of its own.
 inline std::uint64_t fresh_seed() {
-  return Driver::in_use ? Driver::in_use->random() : std::uint64_t{std::random_device{}()};
+  return Runtime::in_use ? Runtime::in_use->random() : std::uint64_t{std::random_device{}()};
 }
 
 class Loop {
@@ -63,19 +63,19 @@
     idle_.data = this;
   }
   /// Is run by the driver, not by run(); has no Io and no Signal.
-  explicit Loop(Driver& driver) : driver_(&driver) {}
+  explicit Loop(Runtime& runtime) : runtime_(&runtime) {}
   ~Loop() {
     queue_.clear();  // what waits in messages may own watchers, which need the loop
     for (auto& [id, call] : delayed_) ev_timer_stop(loop_, &call->timer);
-    if (driver_)
-      driver_->stop(waiting_);
+    if (runtime_)
+      runtime_->stop(waiting_);
     else
       ev_loop_destroy(loop_);
   }
   Loop(const Loop&) = delete;
   Loop& operator=(const Loop&) = delete;
 
-  Driver* driver() { return driver_; }
+  Runtime* runtime() { return runtime_; }
 
   struct ev_loop* raw() {
     return loop_;
@@ -86,8 +86,8 @@
   /// Queues a message; it runs in a later turn of the loop, never inside the sender's.
   void post(Message message) {
     if (queue_.empty()) {
-      if (driver_)
-        waiting_ = driver_->start(0, [this] { run_batch(); });
+      if (runtime_)
+        waiting_ = runtime_->start(0, [this] { run_batch(); });
       else
         ev_idle_start(loop_, &idle_);
     }
@@ -95,7 +95,7 @@
   }
   /// Runs `fn` once, `after_s` from now; the answer names it to cancel() and is never 0.
   std::uint64_t call_later(double after_s, std::function<void()> fn) {
-    if (driver_) return driver_->start(after_s, std::move(fn));
+    if (runtime_) return runtime_->start(after_s, std::move(fn));
     auto id = ++last_delayed_;
     auto call = std::make_unique<DelayedCall>();
     call->loop = this, call->id = id, call->fn = std::move(fn);
@@ -107,7 +107,7 @@
     return id;
   }
   void cancel(std::uint64_t delayed_call) {
-    if (driver_) return driver_->stop(delayed_call);
+    if (runtime_) return runtime_->stop(delayed_call);
     auto call = delayed_.extract(delayed_call);
     if (call) ev_timer_stop(loop_, &call.mapped()->timer);
   }
@@ -133,7 +133,7 @@
     batch.swap(queue_);
     for (auto& message : batch) message();
   }
-  Driver* driver_ = nullptr;
+  Runtime* runtime_ = nullptr;
   std::uint64_t waiting_ = 0;  // the driver's name for the turn in which the queue is emptied
   struct ev_loop* loop_ = nullptr;
   ev_idle idle_{};
@@ -154,22 +154,22 @@
   void once(double after_s, std::function<void()> fn) { start(after_s, 0., std::move(fn)); }
   void every(double period_s, std::function<void()> fn) { start(period_s, period_s, std::move(fn)); }
   void stop() {
-    if (!loop_.driver()) return ev_timer_stop(loop_.raw(), &timer_);
-    if (driven_) loop_.driver()->stop(std::exchange(driven_, 0));
+    if (!loop_.runtime()) return ev_timer_stop(loop_.raw(), &timer_);
+    if (driven_) loop_.runtime()->stop(std::exchange(driven_, 0));
   }
-  bool active() const { return loop_.driver() ? driven_ != 0 : ev_is_active(&timer_); }
+  bool active() const { return loop_.runtime() ? driven_ != 0 : ev_is_active(&timer_); }
 
  private:
   void start(double after, double repeat, std::function<void()> fn) {
     stop();
     fn_ = std::move(fn);
-    if (loop_.driver()) return drive(after < 0 ? 0 : after, repeat);
+    if (loop_.runtime()) return drive(after < 0 ? 0 : after, repeat);
     ev_now_update(loop_.raw());
     ev_timer_set(&timer_, after < 0 ? 0 : after, repeat);
     ev_timer_start(loop_.raw(), &timer_);
   }
   void drive(double after, double repeat) {
-    driven_ = loop_.driver()->start(after, [this, repeat] {
+    driven_ = loop_.runtime()->start(after, [this, repeat] {
       driven_ = 0;
       if (repeat > 0) drive(repeat, repeat);
       auto fn = fn_;
--- a/src/base/types.h
+++ b/src/common/model.h
@@ -48,7 +48,7 @@
   bool one_zone = false, spread = false, spot = false;
   double estimate_s = 0, checkpoint_s = 0, save_s = 0;
   std::optional<double> deadline_s;
-  std::vector<std::string> awaits;  // jobs that have to be done before any task of this one starts
+  std::vector<std::string> dependencies;  // jobs that have to be done before any task of this one starts
   /// What has to be free for it to start: of a gang all tasks, else one.
   Resources at_once() const {
     Resources all;
@@ -67,29 +67,29 @@
   std::vector<std::string> zones;
 };
 
-enum class TaskReportState { Fetching, Waiting, Running, Saving, Exited };
+enum class TaskState { Fetching, Waiting, Running, Saving, Exited };
 enum class ExitReason { None, Done, Stopped, PeersGone, Alone, Error, NoRoom, Busy, Unknown };
 
-struct TaskReport {
+struct TaskStatus {
   std::string job;
   int index = 0;
   std::uint64_t attempt = 0;
-  TaskReportState state = TaskReportState::Fetching;
+  TaskState state = TaskState::Fetching;
   ExitReason why = ExitReason::None;
   bool saved = false;
-  bool operator==(const TaskReport&) const = default;
+  bool operator==(const TaskStatus&) const = default;
 };
 
-struct Report {
+struct Heartbeat {
   std::string machine, address, type, zone;
   bool spot = false;
-  std::uint64_t session = 0, seq = 0, token = 0;
+  std::uint64_t worker_epoch = 0, seq = 0, fencing_token = 0;
   std::optional<double> notice_s;
-  std::vector<TaskReport> tasks;
-  bool operator==(const Report&) const = default;
+  std::vector<TaskStatus> tasks;
+  bool operator==(const Heartbeat&) const = default;
 };
 
-struct Command {
+struct TaskCommand {
   enum class Op { Start, Stop, Forget } op = Op::Start;
   std::string job;
   int index = 0;
--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "types.h"
+#include "model.h"
 
 namespace corkmux {
 
--- a/src/controller/controller.cc
+++ b/src/controller/controller.cc
@@ -12,80 +12,83 @@
       cloud_(loop, settings.cloud, 3, 64),
       cloud_outage_("the cloud's interface", settings.cloud),
       catalog_(loop, state_, cloud_),
-      leader_(loop, settings, choices, state_, cloud_, catalog_, leader_hooks()),
-      peers_(loop, settings, peer_hooks()),
-      keeper_(loop, settings, state_),
-      mail_(loop, settings, state_,
-            [this](std::string body, Mail::Reply reply) {
-              gateway_.relayed(body, std::move(reply), Leader::Way::Mail);
-            }),
+      leader_(loop, settings, choices, state_, cloud_, catalog_, leader_callbacks()),
+      peer_exchange_(loop, settings, peer_callbacks()),
+      lease_proxy_(loop, settings, state_),
+      store_relay_(loop, settings, state_,
+                   [this](std::string body, StoreRelay::Reply reply) {
+                     gateway_.relayed(body, std::move(reply), Leader::Way::StoreRelay);
+                   }),
       forwarder_(loop, settings.label,
                  [this](const std::string& label, std::string body, std::function<void(http::Result)> done) {
-                   post_reports(label, std::move(body), std::move(done));
+                   post_heartbeats(label, std::move(body), std::move(done));
                  }),
-      delivery_(loop, static_cast<std::size_t>(settings.max_connections * constants::kOrderConnectionShare),
-                [this](serving::OrderOutcome outcome) { forwarder_.add_outcome(std::move(outcome)); }),
-      gateway_(loop, settings, state_, catalog_, leader_, peers_, keeper_, mail_, forwarder_),
-      coordinator_(loop, settings_, leader_, peers_, gateway_),
+      delivery_(loop, static_cast<std::size_t>(settings.max_connections * constants::kCommandConnectionShare),
+                [this](fanin::CommandOutcome outcome) { forwarder_.add_outcome(std::move(outcome)); }),
+      gateway_(loop, settings, state_, catalog_, leader_, peer_exchange_, lease_proxy_, store_relay_,
+               forwarder_),
+      coordinator_(loop, settings_, leader_, peer_exchange_, gateway_),
       stop_timer_(loop) {
   cloud_.observe([this](const http::Result& r) { log_outcome(cloud_outage_, r); });
 }
 
-Leader::Hooks Controller::leader_hooks() {
-  Leader::Hooks hooks;
-  hooks.leader_changed = [this](std::string label, std::uint64_t term) { leader_changed(label, term); };
-  hooks.views = [this](std::vector<codec::JobView> views) {
+Leader::Callbacks Controller::leader_callbacks() {
+  Leader::Callbacks callbacks;
+  callbacks.leader_changed = [this](std::string label, std::uint64_t term) { leader_changed(label, term); };
+  callbacks.views = [this](std::vector<codec::JobView> views) {
     for (const auto& v : views) gateway_.view(v);
-    peers_.publish(std::move(views));
+    peer_exchange_.publish(std::move(views));
   };
-  hooks.relay.reachable = [this](const std::string& label) {
-    return peers_.serves(label) && peers_.reachable(label);
+  callbacks.relay.reachable = [this](const std::string& label) {
+    return peer_exchange_.serves(label) && peer_exchange_.reachable(label);
   };
-  hooks.relay.post = [this](const std::string& label, std::string body,
-                            std::function<void(http::Result)> done) {
-    peers_.post_orders(label, std::move(body), std::move(done));
+  callbacks.relay.post = [this](const std::string& label, std::string body,
+                                std::function<void(http::Result)> done) {
+    peer_exchange_.post_commands(label, std::move(body), std::move(done));
   };
-  return hooks;
+  return callbacks;
 }
 
-Peers::Hooks Controller::peer_hooks() {
-  Peers::Hooks hooks;
-  hooks.state_age = [this] { return steady_now() - state_.last_contact(); };
-  hooks.newer_term = [this](std::uint64_t term) { leader_.tell([term](Leader& l) { l.newer_term(term); }); };
-  hooks.view = [this](const codec::JobView& v) { gateway_.view(v); };
-  hooks.report = [this](std::string body, std::function<void(int, std::string)> reply) {
+PeerExchange::Callbacks Controller::peer_callbacks() {
+  PeerExchange::Callbacks callbacks;
+  callbacks.state_age = [this] { return steady_now() - state_.last_contact(); };
+  callbacks.newer_term = [this](std::uint64_t term) {
+    leader_.tell([term](Leader& l) { l.newer_term(term); });
+  };
+  callbacks.view = [this](const codec::JobView& v) { gateway_.view(v); };
+  callbacks.heartbeat = [this](std::string body, std::function<void(int, std::string)> reply) {
     gateway_.relayed(body, std::move(reply), Leader::Way::Direct);
   };
-  hooks.cancelled = [this](const std::vector<std::string>& jobs) {
+  callbacks.cancelled = [this](const std::vector<std::string>& jobs) {
     leader_.tell([jobs](Leader& l) { l.cancelled(jobs); });
   };
-  hooks.all_heard = [this](double asked_at, double youngest) {
+  callbacks.all_heard = [this](double asked_at, double youngest) {
     leader_.tell([=](Leader& l) { l.peers_heard(asked_at, youngest); });
   };
-  hooks.settled_at = [this] { return leader_.settled_at(); };
-  hooks.reports = [this](serving::ReportBatch batch, std::function<void(int, std::string)> reply) {
+  callbacks.dependency_barrier_at = [this] { return leader_.dependency_barrier_at(); };
+  callbacks.heartbeats = [this](fanin::HeartbeatBatch batch, std::function<void(int, std::string)> reply) {
     leader_.tell([batch = std::move(batch), reply = std::move(reply)](Leader& l) mutable {
       l.batch(std::move(batch), std::move(reply));
     });
   };
-  hooks.orders = [this](const serving::OrderBatch& batch) { return delivery_.deliver(batch); };
-  hooks.serving_changed = [this](const std::vector<std::string>& labels) {
-    coordinator_.serving_changed(labels);
+  callbacks.commands = [this](const fanin::ForwardedCommandBatch& batch) { return delivery_.deliver(batch); };
+  callbacks.fanin_changed = [this](const std::vector<std::string>& labels) {
+    coordinator_.fanin_changed(labels);
   };
-  return hooks;
+  return callbacks;
 }
 
 void Controller::leader_changed(const std::string& label, std::uint64_t term) {
-  peers_.leader_changed(label, term);
+  peer_exchange_.leader_changed(label, term);
   gateway_.leader_changed(label);
-  mail_.serve(label == own_label_);
-  forwarder_.tell([label](serving::ReportForwarder& f) { f.leader_changed(label); });
+  store_relay_.serve(label == own_label_);
+  forwarder_.tell([label](fanin::HeartbeatForwarder& f) { f.leader_changed(label); });
 }
 
-void Controller::post_reports(const std::string& label, std::string body,
-                              std::function<void(http::Result)> done) {
-  if (label != own_label_) return peers_.post_reports(label, std::move(body), std::move(done));
-  auto parsed = serving::parse_reports(body);
+void Controller::post_heartbeats(const std::string& label, std::string body,
+                                 std::function<void(http::Result)> done) {
+  if (label != own_label_) return peer_exchange_.post_heartbeats(label, std::move(body), std::move(done));
+  auto parsed = fanin::parse_heartbeats(body);
   leader_.tell([batch = std::move(parsed->message), done = std::move(done)](Leader& l) mutable {
     l.batch(std::move(batch), [done = std::move(done)](int status, std::string answers) {
       done({status, std::move(answers), true});
@@ -96,7 +99,7 @@
 void Controller::start() {
   catalog_.start();
   leader_.start();
-  peers_.start();
+  peer_exchange_.start();
   gateway_.start();
   coordinator_.start();
 }
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -2,10 +2,10 @@
 #pragma once
 #include <memory>
 
+#include "command_delivery.h"
+#include "fanin_coordinator.h"
 #include "gateway.h"
-#include "order_delivery.h"
-#include "report_forwarder.h"
-#include "serving_coordinator.h"
+#include "heartbeat_forwarder.h"
 
 namespace corkmux {
 
@@ -23,11 +23,11 @@
 
  private:
   void settle(double since, std::function<void()> done);
-  Leader::Hooks leader_hooks();
-  Peers::Hooks peer_hooks();
+  Leader::Callbacks leader_callbacks();
+  PeerExchange::Callbacks peer_callbacks();
   void leader_changed(const std::string& label, std::uint64_t term);
   /// A batch for whoever leads, ourselves included.
-  void post_reports(const std::string& label, std::string body, std::function<void(http::Result)> done);
+  void post_heartbeats(const std::string& label, std::string body, std::function<void(http::Result)> done);
   Settings settings_;
   std::string own_label_;
   bool alone_;  // no other controller is named in the settings
@@ -36,13 +36,13 @@
   OutageLog cloud_outage_;
   Catalog catalog_;
   Leader leader_;
-  Peers peers_;
-  Keeper keeper_;
-  Mail mail_;
-  serving::ReportForwarder forwarder_;
-  serving::OrderDelivery delivery_;
+  PeerExchange peer_exchange_;
+  LeaseProxy lease_proxy_;
+  StoreRelay store_relay_;
+  fanin::HeartbeatForwarder forwarder_;
+  fanin::CommandDelivery delivery_;
   Gateway gateway_;
-  ServingCoordinator coordinator_;
+  FanInCoordinator coordinator_;
   Timer stop_timer_;
   bool resigned_ = false;
 };
--- a/src/controller/gateway.cc
+++ b/src/controller/gateway.cc
@@ -6,7 +6,7 @@
 #include <set>
 
 #include "constants.h"
-#include "planted.h"
+#include "mutation.h"
 #include "store_keys.h"
 
 namespace corkmux {
@@ -17,23 +17,25 @@
 }
 
 Gateway::Gateway(Loop& loop, const Settings& settings, StateClient& state, Catalog& catalog, Leader& leader,
-                 Peers& peers, Keeper& keeper, Mail& mail, serving::ReportForwarder& forwarder)
+                 PeerExchange& peers, LeaseProxy& lease_proxy, StoreRelay& store_relay,
+                 fanin::HeartbeatForwarder& forwarder)
     : Actor(loop),
       settings_(settings),
       state_(state),
       catalog_(catalog),
       leader_(leader),
-      peers_(peers),
-      keeper_(keeper),
-      mail_(mail),
-      proofs_(loop, settings, state,
-              [this](const std::string& job, Proofs::Done done) {
-                read(job, [done = std::move(done)](std::optional<Found> found) {
-                  if (!found) return done(std::nullopt);
-                  bool unfinished = found->phase == "queued";
-                  done(Proofs::Standing{unfinished, found->version, found->phase, found->awaits()});
-                });
-              }),
+      peer_exchange_(peers),
+      lease_proxy_(lease_proxy),
+      store_relay_(store_relay),
+      linearizable_reader_(loop, settings, state,
+                           [this](const std::string& job, LinearizableReader::Done done) {
+                             read(job, [done = std::move(done)](std::optional<Found> found) {
+                               if (!found) return done(std::nullopt);
+                               bool unfinished = found->phase == "queued";
+                               done(LinearizableReader::Standing{unfinished, found->revision, found->phase,
+                                                                 found->has_dependencies()});
+                             });
+                           }),
       probe_(loop),
       forwarder_(forwarder),
       forget_timer_(loop),
@@ -42,7 +44,7 @@
               [this](Id id, http::Request r) { serve(id, std::move(r)); }) {}
 
 void Gateway::start() {
-  forget_timer_.every(c::kVisitorsSweep, [this] { forget_visitors(); });
+  forget_timer_.every(c::kWorkerConnectionSweepInterval, [this] { forget_worker_connections(); });
   // A controller without users must still know whether the state service serves it.
   probe_.every(c::kStateProbe, [this] {
     if (probing_ || steady_now() - state_.last_contact() < c::kStateProbe) return;
@@ -68,7 +70,7 @@
 void Gateway::serve(Id id, http::Request request) {
   auto routed = codec::route(request.method, request.target);
   // Of users only; workers are still told where to go.
-  if (closing_ && routed.route != codec::Route::Report)
+  if (closing_ && routed.route != codec::Route::Heartbeat)
     return unavailable(id, "this controller is ending: try another");
   switch (routed.route) {
     case codec::Route::None:
@@ -79,10 +81,10 @@
       // In an outage all controllers lose the state service together, and users are told at once when to come
       // back. Only one that alone has lost it steps out of the way.
       double mine = state_.last_contact(), now = steady_now();
-      bool alone = now - mine > c::kStateLost && peers_.peers_state_at() > mine + c::kStateLost;
+      bool alone = now - mine > c::kStateLost && peer_exchange_.peers_state_at() > mine + c::kStateLost;
       // Nor can one that has lost the others as well tell the two apart. Guards against users that keep to
       // it: for them their jobs would be forgotten.
-      alone |= now - mine > c::kStateSilent && peers_.silent_for() > c::kStateSilent;
+      alone |= now - mine > c::kStateSilent && peer_exchange_.silent_for() > c::kStateSilent;
       bool ready = !catalog_.types().empty() && !alone;
       if (!ready) return unavailable(id, "not ready");
       return server_.respond(id, {200, "", 0, false});
@@ -93,8 +95,8 @@
       return query(id, routed.job);
     case codec::Route::Cancel:
       return cancel(id, routed.job, 3);
-    case codec::Route::Report:
-      return report(id, request.body);
+    case codec::Route::Heartbeat:
+      return heartbeat(id, request.body);
   }
 }
 
@@ -135,18 +137,19 @@
   }
   if (auto f = finals_.find(job->id); f != finals_.end())
     return answer(id, 200, codec::view_to_wire(display(job->id, f->second.first), false));
-  if (!job->awaits.empty()) return check_awaited(id, job);
+  if (!job->dependencies.empty()) return check_dependencies(id, job);
   store(id, job, c::kSubmitTries);
 }
 
 /// A job that was accepted before is answered as such, whatever is wrong with its submission.
 void Gateway::known_or(Id id, const std::string& job, int status, const std::string& why) {
-  lookup(id, job, [this, id, job, status, why, known_at = peers_.settled_at()](Found found) {
-    if (found.phase.empty() && status == 503) return unavailable(id, why.c_str());
-    if (found.phase.empty()) return answer(id, status, codec::error_to_wire(why));
-    if (found.awaits() && !settled(known_at)) return unavailable(id, kUnsettled);
-    answer(id, 200, codec::view_to_wire(display(job, found.phase), false));
-  });
+  lookup(id, job,
+         [this, id, job, status, why, known_at = peer_exchange_.dependency_barrier_at()](Found found) {
+           if (found.phase.empty() && status == 503) return unavailable(id, why.c_str());
+           if (found.phase.empty()) return answer(id, status, codec::error_to_wire(why));
+           if (found.has_dependencies() && !settled(known_at)) return unavailable(id, kUnsettled);
+           answer(id, 200, codec::view_to_wire(display(job, found.phase), false));
+         });
 }
 
 void Gateway::note_accepted(const std::string& job) {
@@ -157,10 +160,10 @@
 void Gateway::note_stored(const JobSpec& job, const StateReply& reply) {
   note_accepted(job.id);
   // All changes of a transaction share one revision, which is the record's stamp.
-  proofs_.learn(job.id, codec::parse_revision(reply.body), !job.awaits.empty());
+  linearizable_reader_.learn(job.id, codec::parse_revision(reply.body), !job.dependencies.empty());
 }
 
-void Gateway::check_awaited(Id id, std::shared_ptr<JobSpec> job) {
+void Gateway::check_dependencies(Id id, std::shared_ptr<JobSpec> job) {
   struct Check {
     std::vector<std::string> left;  // not looked up yet
     int reading = 0;
@@ -170,7 +173,7 @@
   };
   auto check = std::make_shared<Check>();
   check->until = steady_now() + c::kSubmitTime;
-  for (const auto& awaited : job->awaits) {
+  for (const auto& awaited : job->dependencies) {
     if (awaited == job->id) return known_or(id, job->id, 422, "awaits: names the job itself");
     if (!accepted_.count(awaited) && !finals_.count(awaited)) check->left.push_back(awaited);
   }
@@ -222,14 +225,14 @@
 void Gateway::note_cancelled(const std::string& job) {
   if (finals_.count(job)) return;
   remember_final(job, "cancelled", 0);
-  peers_.accepted_cancel(job);
+  peer_exchange_.accepted_cancel(job);
 }
 
 void Gateway::store(Id id, std::shared_ptr<JobSpec> job, int tries) {
   Json record = job_record(*job);
   // Before the upgrade is over another version reads only whole records, and such are still taken; nothing
   // that awaits others is submitted then.
-  auto room = job->awaits.empty() ? static_cast<std::size_t>(settings_.value_kb * 1024) : record_room();
+  auto room = job->dependencies.empty() ? static_cast<std::size_t>(settings_.value_kb * 1024) : record_room();
   if (tries == 0 || record.dump().size() > room)
     return store_in_pieces(id, job, steady_now() + c::kSubmitTime);
   state_.txn({{kJobs + job->id, 0}, {kFinals + job->id, 0}}, {{kJobs + job->id, std::move(record), 0}},
@@ -239,7 +242,7 @@
                    note_stored(*job, reply);
                    return answer(id, 201, codec::view_to_wire({job->id, "queued", 0, 0, ""}, false));
                  case StateStatus::Conflict:
-                   if (planted("a repeat of what is stored is refused"))
+                   if (mutation_enabled("a repeat of what is stored is refused"))
                      return answer(id, 422, codec::error_to_wire("planted"));
                    return known_or(id, job->id, 503, "try again");
                  case StateStatus::Refused:
@@ -296,7 +299,7 @@
       bool cancelled = kv->value.value("c", 0) != 0;
       if (cancelled) note_cancelled(job);
       // A record too long to be written again was cancelled elsewhere, see cancel().
-      found = {cancelled ? "cancelled" : "queued", kv->version, std::move(kv->value)};
+      found = {cancelled ? "cancelled" : "queued", kv->revision, std::move(kv->value)};
       if (cancelled || found.record.dump().size() <= record_room()) return then(std::move(found));
     }
     if (!reply.ok() && reply.status != StateStatus::Missing) return then(std::nullopt);
@@ -339,9 +342,11 @@
   if (!codec::valid_job_id(job)) return answer(id, 404, codec::error_to_wire("no such job"));
   if (auto f = finals_.find(job); f != finals_.end())
     return answer(id, 200, codec::view_to_wire(display(job, f->second.first), true));
-  proofs_.ask(job, [this, id, job, known_at = peers_.settled_at()](std::optional<Proofs::Standing> standing) {
+  linearizable_reader_.ask(job, [this, id, job, known_at = peer_exchange_.dependency_barrier_at()](
+                                    std::optional<LinearizableReader::Standing> standing) {
     if (!standing) return unavailable(id, "the state service cannot be read now");
-    if (standing->unfinished && standing->awaits && !settled(known_at)) return unavailable(id, kUnsettled);
+    if (standing->unfinished && standing->has_dependencies && !settled(known_at))
+      return unavailable(id, kUnsettled);
     if (!standing->unfinished && standing->phase.empty())
       return answer(id, 404, codec::error_to_wire("no such job"));
     answer(id, 200,
@@ -356,20 +361,21 @@
 bool Gateway::settled(double known_at) {
   double now = steady_now();
   if (now - known_at < settings_.cancel_s - c::kCancelReserve) return true;
-  if (!reading_settled_ && now - settled_read_at_ > c::kSettledRead) {
-    reading_settled_ = true;
-    settled_read_at_ = now;
-    state_.get(kSettledKey, [this](StateReply reply) {
-      reading_settled_ = false;
+  if (!reading_barrier_ && now - barrier_read_at_ > c::kBarrierReadInterval) {
+    reading_barrier_ = true;
+    barrier_read_at_ = now;
+    state_.get(kDependencyBarrierKey, [this](StateReply reply) {
+      reading_barrier_ = false;
       auto kv = reply.ok() ? codec::parse_value(reply.body) : std::nullopt;
-      if (kv) peers_.learn_settled(steady_now() - std::max(0.0, wall_now() - kv->value.value("t", 0.0)));
-      settled_record_ = kv ? Known::Yes : reply.status == StateStatus::Missing ? Known::No : settled_record_;
+      if (kv)
+        peer_exchange_.learn_settled(steady_now() - std::max(0.0, wall_now() - kv->value.value("t", 0.0)));
+      barrier_record_ = kv ? Known::Yes : reply.status == StateStatus::Missing ? Known::No : barrier_record_;
     });
   }
-  return settled_record_ == Known::No && peers_.settled_at() < 0;
+  return barrier_record_ == Known::No && peer_exchange_.dependency_barrier_at() < 0;
 }
 
-bool Gateway::Found::awaits() const {
+bool Gateway::Found::has_dependencies() const {
   if (phase != "queued" || !record.is_object()) return false;
   auto job = record.find("j");
   return job == record.end() || !job->is_object() || job->contains("awaits");
@@ -387,7 +393,7 @@
     // its own.
     if (beside) mark = {kJobs + job + "/c", Json{{"c", 1}}, 0};
     Json end = {{"p", "cancelled"}, {"n", 0}, {"t", wall_now()}};
-    state_.txn({{kJobs + job, found.version}, {kFinals + job, 0}},
+    state_.txn({{kJobs + job, found.revision}, {kFinals + job, 0}},
                {std::move(mark), {kFinals + job, std::move(end), 0}},
                [this, id, job, tries, beside](StateReply reply) {
                  if (reply.ok()) {
@@ -408,7 +414,7 @@
 void Gateway::remember_final(const std::string& job, const std::string& phase, int tasks) {
   if (!finals_.emplace(job, std::make_pair(phase, tasks)).second) return;
   views_.erase(job);
-  proofs_.forget(job);
+  linearizable_reader_.forget(job);
   final_order_.push_back(job);
   if (final_order_.size() > c::kFinalCache) {
     finals_.erase(final_order_.front());
--- a/src/controller/gateway.h
+++ b/src/controller/gateway.h
@@ -5,28 +5,29 @@
 #include <unordered_map>
 #include <unordered_set>
 
-#include "assignment.h"
 #include "catalog.h"
-#include "keeper.h"
+#include "heartbeat_forwarder.h"
 #include "leader.h"
-#include "mail.h"
-#include "peers.h"
-#include "proofs.h"
-#include "report_forwarder.h"
+#include "lease_proxy.h"
+#include "linearizable_reader.h"
+#include "peer_exchange.h"
+#include "store_relay.h"
+#include "worker_sharding.h"
 
 namespace corkmux {
 
 class Gateway : public Actor<Gateway> {
  public:
   Gateway(Loop& loop, const Settings& settings, StateClient& state, Catalog& catalog, Leader& leader,
-          Peers& peers, Keeper& keeper, Mail& mail, serving::ReportForwarder& forwarder);
+          PeerExchange& peers, LeaseProxy& lease_proxy, StoreRelay& store_relay,
+          fanin::HeartbeatForwarder& forwarder);
   void leader_changed(const std::string& label) {
     // What was learnt of the former leader's reach says nothing of the next one's.
-    if (label != leader_label_) visitors_.clear();
+    if (label != leader_label_) worker_connections_.clear();
     leader_label_ = label;
   }
   /// Who serves workers from now on; empty: the leader alone.
-  void serving_changed(serving::Assignment assignment) { assignment_ = std::move(assignment); }
+  void fanin_changed(fanin::WorkerSharding sharding) { sharding_ = std::move(sharding); }
   void view(const codec::JobView& view);
   /// A report that a peer passed on because its worker could not reach us.
   void relayed(const std::string& body, std::function<void(int, std::string)> reply, Leader::Way way);
@@ -61,7 +62,7 @@
   void unavailable(Id id, const char* why);
   void submit(Id id, const std::string& body);
   /// The first time a submission is heard of: what it awaits has to have been accepted.
-  void check_awaited(Id id, std::shared_ptr<JobSpec> job);
+  void check_dependencies(Id id, std::shared_ptr<JobSpec> job);
   void store(Id id, std::shared_ptr<JobSpec> job, int tries);
   void store_in_pieces(Id id, std::shared_ptr<JobSpec> job, double until);
   /// Once accepted, a job stays so: what was read or stored need not be read again.
@@ -70,10 +71,10 @@
   void note_stored(const JobSpec& job, const StateReply& reply);
   void known_or(Id id, const std::string& job, int status, const std::string& why);
   struct Found {
-    std::string phase;          // empty: never accepted
-    std::uint64_t version = 0;  // of the record of an unfinished job
+    std::string phase;           // empty: never accepted
+    std::uint64_t revision = 0;  // of the record of an unfinished job
     codec::Json record;
-    bool awaits() const;  // others, or may: a long record's pieces are not read for it
+    bool has_dependencies() const;  // others, or may: a long record's pieces are not read for it
   };
   /// Reads a job's record, then its end. No value: the state service could not say.
   void read(const std::string& job, std::function<void(std::optional<Found>)> then);
@@ -85,41 +86,41 @@
   void cancel(Id id, const std::string& job, int tries, bool beside = false);
   using PassReply = std::function<void(int status, std::string body)>;
   /// What this controller remembers of a worker that has come to it.
-  struct Visitor {
+  struct WorkerConnectionState {
     double redirected_at = -1e9, relay_until = -1e9, seen_at = -1e9, served_at = -1e9;  // s, steady clock
   };
-  void report(Id id, const std::string& body);
+  void heartbeat(Id id, const std::string& body);
   /// Where a worker should report instead; empty: here.
-  std::string better_place(const Report& report, Visitor& visitor);
-  bool may_move(const Visitor& visitor);
-  void redirect(const std::string& label, Visitor& visitor, const PassReply& pass);
+  std::string redirect_target(const Heartbeat& heartbeat, WorkerConnectionState& connection);
+  bool may_move(const WorkerConnectionState& connection);
+  void redirect(const std::string& label, WorkerConnectionState& connection, const PassReply& pass);
   /// By a batch where the leader takes them, else by one of the ways that remain.
-  void report_to_leader(Report report, const std::string& body, bool stranger, PassReply pass);
-  void forward(Report report, const std::string& body, PassReply reply);
-  void forget_visitors();
+  void heartbeat_to_leader(Heartbeat heartbeat, const std::string& body, bool unknown_worker, PassReply pass);
+  void forward(Heartbeat heartbeat, const std::string& body, PassReply reply);
+  void forget_worker_connections();
   void remember_final(const std::string& job, const std::string& phase, int tasks);
 
   Settings settings_;
   StateClient& state_;
   Catalog& catalog_;
   Leader& leader_;
-  Peers& peers_;
-  Keeper& keeper_;
-  Mail& mail_;
-  Proofs proofs_;
+  PeerExchange& peer_exchange_;
+  LeaseProxy& lease_proxy_;
+  StoreRelay& store_relay_;
+  LinearizableReader linearizable_reader_;
   Timer probe_;
-  bool probing_ = false, closing_ = false, reading_settled_ = false;
-  double settled_read_at_ = -1e9;
-  enum class Known { Unknown, No, Yes } settled_record_ = Known::Unknown;  // whether there is one
+  bool probing_ = false, closing_ = false, reading_barrier_ = false;
+  double barrier_read_at_ = -1e9;
+  enum class Known { Unknown, No, Yes } barrier_record_ = Known::Unknown;  // whether there is one
   std::string leader_label_;
   std::unordered_map<std::string, std::pair<std::string, int>> finals_;
   std::deque<std::string> final_order_;
   std::unordered_set<std::string> accepted_;  // jobs read in the store before: accepted for good
   std::unordered_map<std::string, codec::JobView> views_;
   std::deque<std::string> view_order_;
-  std::unordered_map<std::string, Visitor> visitors_;
-  serving::Assignment assignment_;
-  serving::ReportForwarder& forwarder_;
+  std::unordered_map<std::string, WorkerConnectionState> worker_connections_;
+  fanin::WorkerSharding sharding_;
+  fanin::HeartbeatForwarder& forwarder_;
   double moves_left_ = 0, moves_at_ = 0;  // workers that may be sent elsewhere for balance, as of then
   int served_here_ = 0;                   // workers served lately, counted every so often
   Timer forget_timer_;
--- a/src/controller/peers.cc
+++ b/src/controller/peer_exchange.cc
@@ -1,4 +1,4 @@
-#include "peers.h"
+#include "peer_exchange.h"
 
 #include <spdlog/spdlog.h>
 
@@ -8,7 +8,7 @@
 #include <type_traits>
 
 #include "constants.h"
-#include "planted.h"
+#include "mutation.h"
 
 namespace corkmux {
 namespace c = constants;
@@ -30,8 +30,8 @@
     return it->is_number() && std::isfinite(it->template get<T>()) ? it->template get<T>() : otherwise;
 }
 
-constexpr const char* kReportsPath = "/peer/reports";
-constexpr const char* kOrdersPath = "/peer/orders";
+constexpr const char* kHeartbeatsPath = "/peer/reports";
+constexpr const char* kCommandsPath = "/peer/orders";
 
 bool is_view(const Json& j) {
   return j.is_array() && j.size() == 5 && j[0].is_string() && j[1].is_string() && j[2].is_number_integer() &&
@@ -40,14 +40,14 @@
 
 }  // namespace
 
-Peers::Peers(Loop& loop, const Settings& settings, Hooks hooks)
+PeerExchange::PeerExchange(Loop& loop, const Settings& settings, Callbacks callbacks)
     : Actor(loop),
       label_(settings.label),
       cancel_s_(settings.cancel_s),
       boot_((fresh_seed() << 20) ^ static_cast<std::uint64_t>(wall_now() * 1000)),
       most_cancels_(std::max(c::kToldCancels, static_cast<std::size_t>(settings.mem_mb * 1024 * 1024 *
                                                                        c::kCancelMemory / c::kCancelBytes))),
-      hooks_(std::move(hooks)),
+      callbacks_(std::move(callbacks)),
       server_(loop, settings.peer_listen, c::kPeerConnections,
               [this](http::Server::ConnectionId id, http::Request r) { serve(id, std::move(r)); }),
       timer_(loop) {
@@ -57,7 +57,7 @@
   }
 }
 
-void Peers::start() {
+void PeerExchange::start() {
   timer_.every(c::kPeerTick, [this] {
     prune_cancels();
     tell_own_leader();
@@ -67,27 +67,27 @@
 
 /// Again and again, for as long as a cancel may count: a leader of ours may have begun, or may have heard of
 /// the job, after it was told.
-void Peers::tell_own_leader() {
+void PeerExchange::tell_own_leader() {
   if (leader_ != label_) return;
   std::vector<std::string> all;
   all.reserve(cancels_.size() + heard_cancels_.size());
   for (const auto& cancel : cancels_) all.push_back(cancel.job);
   for (const auto& [job, at] : heard_cancels_) all.push_back(job);
-  if (!all.empty()) hooks_.cancelled(all);
+  if (!all.empty()) callbacks_.cancelled(all);
 }
 
-void Peers::prune_cancels() {
+void PeerExchange::prune_cancels() {
   double oldest = steady_now() - cancel_s_;
   for (; !cancels_.empty() && cancels_.front().at < oldest; ++first_cancel_) cancels_.pop_front();
   std::erase_if(heard_cancels_, [&](const auto& e) { return e.second < oldest; });
 }
 
-void Peers::leader_changed(const std::string& label, std::uint64_t term) {
+void PeerExchange::leader_changed(const std::string& label, std::uint64_t term) {
   leader_ = label;
   if (term) term_ = std::max(term_, term);
 }
 
-void Peers::publish(std::vector<codec::JobView> views) {
+void PeerExchange::publish(std::vector<codec::JobView> views) {
   for (auto& [label, peer] : peers_)
     for (const auto& v : views) {
       // Bounded: displays are a courtesy, a peer that is away simply shows older counts.
@@ -96,28 +96,30 @@
     }
 }
 
-void Peers::accepted_cancel(const std::string& job) {
+void PeerExchange::accepted_cancel(const std::string& job) {
   cancels_.push_back({steady_now(), job});
-  hooks_.cancelled({job});
+  callbacks_.cancelled({job});
   if (cancels_.size() <= most_cancels_) return;
   lost_cancel_ = first_cancel_++;
   lost_cancel_at_ = cancels_.front().at;
   cancels_.pop_front();
 }
 
-double Peers::settled_at() const { return std::max(settled_heard_, hooks_.settled_at()); }
+double PeerExchange::dependency_barrier_at() const {
+  return std::max(barrier_heard_, callbacks_.dependency_barrier_at());
+}
 
-Json Peers::greeting() const {
-  Json out = {{"label", label_},   {"boot", boot_}, {"state_age", hooks_.state_age()},
+Json PeerExchange::greeting() const {
+  Json out = {{"label", label_},   {"boot", boot_}, {"state_age", callbacks_.state_age()},
               {"leader", leader_}, {"term", term_}, {"serves", true}};
   if (serving_.term)
     out["serving"] = {{"term", serving_.term}, {"number", serving_.number}, {"labels", serving_.labels}};
   // As an age, since clocks differ: whoever asked counts it from when it asked.
-  if (settled_at() > 0) out["settled_age"] = steady_now() - settled_at();
+  if (dependency_barrier_at() > 0) out["settled_age"] = steady_now() - dependency_barrier_at();
   return out;
 }
 
-void Peers::tell_cancels(const Json& asked, Json& answer) {
+void PeerExchange::tell_cancels(const Json& asked, Json& answer) {
   prune_cancels();
   std::uint64_t last = first_cancel_ + cancels_.size() - 1;
   // Numbers mean something only to one who has heard them from this life of ours.
@@ -139,7 +141,7 @@
 /// its term would end ours; nor one with whom a name was lost for want of room, there or here. One that was
 /// not heard for so long that names have left its list does no harm: nobody was answered meanwhile, so that
 /// all that ran then is gone.
-void Peers::answered(Peer& peer, const Json& body, double asked_at) {
+void PeerExchange::answered(Peer& peer, const Json& body, double asked_at) {
   auto boot = field<std::uint64_t>(body, "boot", 0);
   if (boot != peer.boot) {
     peer.boot = boot;
@@ -164,8 +166,8 @@
   if (odd && !std::exchange(peer.odd_told, true))
     spdlog::warn("{} names jobs that none can be called: passed over",
                  field<std::string>(body, "label", "?"));
-  if (planted("cancels of peers are not heard")) cancels.clear(), heard_cancels_.clear();
-  if (!cancels.empty()) hooks_.cancelled(cancels);
+  if (mutation_enabled("cancels of peers are not heard")) cancels.clear(), heard_cancels_.clear();
+  if (!cancels.empty()) callbacks_.cancelled(cancels);
   peer.told = std::max(peer.told, field<std::uint64_t>(body, "told", 0));
   if (double age = field<double>(body, "settled_age", -1); age >= 0) learn_settled(asked_at - age);
   // A name that was lost is not told again: for as long as it may count, nothing is known of the peer's
@@ -178,10 +180,10 @@
     oldest = std::min(oldest, p.answered_at);
     newest_boot = std::max(newest_boot, p.boot_seen_at);
   }
-  hooks_.all_heard(oldest, newest_boot);
+  callbacks_.all_heard(oldest, newest_boot);
 }
 
-void Peers::heard(const Json& body) {
+void PeerExchange::heard(const Json& body) {
   auto it = peers_.find(field<std::string>(body, "label", ""));
   if (it != peers_.end()) {
     any_heard_at_ = steady_now();
@@ -191,23 +193,23 @@
     learn_serving(body);
   }
   auto term = field<std::uint64_t>(body, "term", 0);
-  if (term > term_) hooks_.newer_term(term);
+  if (term > term_) callbacks_.newer_term(term);
 }
 
-double Peers::peers_state_at() const {
+double PeerExchange::peers_state_at() const {
   double latest = -1e9;
   for (const auto& [label, p] : peers_) latest = std::max(latest, p.state_at);
   return latest;
 }
 
-double Peers::silent_for() const { return peers_.empty() ? 0 : steady_now() - any_heard_at_; }
+double PeerExchange::silent_for() const { return peers_.empty() ? 0 : steady_now() - any_heard_at_; }
 
-bool Peers::reachable(const std::string& label) const {
+bool PeerExchange::reachable(const std::string& label) const {
   auto it = peers_.find(label);
   return it == peers_.end() || steady_now() - it->second.heard_at < c::kPeerLost;
 }
 
-void Peers::sync(Peer& peer) {
+void PeerExchange::sync(Peer& peer) {
   if (peer.syncing) return;
   peer.syncing = true;
   Json body = greeting();
@@ -232,7 +234,8 @@
                        });
 }
 
-void Peers::relay(const std::string& label, std::string body, std::function<void(int, std::string)> reply) {
+void PeerExchange::relay(const std::string& label, std::string body,
+                         std::function<void(int, std::string)> reply) {
   auto it = peers_.find(label);
   if (it == peers_.end()) return reply(0, "");
   it->second.client->request("POST", "/peer/report", std::move(body), c::kRelayTimeout,
@@ -241,14 +244,14 @@
 
 // ---------------------------------------------------------------- who serves workers
 
-void Peers::announce_serving(std::vector<std::string> labels) {
+void PeerExchange::announce_serving(std::vector<std::string> labels) {
   if (serving_.term == term_ && serving_.labels == labels) return;
   serving_ = {term_, serving_.term == term_ ? serving_.number + 1 : 1, std::move(labels)};
-  hooks_.serving_changed(serving_.labels);
+  callbacks_.fanin_changed(serving_.labels);
 }
 
 /// Told on by whoever has heard it, so that a controller that has lost only the leader learns it too.
-void Peers::learn_serving(const Json& body) {
+void PeerExchange::learn_serving(const Json& body) {
   auto said = body.find("serving");
   if (said == body.end() || !said->is_object()) return;
   Serving news{field<std::uint64_t>(*said, "term", 0), field<std::uint64_t>(*said, "number", 0), {}};
@@ -261,10 +264,10 @@
     if (name == label_ || peers_.count(name)) news.labels.push_back(std::move(name));
   }
   serving_ = std::move(news);
-  hooks_.serving_changed(serving_.labels);
+  callbacks_.fanin_changed(serving_.labels);
 }
 
-std::vector<std::string> Peers::able_to_serve() const {
+std::vector<std::string> PeerExchange::able_to_serve() const {
   std::vector<std::string> out;
   double now = steady_now();
   for (const auto& [label, peer] : peers_)
@@ -273,24 +276,26 @@
   return out;
 }
 
-void Peers::post(const std::string& label, const char* path, std::string body, double timeout_s,
-                 std::function<void(http::Result)> done) {
+void PeerExchange::post(const std::string& label, const char* path, std::string body, double timeout_s,
+                        std::function<void(http::Result)> done) {
   auto it = peers_.find(label);
   if (it == peers_.end()) return done({0, "", false, "no such controller"});
   it->second.batches->request("POST", path, std::move(body), timeout_s, std::move(done));
 }
 
-void Peers::post_reports(const std::string& label, std::string body, std::function<void(http::Result)> done) {
-  post(label, kReportsPath, std::move(body), c::kRelayTimeout, std::move(done));
+void PeerExchange::post_heartbeats(const std::string& label, std::string body,
+                                   std::function<void(http::Result)> done) {
+  post(label, kHeartbeatsPath, std::move(body), c::kRelayTimeout, std::move(done));
 }
 
-void Peers::post_orders(const std::string& label, std::string body, std::function<void(http::Result)> done) {
-  post(label, kOrdersPath, std::move(body), c::kPeerTimeout, std::move(done));
+void PeerExchange::post_commands(const std::string& label, std::string body,
+                                 std::function<void(http::Result)> done) {
+  post(label, kCommandsPath, std::move(body), c::kPeerTimeout, std::move(done));
 }
 
 // ---------------------------------------------------------------- what peers ask
 
-void Peers::serve(http::Server::ConnectionId id, http::Request request) {
+void PeerExchange::serve(http::Server::ConnectionId id, http::Request request) {
   if (request.method != "POST") return server_.respond(id, {404, "", 0, false});
   if (request.target == "/peer/sync") {
     auto body = codec::unpack(request.body);
@@ -298,28 +303,28 @@
     return serve_sync(id, *body);
   }
   if (request.target == "/peer/report")
-    return hooks_.report(std::move(request.body), [this, id](int status, std::string body) {
+    return callbacks_.heartbeat(std::move(request.body), [this, id](int status, std::string body) {
       server_.respond(id, {status, std::move(body), 0, false});
     });
-  if (request.target == kReportsPath) return serve_reports(id, request.body);
-  if (request.target == kOrdersPath) return serve_orders(id, request.body);
+  if (request.target == kHeartbeatsPath) return serve_heartbeats(id, request.body);
+  if (request.target == kCommandsPath) return serve_commands(id, request.body);
   server_.respond(id, {404, "", 0, false});
 }
 
-void Peers::serve_sync(http::Server::ConnectionId id, const Json& body) {
+void PeerExchange::serve_sync(http::Server::ConnectionId id, const Json& body) {
   heard(body);
   if (auto jobs = body.find("jobs"); jobs != body.end() && jobs->is_array())
     for (const auto& j : *jobs)
       if (is_view(j))
-        hooks_.view({j[0].get<std::string>(), j[1].get<std::string>(), j[2].get<int>(), j[3].get<int>(),
-                     j[4].get<std::string>()});
+        callbacks_.view({j[0].get<std::string>(), j[1].get<std::string>(), j[2].get<int>(), j[3].get<int>(),
+                         j[4].get<std::string>()});
   Json answer = greeting();
   tell_cancels(body, answer);
   server_.respond(id, {200, codec::pack(answer), 0, false});
 }
 
 /// A line now and then, whoever sends what should not come.
-void Peers::refuse(http::Server::ConnectionId id, const std::string& from, const char* why) {
+void PeerExchange::refuse(http::Server::ConnectionId id, const std::string& from, const char* why) {
   if (steady_now() - refused_told_at_ > c::kRefusedTold) {
     refused_told_at_ = steady_now();
     spdlog::warn("a message of {} is refused: {}", from.empty() ? "nobody we know" : from, why);
@@ -327,8 +332,8 @@
   server_.respond(id, {400, "", 0, false});
 }
 
-void Peers::serve_reports(http::Server::ConnectionId id, const std::string& body) {
-  auto parsed = serving::parse_reports(body);
+void PeerExchange::serve_heartbeats(http::Server::ConnectionId id, const std::string& body) {
+  auto parsed = fanin::parse_heartbeats(body);
   if (!parsed) return refuse(id, "", "not a batch of reports");
   auto& batch = parsed->message;
   if (!peers_.count(batch.from)) return refuse(id, "", "a batch of reports");
@@ -336,19 +341,19 @@
     spdlog::warn("{} of the entries in a batch of {} are malformed: passed over", parsed->malformed,
                  batch.from);
   if (leader_ != label_) return server_.respond(id, {503, "", 0, false});
-  hooks_.reports(std::move(batch), [this, id](int status, std::string answer) {
+  callbacks_.heartbeats(std::move(batch), [this, id](int status, std::string answer) {
     server_.respond(id, {status, std::move(answer), 0, false});
   });
 }
 
-void Peers::serve_orders(http::Server::ConnectionId id, const std::string& body) {
-  auto parsed = serving::parse_orders(body);
+void PeerExchange::serve_commands(http::Server::ConnectionId id, const std::string& body) {
+  auto parsed = fanin::parse_commands(body);
   if (!parsed) return refuse(id, "", "not a batch of orders");
   if (!peers_.count(parsed->message.from)) return refuse(id, "", "a batch of orders");
   if (parsed->malformed)
     spdlog::warn("{} of the entries in orders of {} are malformed: passed over", parsed->malformed,
                  parsed->message.from);
-  server_.respond(id, {hooks_.orders(parsed->message) ? 200 : 503, "", 0, false});
+  server_.respond(id, {callbacks_.commands(parsed->message) ? 200 : 503, "", 0, false});
 }
 
 }  // namespace corkmux
--- a/src/controller/peers.h
+++ b/src/controller/peer_exchange.h
@@ -8,41 +8,42 @@
 #include <unordered_map>
 #include <vector>
 
-#include "batches.h"
 #include "codec.h"
+#include "fanin_messages.h"
 #include "http.h"
 #include "settings.h"
 
 namespace corkmux {
 
-class Peers : public Actor<Peers> {
+class PeerExchange : public Actor<PeerExchange> {
  public:
-  struct Hooks {
+  struct Callbacks {
     std::function<double()> state_age;                   // have we the state service?
     std::function<void(std::uint64_t term)> newer_term;  // a peer names a leader's term
     std::function<void(const codec::JobView&)> view;     // a job's display from the leader
-    std::function<void(std::string body, std::function<void(int, std::string)>)> report;  // a relayed report
+    std::function<void(std::string body, std::function<void(int, std::string)>)>
+        heartbeat;                                                   // a relayed report
     std::function<void(const std::vector<std::string>&)> cancelled;  // jobs whose cancel a peer accepted
     /// Every peer was asked at or after `asked_at` and told all its cancels; the youngest life of a peer was
     /// first seen at `youngest`.
     std::function<void(double asked_at, double youngest)> all_heard;
-    std::function<double()> settled_at;  // Leader::settled_at() of our own terms
+    std::function<double()> dependency_barrier_at;  // Leader::dependency_barrier_at() of our own terms
     /// A batch of a serving controller, for a leader.
-    std::function<void(serving::ReportBatch, std::function<void(int, std::string)>)> reports;
+    std::function<void(fanin::HeartbeatBatch, std::function<void(int, std::string)>)> heartbeats;
     /// Orders of the leader for workers that we serve; false: nothing of them was or will be sent.
-    std::function<bool(const serving::OrderBatch&)> orders;
+    std::function<bool(const fanin::ForwardedCommandBatch&)> commands;
     /// Which controllers serve workers, by the newest word of a leader; none: the leader alone does.
-    std::function<void(const std::vector<std::string>& labels)> serving_changed;
+    std::function<void(const std::vector<std::string>& labels)> fanin_changed;
   };
-  Peers(Loop& loop, const Settings& settings, Hooks hooks);
+  PeerExchange(Loop& loop, const Settings& settings, Callbacks callbacks);
   void start();
   void leader_changed(const std::string& label, std::uint64_t term);
   void publish(std::vector<codec::JobView> views);
   /// Status 0: the peer did not answer.
   void relay(const std::string& label, std::string body, std::function<void(int, std::string)> reply);
   /// Batches and orders between a serving controller and the leader.
-  void post_reports(const std::string& label, std::string body, std::function<void(http::Result)> done);
-  void post_orders(const std::string& label, std::string body, std::function<void(http::Result)> done);
+  void post_heartbeats(const std::string& label, std::string body, std::function<void(http::Result)> done);
+  void post_commands(const std::string& label, std::string body, std::function<void(http::Result)> done);
   /// Says, as the leader, which controllers serve workers from now on.
   void announce_serving(std::vector<std::string> labels);
   const std::vector<std::string>& serving() const { return serving_.labels; }
@@ -55,10 +56,10 @@
   std::vector<std::string> able_to_serve() const;
   /// A cancel this controller has accepted; peers are told until every effect of it must have shown.
   void accepted_cancel(const std::string& job);
-  /// The latest that any controller has said of Leader::settled_at(), s of our steady clock.
-  double settled_at() const;
+  /// The latest that any controller has said of Leader::dependency_barrier_at(), s of our steady clock.
+  double dependency_barrier_at() const;
   /// The same from another source.
-  void learn_settled(double at) { settled_heard_ = std::max(settled_heard_, at); }
+  void learn_settled(double at) { barrier_heard_ = std::max(barrier_heard_, at); }
   /// Steady time at which the state service last served some peer, as far as we have heard.
   double peers_state_at() const;
   /// False only for a peer we know and have not heard for a while.
@@ -89,8 +90,8 @@
   };
   void serve(http::Server::ConnectionId id, http::Request request);
   void serve_sync(http::Server::ConnectionId id, const codec::Json& body);
-  void serve_reports(http::Server::ConnectionId id, const std::string& body);
-  void serve_orders(http::Server::ConnectionId id, const std::string& body);
+  void serve_heartbeats(http::Server::ConnectionId id, const std::string& body);
+  void serve_commands(http::Server::ConnectionId id, const std::string& body);
   void refuse(http::Server::ConnectionId id, const std::string& from, const char* why);
   void learn_serving(const codec::Json& body);
   void post(const std::string& label, const char* path, std::string body, double timeout_s,
@@ -116,9 +117,9 @@
   std::uint64_t lost_cancel_ = 0;   // of the last that there was no room for, while it is that young
   double lost_cancel_at_ = -1e9;
   std::unordered_map<std::string, double> heard_cancels_;  // accepted elsewhere, when we first heard of them
-  double settled_heard_ = -1e9;
+  double barrier_heard_ = -1e9;
   double any_heard_at_ = steady_now();
-  Hooks hooks_;
+  Callbacks callbacks_;
   std::map<std::string, Peer> peers_;
   std::string leader_;
   std::uint64_t term_ = 0;
--- a/src/controller/mail.cc
+++ b/src/controller/store_relay.cc
@@ -1,44 +1,44 @@
-#include "mail.h"
+#include "store_relay.h"
 
 #include <algorithm>
 #include <random>
 
 #include "constants.h"
-#include "planted.h"
+#include "mutation.h"
 #include "store_keys.h"
 
 namespace corkmux {
 namespace c = constants;
 using codec::Json;
 
-Mail::Mail(Loop& loop, const Settings& settings, StateClient& state, Deliver deliver)
+StoreRelay::StoreRelay(Loop& loop, const Settings& settings, StateClient& state, Deliver deliver)
     : Actor(loop),
       label_(settings.label),
       state_(state),
       deliver_(std::move(deliver)),
       room_(static_cast<std::size_t>(settings.next.value_kb * 1024 * c::kRecordShare)),
-      pause_(1 / std::max(1.0, settings.next.write_rps * c::kMailShare)),
-      gather_(std::min(c::kMailGather, 2 * pause_)),
+      pause_(1 / std::max(1.0, settings.next.write_rps * c::kRelayWriteShare)),
+      gather_(std::min(c::kRelayBatchDelay, 2 * pause_)),
       // Guards against an answer meant for a former life of ours: numbers do not start over.
       next_(fresh_seed() << 20),
       sweeper_(loop),
       retry_(loop) {
-  sweeper_.every(c::kMailSweep, [this] { sweep(); });
+  sweeper_.every(c::kStoreRelaySweepInterval, [this] { sweep(); });
 }
 
-void Mail::request(const std::string& to, const std::string& body, Reply reply) {
+void StoreRelay::request(const std::string& to, const std::string& body, Reply reply) {
   auto parsed = codec::unpack(body);
-  if (!parsed || pending_.size() >= c::kMailPending) return reply(0, "");
+  if (!parsed || pending_.size() >= c::kStoreRelayPendingLimit) return reply(0, "");
   auto id = ++next_;
-  pending_[id] = {steady_now() + c::kMailTimeout, std::move(reply)};
+  pending_[id] = {steady_now() + c::kStoreRelayTimeout, std::move(reply)};
   listen();
   if (brief_.count(to))
-    if (Json brief = codec::brief_report(*parsed); !brief.is_null())
+    if (Json brief = codec::compact_heartbeat(*parsed); !brief.is_null())
       return send(to, {{"q", id}, {"r", std::move(brief)}});
   send(to, {{"q", id}, {"b", std::move(*parsed)}});
 }
 
-void Mail::serve(bool on) {
+void StoreRelay::serve(bool on) {
   serving_ = on;
   if (on) listen();
 }
@@ -46,41 +46,41 @@
 // ---------------------------------------------------------------- taking in
 
 /// Who reads the brief form: what a controller has once said of itself stays true.
-void Mail::learn_forms() {
+void StoreRelay::learn_forms() {
   state_.read_all(
-      kForms, "",
+      kRecordFormats, "",
       [this](const codec::KeyValue& kv) {
-        if (auto label = reader_of_our_form(kv)) brief_.insert(*label);
+        if (auto label = reader_of_our_format(kv)) brief_.insert(*label);
       },
       [](const ReadEnd&) {});
 }
 
-void Mail::listen() {
+void StoreRelay::listen() {
   if (listening_) return;
   listening_ = true;
   ready_ = false;
   learn_forms();
   // The revision from which on we watch comes first; what we send waits for it, so that no answer is missed.
-  state_.list(kMailPrefix + label_ + "/", "", 1, [this](StateReply reply) {
+  state_.list(kStoreRelayPrefix + label_ + "/", "", 1, [this](StateReply reply) {
     if (!reply.ok()) {
       listening_ = false;
       // What waits to be sent is given up at once: its workers still have time to try elsewhere.
-      for (auto& [to, box] : boxes_)
-        for (const auto& item : std::exchange(box.items, {})) {
-          box.bytes -= item.bytes;
+      for (auto& [to, outbox] : outboxes_)
+        for (const auto& item : std::exchange(outbox.items, {})) {
+          outbox.bytes -= item.bytes;
           give_up(item.body);
         }
       if (wanted()) retry_.once(c::kRetryPause, [this] { listen(); });
       return;
     }
     ready_ = true;
-    for (auto& [to, box] : boxes_) flush(to);
+    for (auto& [to, outbox] : outboxes_) flush(to);
     watch(codec::parse_page(reply.body).revision);
   });
 }
 
-void Mail::watch(std::uint64_t after) {
-  state_.watch(kMailPrefix + label_ + "/", after, c::kWatchWait, [this, after](StateReply reply) {
+void StoreRelay::watch(std::uint64_t after) {
+  state_.watch(kStoreRelayPrefix + label_ + "/", after, c::kWatchWait, [this, after](StateReply reply) {
     if (!reply.ok()) {
       listening_ = ready_ = false;
       if (wanted()) retry_.once(c::kRetryPause, [this] { listen(); });
@@ -96,7 +96,7 @@
   });
 }
 
-void Mail::take(const codec::Event& event) {
+void StoreRelay::take(const codec::Event& event) {
   if (!event.value || !event.value->is_object()) return;
   std::string from = event.value->value("f", "");
   auto items = event.value->find("i");
@@ -105,16 +105,16 @@
     if (!item.is_object()) continue;
     // An answer comes in the form that was asked in.
     bool brief = item.contains("r");
-    const Json body = brief
-                          ? item.contains("q") ? codec::full_report(item["r"]) : codec::full_answer(item["r"])
-                          : item.value("b", Json());
+    const Json body =
+        brief ? item.contains("q") ? codec::expand_heartbeat(item["r"]) : codec::expand_answer(item["r"])
+              : item.value("b", Json());
     if (auto q = item.find("q"); q != item.end() && q->is_number_unsigned()) {
-      if (!serving_ || planted("mail for the leader is not read")) continue;
+      if (!serving_ || mutation_enabled("mail for the leader is not read")) continue;
       deliver_(codec::pack(body),
                [this, from, brief, id = q->get<std::uint64_t>()](int status, std::string answer) {
                  auto parsed = codec::unpack(answer);
                  if (brief && status == 200 && parsed)
-                   return send(from, {{"a", id}, {"s", status}, {"r", codec::brief_answer(*parsed)}});
+                   return send(from, {{"a", id}, {"s", status}, {"r", codec::compact_answer(*parsed)}});
                  send(from, {{"a", id}, {"s", status}, {"b", parsed ? std::move(*parsed) : Json()}});
                });
     } else if (auto a = item.find("a"); a != item.end() && a->is_number_unsigned()) {
@@ -125,58 +125,58 @@
 
 // ---------------------------------------------------------------- sending
 
-void Mail::send(const std::string& to, Json item) {
-  Box& box = boxes_[to];
+void StoreRelay::send(const std::string& to, Json item) {
+  Outbox& outbox = outboxes_[to];
   // Bounded: what does not fit is given up at once, its worker tries elsewhere.
   auto size = item.dump().size() + 1;
   // One that no record has room for would only be refused; one that would be late only holds up those behind
   // it.
-  std::size_t full_records = box.bytes / room_;  // that go before it
+  std::size_t full_records = outbox.bytes / room_;  // that go before it
   double wait = pause_ * static_cast<double>(full_records);
-  if (size > room_ || wait > c::kMailTimeout / 2) return give_up(item);
-  box.bytes += size;
-  box.items.push_back({std::move(item), size, steady_now()});
+  if (size > room_ || wait > c::kStoreRelayTimeout / 2) return give_up(item);
+  outbox.bytes += size;
+  outbox.items.push_back({std::move(item), size, steady_now()});
   flush(to);
 }
 
-void Mail::flush(const std::string& to) {
-  Box& box = boxes_[to];
-  if (box.writing || box.items.empty() || !ready_) return;
+void StoreRelay::flush(const std::string& to) {
+  Outbox& outbox = outboxes_[to];
+  if (outbox.writing || outbox.items.empty() || !ready_) return;
   // Changes are few: a record waits for company, unless it is full.
-  double due = box.last + (box.bytes > room_ ? pause_ : gather_) - steady_now();
-  if (!box.timer) box.timer = std::make_unique<Timer>(loop_);
-  if (box.timer->active() && box.bytes <= room_) return;
+  double due = outbox.last + (outbox.bytes > room_ ? pause_ : gather_) - steady_now();
+  if (!outbox.timer) outbox.timer = std::make_unique<Timer>(loop_);
+  if (outbox.timer->active() && outbox.bytes <= room_) return;
   // One record at a time, and at most some a second: mail is what waits first when changes run short.
-  box.timer->once(std::max(0.0, due), [this, to] { write(to); });
+  outbox.timer->once(std::max(0.0, due), [this, to] { write(to); });
 }
 
-void Mail::write(const std::string& to) {
-  Box& box = boxes_[to];
-  if (box.writing || box.items.empty()) return;
-  box.last = steady_now();
+void StoreRelay::write(const std::string& to) {
+  Outbox& outbox = outboxes_[to];
+  if (outbox.writing || outbox.items.empty()) return;
+  outbox.last = steady_now();
   std::vector<Json> sent;
   std::size_t size = 0;
-  box.writing = true;
-  while (!box.items.empty()) {
-    auto& item = box.items.front();
-    bool late = box.last - item.since > c::kMailTimeout;  // nobody waits for it any more
+  outbox.writing = true;
+  while (!outbox.items.empty()) {
+    auto& item = outbox.items.front();
+    bool late = outbox.last - item.since > c::kStoreRelayTimeout;  // nobody waits for it any more
     if (!late && !sent.empty() && size + item.bytes > room_) break;
-    box.bytes -= item.bytes;
+    outbox.bytes -= item.bytes;
     if (!late) {
       size += item.bytes;
       sent.push_back(std::move(item.body));
     }
-    box.items.pop_front();
+    outbox.items.pop_front();
   }
   if (sent.empty()) {
-    box.writing = false;
+    outbox.writing = false;
     return;
   }
-  box.slot = (box.slot + 1) % c::kMailSlots;
-  std::string key = kMailPrefix + to + "/" + label_ + "/" + std::to_string(box.slot);
+  outbox.slot = (outbox.slot + 1) % c::kStoreRelaySlots;
+  std::string key = kStoreRelayPrefix + to + "/" + label_ + "/" + std::to_string(outbox.slot);
   std::vector<codec::Write> record{{key, Json{{"f", label_}, {"i", sent}}, 0}};
   state_.txn({}, record, [this, to, sent = std::move(sent)](StateReply reply) {
-    boxes_[to].writing = false;
+    outboxes_[to].writing = false;
     if (reply.status == StateStatus::Invalid) room_ = std::max(c::kSmallestRecord, room_ / 2);
     if (!reply.ok())
       for (const auto& item : sent) give_up(item);
@@ -184,11 +184,11 @@
   });
 }
 
-void Mail::give_up(const Json& item) {
+void StoreRelay::give_up(const Json& item) {
   if (auto q = item.find("q"); q != item.end()) settle(q->get<std::uint64_t>(), 0, "");
 }
 
-void Mail::settle(std::uint64_t id, int status, std::string body) {
+void StoreRelay::settle(std::uint64_t id, int status, std::string body) {
   auto it = pending_.find(id);
   if (it == pending_.end()) return;
   auto reply = std::move(it->second.reply);
@@ -196,7 +196,7 @@
   reply(status, std::move(body));
 }
 
-void Mail::sweep() {
+void StoreRelay::sweep() {
   double now = steady_now();
   std::vector<std::uint64_t> late;
   for (const auto& [id, p] : pending_)
--- a/src/controller/mail.h
+++ b/src/controller/store_relay.h
@@ -18,19 +18,19 @@
 
 namespace corkmux {
 
-class Mail : public Actor<Mail> {
+class StoreRelay : public Actor<StoreRelay> {
  public:
   using Reply = std::function<void(int status, std::string body)>;
   using Deliver = std::function<void(std::string body, Reply reply)>;
   /// `deliver` handles what others send us.
-  Mail(Loop& loop, const Settings& settings, StateClient& state, Deliver deliver);
+  StoreRelay(Loop& loop, const Settings& settings, StateClient& state, Deliver deliver);
   /// Status 0: no answer in time, or it could not be sent.
   void request(const std::string& to, const std::string& body, Reply reply);
   /// While set, mail is taken in even without requests of our own.
   void serve(bool on);
 
  private:
-  struct Box {
+  struct Outbox {
     struct Item {
       codec::Json body;
       std::size_t bytes;  // as JSON
@@ -66,7 +66,7 @@
   std::size_t room_;
   double pause_, gather_;
   std::set<std::string> brief_;  // controllers that have said that they read the second form
-  std::map<std::string, Box> boxes_;
+  std::map<std::string, Outbox> outboxes_;
   std::map<std::uint64_t, Pending> pending_;
   std::uint64_t next_;
   bool serving_ = false, listening_ = false, ready_ = false;
--- a/src/serving/order_delivery.h
+++ b/src/heartbeat_fanin/command_delivery.h
@@ -4,22 +4,22 @@
 #pragma once
 #include <functional>
 
-#include "batches.h"
+#include "fanin_messages.h"
 #include "worker_connections.h"
 
-namespace corkmux::serving {
+namespace corkmux::fanin {
 
-class OrderDelivery : public Actor<OrderDelivery> {
+class CommandDelivery : public Actor<CommandDelivery> {
  public:
-  OrderDelivery(Loop& loop, std::size_t most_connections, std::function<void(OrderOutcome)> outcome);
+  CommandDelivery(Loop& loop, std::size_t most_connections, std::function<void(CommandOutcome)> outcome);
   /// false: too much is on its way; nothing of the batch was or will be sent.
-  bool deliver(const OrderBatch& batch);
+  bool deliver(const ForwardedCommandBatch& batch);
 
  private:
   WorkerConnections connections_;
-  std::function<void(OrderOutcome)> outcome_;
+  std::function<void(CommandOutcome)> outcome_;
   std::size_t in_flight_ = 0;
   Timer idle_timer_;
 };
 
-}  // namespace corkmux::serving
+}  // namespace corkmux::fanin
--- a/src/serving/batches.cc
+++ b/src/heartbeat_fanin/fanin_messages.cc
@@ -1,8 +1,8 @@
-#include "batches.h"
+#include "fanin_messages.h"
 
 #include "constants.h"
 
-namespace corkmux::serving {
+namespace corkmux::fanin {
 namespace {
 
 using codec::Json;
@@ -33,8 +33,8 @@
   return static_cast<int>(out);
 }
 
-ForwardedReport report_from(const Json& entry) {
-  ForwardedReport out;
+ForwardedHeartbeat heartbeat_from(const Json& entry) {
+  ForwardedHeartbeat out;
   out.id = number(entry, 0);
   if (entry.size() == 2) {
     out.body = text(entry, 1);
@@ -42,14 +42,14 @@
     return out;
   }
   out.machine = name(entry, 1);
-  out.session = number(entry, 2);
+  out.worker_epoch = number(entry, 2);
   out.same_as = number(entry, 3);
   out.number = number(entry, 4);
   return out;
 }
 
-OrderOutcome outcome_from(const Json& entry) {
-  OrderOutcome out;
+CommandOutcome outcome_from(const Json& entry) {
+  CommandOutcome out;
   out.id = number(entry, 0);
   out.status = status(entry, 1);
   if (!entry.at(2).is_boolean()) throw MalformedEntry();
@@ -58,7 +58,7 @@
   return out;
 }
 
-ForwardedOrders orders_from(const Json& entry) {
+ForwardedCommands commands_from(const Json& entry) {
   return {number(entry, 0), name(entry, 1), name(entry, 2), text(entry, 3)};
 }
 
@@ -93,53 +93,53 @@
 
 }  // namespace
 
-std::string pack(const ReportBatch& batch) {
-  Json reports = Json::array(), outcomes = Json::array();
-  for (const auto& r : batch.reports)
+std::string pack(const HeartbeatBatch& batch) {
+  Json heartbeats = Json::array(), outcomes = Json::array();
+  for (const auto& r : batch.heartbeats)
     if (r.body.empty())
-      reports.push_back({r.id, r.machine, r.session, r.same_as, r.number});
+      heartbeats.push_back({r.id, r.machine, r.worker_epoch, r.same_as, r.number});
     else
-      reports.push_back({r.id, r.body});
+      heartbeats.push_back({r.id, r.body});
   for (const auto& o : batch.outcomes) outcomes.push_back({o.id, o.status, o.sent, o.body});
   return codec::pack(
-      {{"from", batch.from}, {"reports", std::move(reports)}, {"outcomes", std::move(outcomes)}});
+      {{"from", batch.from}, {"reports", std::move(heartbeats)}, {"outcomes", std::move(outcomes)}});
 }
 
-std::string pack(const std::vector<ReportAnswer>& answers) {
+std::string pack(const std::vector<HeartbeatAnswer>& answers) {
   Json out = Json::array();
   for (const auto& a : answers) out.push_back({a.id, a.status, a.body});
   return codec::pack(out);
 }
 
-std::string pack(const OrderBatch& batch) {
-  Json orders = Json::array();
-  for (const auto& o : batch.orders) orders.push_back({o.id, o.machine, o.address, o.body});
-  return codec::pack({{"from", batch.from}, {"orders", std::move(orders)}});
+std::string pack(const ForwardedCommandBatch& batch) {
+  Json commands = Json::array();
+  for (const auto& o : batch.commands) commands.push_back({o.id, o.machine, o.address, o.body});
+  return codec::pack({{"from", batch.from}, {"orders", std::move(commands)}});
 }
 
-std::optional<Parsed<ReportBatch>> parse_reports(std::string_view bytes) {
+std::optional<Parsed<HeartbeatBatch>> parse_heartbeats(std::string_view bytes) {
   auto message = message_from(bytes);
   if (!message) return std::nullopt;
-  Parsed<ReportBatch> out;
+  Parsed<HeartbeatBatch> out;
   out.message.from = (*message)["from"].get<std::string>();
-  out.message.reports = entries(*message, "reports", out.malformed, &report_from);
+  out.message.heartbeats = entries(*message, "reports", out.malformed, &heartbeat_from);
   out.message.outcomes = entries(*message, "outcomes", out.malformed, &outcome_from);
   return out;
 }
 
-std::optional<Parsed<OrderBatch>> parse_orders(std::string_view bytes) {
+std::optional<Parsed<ForwardedCommandBatch>> parse_commands(std::string_view bytes) {
   auto message = message_from(bytes);
   if (!message) return std::nullopt;
-  Parsed<OrderBatch> out;
+  Parsed<ForwardedCommandBatch> out;
   out.message.from = (*message)["from"].get<std::string>();
-  out.message.orders = entries(*message, "orders", out.malformed, &orders_from);
+  out.message.commands = entries(*message, "orders", out.malformed, &commands_from);
   return out;
 }
 
-std::optional<std::vector<ReportAnswer>> parse_answers(std::string_view bytes) {
+std::optional<std::vector<HeartbeatAnswer>> parse_answers(std::string_view bytes) {
   auto message = codec::unpack(bytes);
   if (!message || !message->is_array()) return std::nullopt;
-  std::vector<ReportAnswer> out;
+  std::vector<HeartbeatAnswer> out;
   for (const auto& entry : *message) try {
       out.push_back({number(entry, 0), status(entry, 1), text(entry, 2)});
     } catch (const MalformedEntry&) {
@@ -148,12 +148,12 @@
   return out;
 }
 
-std::size_t size_of(const ForwardedReport& report) {
-  return kEntryFrame + report.body.size() + report.machine.size();
+std::size_t size_of(const ForwardedHeartbeat& heartbeat) {
+  return kEntryFrame + heartbeat.body.size() + heartbeat.machine.size();
 }
-std::size_t size_of(const OrderOutcome& outcome) { return kEntryFrame + outcome.body.size(); }
-std::size_t size_of(const ForwardedOrders& orders) {
-  return kEntryFrame + orders.machine.size() + orders.address.size() + orders.body.size();
+std::size_t size_of(const CommandOutcome& outcome) { return kEntryFrame + outcome.body.size(); }
+std::size_t size_of(const ForwardedCommands& commands) {
+  return kEntryFrame + commands.machine.size() + commands.address.size() + commands.body.size();
 }
 
-}  // namespace corkmux::serving
+}  // namespace corkmux::fanin
--- a/src/serving/worker_connections.cc
+++ b/src/heartbeat_fanin/worker_connections.cc
@@ -2,7 +2,7 @@
 
 #include "constants.h"
 
-namespace corkmux::serving {
+namespace corkmux::fanin {
 
 http::Client& WorkerConnections::to(const std::string& worker, const std::string& address) {
   auto& connection = connections_[worker];
@@ -14,11 +14,11 @@
 
 void WorkerConnections::close_idle() {
   double patience =
-      connections_.size() > most_ ? constants::kOrderConnectionScarce : constants::kIdleConnection;
+      connections_.size() > most_ ? constants::kCommandConnectionScarceIdle : constants::kIdleConnection;
   double now = steady_now();
   std::erase_if(connections_, [&](const auto& entry) {
     return !entry.second.client->busy() && now - entry.second.used_at > patience;
   });
 }
 
-}  // namespace corkmux::serving
+}  // namespace corkmux::fanin
--- a/src/serving/worker_connections.h
+++ b/src/heartbeat_fanin/worker_connections.h
@@ -7,7 +7,7 @@
 
 #include "http.h"
 
-namespace corkmux::serving {
+namespace corkmux::fanin {
 
 class WorkerConnections {
  public:
@@ -29,4 +29,4 @@
   std::unordered_map<std::string, Connection> connections_;
 };
 
-}  // namespace corkmux::serving
+}  // namespace corkmux::fanin
--- a/src/serving/assignment.cc
+++ b/src/heartbeat_fanin/worker_sharding.cc
@@ -1,4 +1,4 @@
-#include "assignment.h"
+#include "worker_sharding.h"
 
 #define XXH_INLINE_ALL
 #include <xxhash.h>
@@ -7,7 +7,7 @@
 
 #include "constants.h"
 
-namespace corkmux::serving {
+namespace corkmux::fanin {
 namespace {
 
 std::uint64_t score(const std::string& worker, const std::string& label) {
@@ -17,14 +17,14 @@
 
 }  // namespace
 
-bool Assignment::serves(const std::string& label) const {
+bool WorkerSharding::serves(const std::string& label) const {
   return std::any_of(controllers_.begin(), controllers_.end(),
                      [&](const auto& controller) { return controller.label == label; });
 }
 
-std::string Assignment::server_of(const std::string& worker, const std::string& zone,
-                                  const std::function<bool(const std::string&)>& usable) const {
-  const ServingController* best = nullptr;
+std::string WorkerSharding::owner_of(const std::string& worker, const std::string& zone,
+                                     const std::function<bool(const std::string&)>& usable) const {
+  const FanInMember* best = nullptr;
   bool best_near = false;
   std::uint64_t best_score = 0;
   for (const auto& controller : controllers_) {
@@ -40,11 +40,11 @@
   return best ? best->label : "";
 }
 
-bool SharingDecision::update(int workers) {
+bool FanInPolicy::update(int workers) {
   double needed = constants::kSocketsPerWorker * static_cast<double>(workers);
-  double share = shared_ ? constants::kServeAloneBelow : constants::kShareAbove;
+  double share = shared_ ? constants::kFanInBelow : constants::kFanInAbove;
   shared_ = needed > share * max_connections_;
   return shared_;
 }
 
-}  // namespace corkmux::serving
+}  // namespace corkmux::fanin
--- a/src/serving/assignment.h
+++ b/src/heartbeat_fanin/worker_sharding.h
@@ -6,34 +6,34 @@
 #include <string>
 #include <vector>
 
-namespace corkmux::serving {
+namespace corkmux::fanin {
 
-struct ServingController {
+struct FanInMember {
   std::string label, zone;
-  bool operator==(const ServingController&) const = default;
+  bool operator==(const FanInMember&) const = default;
 };
 
-class Assignment {
+class WorkerSharding {
  public:
-  Assignment() = default;
-  explicit Assignment(std::vector<ServingController> controllers) : controllers_(std::move(controllers)) {}
+  WorkerSharding() = default;
+  explicit WorkerSharding(std::vector<FanInMember> controllers) : controllers_(std::move(controllers)) {}
   bool empty() const { return controllers_.empty(); }
   bool serves(const std::string& label) const;
   /// The usable controller with the highest score for that worker, of its own zone if there is one there, so
   /// that a cut between zones leaves most workers with a controller on their side. Empty: none is usable.
-  std::string server_of(const std::string& worker, const std::string& zone,
-                        const std::function<bool(const std::string& label)>& usable) const;
+  std::string owner_of(const std::string& worker, const std::string& zone,
+                       const std::function<bool(const std::string& label)>& usable) const;
 
  private:
-  std::vector<ServingController> controllers_;
+  std::vector<FanInMember> controllers_;
 };
 
 /// Whether workers are served by all controllers or by the leader alone: by how many sockets the leader would
 /// need for them. The two bounds lie apart, so that a fleet that breathes does not move its workers to and
 /// fro.
-class SharingDecision {
+class FanInPolicy {
  public:
-  explicit SharingDecision(int max_connections) : max_connections_(max_connections) {}
+  explicit FanInPolicy(int max_connections) : max_connections_(max_connections) {}
   /// What a new leader takes over from the one before.
   void start_from(bool shared) { shared_ = shared; }
   /// `workers`: machines that are up.
@@ -44,4 +44,4 @@
   bool shared_ = false;
 };
 
-}  // namespace corkmux::serving
+}  // namespace corkmux::fanin
--- a/src/kube/api.cc
+++ b/src/kube/api.cc
@@ -337,8 +337,8 @@
       auto kv = codec::parse_value(reply.body);
       if (!kv) return then(std::nullopt);
       if (kv->value.value("c", 0) == 0) {
-        found->job_version = kv->version, found->job_record = std::move(kv->value);
-        found->progress.revision = std::max(found->progress.revision, kv->version);
+        found->job_revision = kv->revision, found->job_record = std::move(kv->value);
+        found->progress.revision = std::max(found->progress.revision, kv->revision);
         auto view = gateway_.display(job, "queued");
         found->progress.done = view.done, found->progress.running = view.running;
         found->progress.reason = view.reason;
@@ -352,7 +352,7 @@
       found->progress.phase =
           kv->value.value("p", "") == "done" ? Progress::Phase::Done : Progress::Phase::Cancelled;
       found->progress.ended = kv->value.value("t", 0.0);
-      found->progress.revision = std::max(found->progress.revision, kv->version);
+      found->progress.revision = std::max(found->progress.revision, kv->revision);
       then(std::move(*found));
     });
   });
@@ -365,7 +365,7 @@
     auto kv = reply.ok() ? codec::parse_value(reply.body) : std::nullopt;
     auto stored = kv ? from_record(kv->value) : std::nullopt;
     if (!stored) return unavailable(call, "the state service cannot be read now");
-    read_progress(std::move(*stored), kv->version, [this, call, then](std::optional<Found> found) {
+    read_progress(std::move(*stored), kv->revision, [this, call, then](std::optional<Found> found) {
       if (!found) return unavailable(call, "the state service cannot be read now");
       then(std::move(*found));
     });
@@ -514,7 +514,7 @@
                     if (!stored || !selects(l->filter.labels, labels_of(*stored))) continue;
                     if (!l->filter.only.empty() && stored->metadata.value("name", "") != l->filter.only)
                       continue;
-                    l->kept.emplace_back(std::move(*stored), kv.version);
+                    l->kept.emplace_back(std::move(*stored), kv.revision);
                     if (l->kept.size() == l->most) {
                       l->more |= i + 1 < page.items.size();
                       break;
@@ -565,11 +565,11 @@
     const std::string job = found.stored.job, at = key(call->space, call->name);
     std::vector<codec::Condition> conditions{{at, found.version}};
     std::vector<Write> writes{{at, std::nullopt, 0}};
-    const bool unfinished = found.job_version != 0;
+    const bool unfinished = found.job_revision != 0;
     if (unfinished) {
       Json record = found.job_record;
       record["c"] = 1;
-      conditions.push_back({kJobs + job, found.job_version});
+      conditions.push_back({kJobs + job, found.job_revision});
       conditions.push_back({kFinals + job, 0});
       writes.push_back({kJobs + job, std::move(record), 0});
       writes.push_back({kFinals + job, Json{{"p", "cancelled"}, {"n", 0}, {"t", wall_now()}}, 0});
--- a/src/kube/api.h
+++ b/src/kube/api.h
@@ -45,7 +45,7 @@
   /// An object as it stands in the store.
   struct Found {
     Stored stored;
-    std::uint64_t version = 0, job_version = 0;  // of its record and its job's; 0: the job is over
+    std::uint64_t version = 0, job_revision = 0;  // of its record and its job's; 0: the job is over
     Json job_record;
     Progress progress;
   };
--- a/src/kube/feed.cc
+++ b/src/kube/feed.cc
@@ -55,7 +55,7 @@
         if (!stored) return;
         by_job_[stored->job] = kv.key;
         Object& o = known_[kv.key];
-        o.stored = std::move(*stored), o.version = o.progress.revision = kv.version;
+        o.stored = std::move(*stored), o.revision = o.progress.revision = kv.revision;
         o.progress.tasks = tasks_of(o.stored);
       },
       [this, generation](const ReadEnd& end) {
@@ -74,15 +74,15 @@
                  if (generation != generation_) return;
                  if (!reply.ok()) {
                    source.lost = reply.status == StateStatus::Unanswered ? source.lost + 1 : 0;
-                   if (reply.status == StateStatus::Missing || source.lost >= c::kLostWatches)
+                   if (reply.status == StateStatus::Missing || source.lost >= c::kLostWatchLimit)
                      return start_over();
                    return source.pause.once(c::kRetryPause, [this, &source] { follow(source); });
                  }
                  source.lost = 0;
                  auto events = codec::parse_events(reply.body);
                  for (auto& e : events.events)
-                   if (e.version > source.position)
-                     pending_.push_back({e.version, std::move(e.key), std::move(e.value)});
+                   if (e.revision > source.position)
+                     pending_.push_back({e.revision, std::move(e.key), std::move(e.value)});
                  source.position = std::max(source.position, events.revision);
                  merge();
                  follow(source);
@@ -122,7 +122,7 @@
     return tell("MODIFIED", object->second, o);
   }
   auto before = known_.find(change.key);
-  if (before != known_.end() && before->second.version >= change.revision) return;  // read at the start
+  if (before != known_.end() && before->second.revision >= change.revision) return;  // read at the start
   if (before != known_.end()) {
     // Deleted; or deleted and made anew between two looks, which is told as both.
     Object gone = std::move(before->second);
@@ -135,7 +135,7 @@
   if (!stored) return;
   by_job_[stored->job] = change.key;
   Object& o = known_[change.key];
-  o.stored = std::move(*stored), o.version = o.progress.revision = change.revision;
+  o.stored = std::move(*stored), o.revision = o.progress.revision = change.revision;
   o.progress.tasks = tasks_of(o.stored);
   tell("ADDED", change.key, o);
 }
--- a/src/kube/feed.h
+++ b/src/kube/feed.h
@@ -34,7 +34,7 @@
  private:
   struct Object {
     Stored stored;
-    std::uint64_t version = 0;
+    std::uint64_t revision = 0;
     Progress progress;
   };
   struct Change {
--- a/src/kube/objects.h
+++ b/src/kube/objects.h
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "body.h"
-#include "types.h"
+#include "model.h"
 
 namespace corkmux::kube {
 
--- a/src/leader/worker_orders.h
+++ b/src/leader/command_dispatcher.h
@@ -11,9 +11,9 @@
 #include <unordered_map>
 #include <vector>
 
-#include "batches.h"
-#include "cluster.h"
+#include "fanin_messages.h"
 #include "http.h"
+#include "scheduler.h"
 #include "settings.h"
 #include "term.h"
 #include "worker_connections.h"
@@ -21,17 +21,17 @@
 namespace corkmux {
 
 /// How orders reach the controllers that serve workers.
-struct OrderRelay {
+struct CommandRelay {
   /// Whether that controller has been heard lately.
   std::function<bool(const std::string& label)> reachable;
   std::function<void(const std::string& label, std::string body, std::function<void(http::Result)> done)>
       post;
 };
 
-class WorkerOrders : public Actor<WorkerOrders> {
+class CommandDispatcher : public Actor<CommandDispatcher> {
  public:
-  WorkerOrders(Loop& loop, const Settings& settings, Term& term, Cluster& book, TermHooks hooks,
-               OrderRelay relay);
+  CommandDispatcher(Loop& loop, const Settings& settings, Term& term, Scheduler& scheduler,
+                    TermCallbacks callbacks, CommandRelay relay);
   /// Sends whatever the book has for machines that can be sent to now.
   void flush();
   /// Asks a worker for its report.
@@ -44,31 +44,32 @@
   /// The controller that last reported for the machine; empty: it reported itself.
   void served_by(const std::string& machine, const std::string& label);
   /// What became of orders that went through a serving controller. Each is taken once.
-  void outcome(const serving::OrderOutcome& outcome);
+  void outcome(const fanin::CommandOutcome& outcome);
 
  private:
   struct Relayed {
     std::string machine, server;
-    Orders orders;
+    CommandBatch command_batch;
     double deadline;  // s of the steady clock, after which they count as unanswered
   };
   void send(const std::string& name);
-  void send_directly(const std::string& name, std::shared_ptr<Orders> orders, std::string body);
-  void add_to_batch(const std::string& server, const std::string& name, Orders orders, std::string body);
+  void send_directly(const std::string& name, std::shared_ptr<CommandBatch> command_batch, std::string body);
+  void add_to_batch(const std::string& server, const std::string& name, CommandBatch command_batch,
+                    std::string body);
   void post_batches();
-  void post(const std::string& server, const std::vector<serving::ForwardedOrders>& orders);
-  void settle(const std::string& name, const Orders& orders, Cluster::OrdersOutcome outcome,
+  void post(const std::string& server, const std::vector<fanin::ForwardedCommands>& command_batch);
+  void settle(const std::string& name, const CommandBatch& command_batch, Scheduler::DispatchOutcome outcome,
               const std::string& body);
-  void settle_relayed(std::uint64_t id, Cluster::OrdersOutcome outcome, const std::string& body);
+  void settle_relayed(std::uint64_t id, Scheduler::DispatchOutcome outcome, const std::string& body);
   Term& term_;
-  Cluster& book_;
-  TermHooks hooks_;
-  OrderRelay relay_;
+  Scheduler& scheduler_;
+  TermCallbacks callbacks_;
+  CommandRelay relay_;
   std::string own_label_;
   int in_flight_ = 0;
-  serving::WorkerConnections connections_;
+  fanin::WorkerConnections connections_;
   std::unordered_map<std::string, std::string> servers_;                  // by machine
-  std::map<std::string, std::vector<serving::ForwardedOrders>> batches_;  // by server, until they are posted
+  std::map<std::string, std::vector<fanin::ForwardedCommands>> batches_;  // by server, until they are posted
   std::map<std::uint64_t, Relayed> relayed_;
   std::uint64_t next_id_;
 };
--- a/src/leader/election.h
+++ b/src/leader/election.h
@@ -12,18 +12,18 @@
 
 class Election : public Actor<Election> {
  public:
-  struct Won {
-    std::uint64_t term = 0, stamp = 0;
+  struct ElectionResult {
+    std::uint64_t term = 0, revision = 0;
     double confirmed_at = 0;  // s of the steady clock
   };
-  struct Hooks {
+  struct Callbacks {
     std::function<bool()> ready;  // whether we could lead now
-    std::function<void(const Won&)> won;
+    std::function<void(const ElectionResult&)> won;
     std::function<void(const char* why)> lost;
     std::function<void(double sent_at)> renewed;  // the grant still held when this was sent
     std::function<void(std::string label, std::uint64_t term)> known;  // who leads; empty label: nobody known
   };
-  Election(Loop& loop, std::string label, StateClient& state, Hooks hooks);
+  Election(Loop& loop, std::string label, StateClient& state, Callbacks callbacks);
   void start() { observe(); }
   /// What made us unready may be over.
   void retry();
@@ -46,7 +46,7 @@
   enum class Role { Following, Campaigning, Leading };
   void observe();
   void watch(std::uint64_t after);
-  void campaign(std::uint64_t known_stamp);
+  void campaign(std::uint64_t known_revision);
   void renew();
   void announce(const std::string& label, std::uint64_t term);
   template <typename Fn>
@@ -58,11 +58,11 @@
 
   std::string label_;
   StateClient& state_;
-  Hooks hooks_;
+  Callbacks callbacks_;
   Role role_ = Role::Following;
   bool abstaining_ = false;
   std::uint64_t epoch_ = 1;  // rises with each change of role
-  std::uint64_t term_ = 0, stamp_ = 0, grant_ = 0;
+  std::uint64_t term_ = 0, revision_ = 0, leader_lease_ = 0;
   std::string leader_;
   double not_before_ = 0;
   Timer observe_timer_, renew_timer_;
--- a/src/leader/job_feed.cc
+++ b/src/leader/job_watcher.cc
@@ -1,4 +1,4 @@
-#include "job_feed.h"
+#include "job_watcher.h"
 
 #include <spdlog/spdlog.h>
 
@@ -12,38 +12,38 @@
 namespace c = constants;
 using codec::Json;
 
-JobFeed::JobFeed(Loop& loop, StateClient& state, Term& term, Cluster& book, TermHooks hooks,
-                 std::function<void(const std::string&)> vanished)
+JobWatcher::JobWatcher(Loop& loop, StateClient& state, Term& term, Scheduler& scheduler,
+                       TermCallbacks callbacks, std::function<void(const std::string&)> vanished)
     : Actor(loop),
       state_(state),
       term_(term),
-      book_(book),
-      hooks_(std::move(hooks)),
+      scheduler_(scheduler),
+      callbacks_(std::move(callbacks)),
       vanished_(std::move(vanished)),
       timer_(loop),
       join_timer_(loop) {}
 
-bool JobFeed::put(const Json& value, std::uint64_t stamp) {
+bool JobWatcher::put(const Json& value, std::uint64_t revision) {
   auto j = value.find("j");
   if (j == value.end()) return false;
   auto parsed = codec::parse_job(*j);
   if (!parsed.job) return false;
   // Nothing new is asked before all are new.
-  if (!parsed.job->awaits.empty()) hooks_.all_are_new("a job awaits others");
-  book_.put_job(*parsed.job, stamp, value.value("c", 0) != 0, steady_now(),
-                std::max(0.0, wall_now() - value.value("t", wall_now())));
+  if (!parsed.job->dependencies.empty()) callbacks_.upgrade_records("a job awaits others");
+  scheduler_.put_job(*parsed.job, revision, value.value("c", 0) != 0, steady_now(),
+                     std::max(0.0, wall_now() - value.value("t", wall_now())));
   return true;
 }
 
-void JobFeed::load(std::function<void()> done) {
+void JobWatcher::load(std::function<void()> done) {
   seen_at_ = steady_now();
   load_from("", std::move(done));
 }
 
-void JobFeed::load_from(const std::string& after, std::function<void()> done) {
+void JobWatcher::load_from(const std::string& after, std::function<void()> done) {
   state_.read_all(
       kJobs, after,
-      term_.guard([this](codec::KeyValue& kv) { record(kv.key, std::move(kv.value), kv.version); }),
+      term_.guard([this](codec::KeyValue& kv) { record(kv.key, std::move(kv.value), kv.revision); }),
       term_.guard([this, done = std::move(done)](const ReadEnd& end) {
         if (!revision_) revision_ = end.revision;
         if (!end.ok())
@@ -54,30 +54,30 @@
 
 /// A job's record, a piece of one that is too long for one value, or the mark of a cancel where the record
 /// cannot be written again.
-void JobFeed::record(const std::string& key, Json value, std::uint64_t stamp) {
+void JobWatcher::record(const std::string& key, Json value, std::uint64_t revision) {
   std::string id = key.substr(std::min(kJobs.size(), key.size()));
   Job* known = nullptr;
   if (auto slash = id.find('/'); slash != std::string::npos) {
     id.resize(slash);
-    known = book_.job(id);
+    known = scheduler_.job(id);
     if (!known) return;  // a piece comes before its job, and is read with it
     auto& keys = side_keys_[id];
     if (std::find(keys.begin(), keys.end(), key) == keys.end()) keys.push_back(key);
-    if (value.value("c", 0)) book_.put_job(JobSpec(known->spec), known->version, true, steady_now());
+    if (value.value("c", 0)) scheduler_.put_job(JobSpec(known->spec), known->revision, true, steady_now());
     return;
   }
-  known = book_.job(id);
-  if (known && known->version >= stamp) return;
+  known = scheduler_.job(id);
+  if (known && known->revision >= revision) return;
   if (value.contains("j")) {
-    if (!put(value, stamp)) spdlog::error("unreadable job record {}", key);
+    if (!put(value, revision)) spdlog::error("unreadable job record {}", key);
   } else if (known) {
-    book_.put_job(JobSpec(known->spec), stamp, value.value("c", 0) != 0, steady_now());
+    scheduler_.put_job(JobSpec(known->spec), revision, value.value("c", 0) != 0, steady_now());
   } else {
-    to_join_[id] = {std::move(value), stamp};
+    to_join_[id] = {std::move(value), revision};
   }
 }
 
-void JobFeed::join_pieces(std::function<void()> then) {
+void JobWatcher::join_pieces(std::function<void()> then) {
   if (to_join_.empty()) {
     joining_ = false;
     return then();
@@ -89,7 +89,7 @@
       prefix, "", [pieces](codec::KeyValue& kv) { (*pieces)[kv.key] = std::move(kv.value); },
       term_.guard([this, id, prefix, pieces, then = std::move(then)](const ReadEnd& end) {
         if (!end.ok()) return join_timer_.once(c::kRetryPause, [this, then] { join_pieces(then); });
-        auto [value, stamp] = std::move(to_join_.at(id));
+        auto [value, revision] = std::move(to_join_.at(id));
         to_join_.erase(id);
         std::map<int, std::string> in_order;
         auto& keys = side_keys_[id];
@@ -101,12 +101,12 @@
         std::string text;
         for (const auto& [n, piece] : in_order) text += piece;
         value["j"] = Json::parse(text, nullptr, false);
-        if (!put(value, stamp)) spdlog::error("unreadable job record {}{}", kJobs, id);
+        if (!put(value, revision)) spdlog::error("unreadable job record {}{}", kJobs, id);
         join_pieces(then);
       }));
 }
 
-void JobFeed::follow() {
+void JobWatcher::follow() {
   // Guards against cancels that nobody told us of while an answer is lost: what was not seen by a watch that
   // was sent later counts as unknown (Leader::knows_cancels_at), so a watch does not wait for long.
   state_.watch(kJobs, revision_, c::kJobsWait, term_.guard([this](StateReply reply) {
@@ -116,51 +116,51 @@
       auto events = codec::parse_events(reply.body);
       // Removals are our own, of jobs that are over.
       for (auto& e : events.events)
-        if (e.value) record(e.key, std::move(*e.value), e.version);
-      if (!to_join_.empty() && !joining_) join_pieces(hooks_.changed);
+        if (e.value) record(e.key, std::move(*e.value), e.revision);
+      if (!to_join_.empty() && !joining_) join_pieces(callbacks_.changed);
       revision_ = std::max(revision_, events.revision);
       follow();
-      return hooks_.changed();
+      return callbacks_.changed();
     }
     // Too old; or, since an answer holds all changes however many, too large for us to take.
     bool lost = reply.status == StateStatus::Unanswered;
     lost_watches_ = lost ? lost_watches_ + 1 : 0;
-    if (reply.status == StateStatus::Missing || lost_watches_ >= c::kLostWatches) return read_again();
+    if (reply.status == StateStatus::Missing || lost_watches_ >= c::kLostWatchLimit) return read_again();
     timer_.once(c::kRetryPause, [this] { follow(); });
   }));
 }
 
 /// Changes in between are lost: everything is read once more, to its last page, and what is in the book but
 /// no longer in the store is looked into.
-void JobFeed::read_again() {
+void JobWatcher::read_again() {
   lost_watches_ = 0;
   double since = steady_now();
   auto seen = std::make_shared<std::unordered_set<std::string>>();
   state_.read_all(kJobs, "", term_.guard([this, seen](codec::KeyValue& kv) {
     std::string id = kv.key.substr(kJobs.size());
     if (id.find('/') == std::string::npos) seen->insert(id);
-    record(kv.key, std::move(kv.value), kv.version);
+    record(kv.key, std::move(kv.value), kv.revision);
   }),
                   term_.guard([this, seen, since](const ReadEnd& end) {
                     if (!end.ok()) return timer_.once(c::kRetryPause, [this] { read_again(); });
                     seen_at_ = std::max(seen_at_, since);
                     std::vector<std::string> missing;
-                    for (const auto& [id, job] : book_.jobs())
-                      if (job.version <= end.revision && !seen->count(id)) missing.push_back(id);
+                    for (const auto& [id, job] : scheduler_.jobs())
+                      if (job.revision <= end.revision && !seen->count(id)) missing.push_back(id);
                     for (const auto& id : missing) vanished_(id);
-                    if (!to_join_.empty() && !joining_) join_pieces(hooks_.changed);
+                    if (!to_join_.empty() && !joining_) join_pieces(callbacks_.changed);
                     revision_ = end.revision;
                     follow();
-                    hooks_.changed();
+                    callbacks_.changed();
                   }));
 }
 
 /// How awaited jobs ended that this leader has not seen end.
-void JobFeed::look_up_awaited() {
+void JobWatcher::look_up_dependencies() {
   double now = steady_now();
   // One that is in neither place was accepted just now: its event is on the way.
   if (now - asked_at_ > c::kKnownJob) asked_.clear(), asked_at_ = now;
-  for (const auto& id : book_.unknown()) {
+  for (const auto& id : scheduler_.unknown()) {
     if (reads_ >= c::kOutcomeReads) return;
     if (!asked_.insert(id).second) continue;
     ++reads_;
@@ -176,15 +176,16 @@
                         ? steady_now() - std::max(0.0, wall_now() - kv->value.value("t", 0.0))
                         : -1e9;
         if (phase == "done" || phase == "cancelled")
-          book_.outcome(id, phase == "done" ? Cluster::Outcome::Done : Cluster::Outcome::Cancelled, at);
+          scheduler_.outcome(id, phase == "done" ? Scheduler::Outcome::Done : Scheduler::Outcome::Cancelled,
+                             at);
       }
       if (reply.status == StateStatus::Refused) return;  // the tick asks again
-      hooks_.changed();
+      callbacks_.changed();
     }));
   }
 }
 
-std::vector<std::string> JobFeed::take_side_keys(const std::string& job) {
+std::vector<std::string> JobWatcher::take_side_keys(const std::string& job) {
   auto side = side_keys_.find(job);
   if (side == side_keys_.end()) return {};
   auto keys = std::move(side->second);
--- a/src/leader/job_feed.h
+++ b/src/leader/job_watcher.h
@@ -10,22 +10,22 @@
 #include <unordered_set>
 #include <vector>
 
-#include "cluster.h"
+#include "scheduler.h"
 #include "state_client.h"
 #include "term.h"
 
 namespace corkmux {
 
-class JobFeed : public Actor<JobFeed> {
+class JobWatcher : public Actor<JobWatcher> {
  public:
   /// `vanished`: the record of a job of the book is no longer there.
-  JobFeed(Loop& loop, StateClient& state, Term& term, Cluster& book, TermHooks hooks,
-          std::function<void(const std::string& job)> vanished);
+  JobWatcher(Loop& loop, StateClient& state, Term& term, Scheduler& scheduler, TermCallbacks callbacks,
+             std::function<void(const std::string& job)> vanished);
   void load(std::function<void()> done);
   void follow();
   /// A job's record that was read for another reason.
-  void record(const std::string& key, codec::Json value, std::uint64_t stamp);
-  void look_up_awaited();
+  void record(const std::string& key, codec::Json value, std::uint64_t revision);
+  void look_up_dependencies();
   /// s of the steady clock up to which every change of a job's record is in the book, but for long records.
   double seen_at() const { return seen_at_; }
   /// Whether pieces of long records are still to be read.
@@ -36,13 +36,13 @@
  private:
   void load_from(const std::string& after, std::function<void()> done);
   void read_again();
-  bool put(const codec::Json& value, std::uint64_t stamp);
+  bool put(const codec::Json& value, std::uint64_t revision);
   /// Reads the pieces of long records, then goes on.
   void join_pieces(std::function<void()> then);
   StateClient& state_;
   Term& term_;
-  Cluster& book_;
-  TermHooks hooks_;
+  Scheduler& scheduler_;
+  TermCallbacks callbacks_;
   std::function<void(const std::string&)> vanished_;
   std::uint64_t revision_ = 0;
   double seen_at_ = -1e9;
--- a/src/leader/leader.h
+++ b/src/leader/leader.h
@@ -7,42 +7,42 @@
 #include <unordered_map>
 
 #include "catalog.h"
-#include "cloud_fleet.h"
-#include "cluster.h"
+#include "command_dispatcher.h"
+#include "dependency_barrier.h"
 #include "election.h"
-#include "job_feed.h"
-#include "lease_watch.h"
-#include "loader.h"
-#include "membership.h"
+#include "job_watcher.h"
+#include "lease_expiry_monitor.h"
+#include "machine_provisioner.h"
+#include "record_format_negotiation.h"
+#include "scheduler.h"
 #include "settings.h"
-#include "settlement.h"
 #include "state_client.h"
+#include "state_loader.h"
 #include "store_writer.h"
 #include "term.h"
-#include "worker_orders.h"
 
 namespace corkmux {
 
 class Leader : public Actor<Leader> {
  public:
-  using ReportReply = std::function<void(int status, std::string body)>;
+  using HeartbeatReply = std::function<void(int status, std::string body)>;
   /// How a report came: from a worker that reaches us or one of our peers, or through the state service.
-  enum class Way { Direct, Mail };
-  struct Hooks {
+  enum class Way { Direct, StoreRelay };
+  struct Callbacks {
     std::function<void(std::string label, std::uint64_t term)> leader_changed;  // empty label: none known
     std::function<void(std::vector<codec::JobView>)> views;                     // changed job displays
-    OrderRelay relay;  // to the controllers that serve workers
+    CommandRelay relay;  // to the controllers that serve workers
   };
   Leader(Loop& loop, const Settings& settings, const OperatorChoices& choices, StateClient& state,
-         http::Client& cloud, Catalog& catalog, Hooks hooks);
+         http::Client& cloud, Catalog& catalog, Callbacks callbacks);
   ~Leader();
   void start();
 
   // Messages.
-  void report(Report report, Way way, ReportReply reply);
+  void heartbeat(Heartbeat heartbeat, Way way, HeartbeatReply reply);
   /// What a serving controller passes on: reports of its workers, and outcomes of orders that went through
   /// it. The reply comes once each report has its answer.
-  void batch(serving::ReportBatch batch, ReportReply reply);
+  void batch(fanin::HeartbeatBatch batch, HeartbeatReply reply);
   /// A peer saw a newer leader than us.
   void newer_term(std::uint64_t term);
   /// Peers accepted the cancel of these jobs.
@@ -55,60 +55,61 @@
   void resign(std::function<void()> done);
   /// Machines that are up, as far as the book knows; 0 while another controller leads.
   int machines_up() const;
-  bool leading() const { return reign_ && reign_->leading; }
+  bool leading() const { return leadership_ && leadership_->leading; }
   /// s of the steady clock: whatever needs a job whose cancel was told before then has its end stored. A fact
   /// that stays true whoever leads later; -1e9: nothing is known.
-  double settled_at() const { return settled_at_; }
+  double dependency_barrier_at() const { return dependency_barrier_at_; }
 
  private:
   /// A report on its way to the book.
   struct Incoming {
-    Report report;
+    Heartbeat heartbeat;
     Way way;
     std::string server;  // the controller that passed it on in a batch; empty: none did
-    ReportReply reply;
+    HeartbeatReply reply;
   };
   struct OpenBatch;
   /// What exists only while this controller leads, in the order of construction.
-  struct Reign {
+  struct LeadershipState {
     Term term;
-    TermHooks hooks;
-    std::unique_ptr<Cluster> book;
-    std::unique_ptr<JobFeed> feed;
-    std::unique_ptr<Loader> loader;
+    TermCallbacks callbacks;
+    std::unique_ptr<Scheduler> scheduler;
+    std::unique_ptr<JobWatcher> job_watcher;
+    std::unique_ptr<StateLoader> loader;
     std::unique_ptr<StoreWriter> writer;
-    std::unique_ptr<WorkerOrders> orders;
-    std::unique_ptr<CloudFleet> fleet;
-    std::unique_ptr<LeaseWatch> leases;
-    std::vector<Incoming> parked;  // reports that arrive while loading
+    std::unique_ptr<CommandDispatcher> command_batch;
+    std::unique_ptr<MachineProvisioner> fleet;
+    std::unique_ptr<LeaseExpiryMonitor> leases;
+    std::vector<Incoming> parked_heartbeats;  // reports that arrive while loading
     /// Of machines that are served by other controllers: the last report that came whole.
-    std::unordered_map<std::string, Report> whole_reports;
-    bool leading = false;   // loaded
-    double vouched = -1e9;  // last moment up to which all peers vouched that we miss no cancel
-    double last_report = 0, last_plan = -1e9, last_tick = 0, forms_asked_at = -1e9, forgot_at = -1e9;
-    std::unique_ptr<Settlement> settlement;
-    double settled_written = -1e9;
-    bool state_away = false, asking_forms = false;
+    std::unordered_map<std::string, Heartbeat> full_heartbeats;
+    bool leading = false;  // loaded
+    double cancels_acknowledged_until =
+        -1e9;  // last moment up to which all peers vouched that we miss no cancel
+    double last_report = 0, last_cycle = -1e9, last_tick = 0, formats_polled_at = -1e9, forgot_at = -1e9;
+    std::unique_ptr<DependencyBarrier> dependency_barrier;
+    double barrier_written_at = -1e9;
+    bool state_away = false, polling_formats = false;
   };
-  void won(const Election::Won& won);
+  void won(const Election::ElectionResult& won);
   void load();
-  void build(int first_cut, bool all_new);
-  void lead(std::vector<std::string> garbage);
-  void end(const char* why);
+  void build(int v1_tasks_per_record, bool all_read_v2);
+  void begin_leading(std::vector<std::string> garbage);
+  void step_down(const char* why);
   void give_up(const char* why, double pause_s);
-  void all_are_new(const char* why);
+  void upgrade_records(const char* why);
   void take(Incoming incoming);
   void handle(const Incoming& incoming);
-  std::optional<Report> whole_report(const serving::ForwardedReport& forwarded);
+  std::optional<Heartbeat> full_heartbeat(const fanin::ForwardedHeartbeat& forwarded);
   void react();
   /// Whether the state service has confirmed the term since the process last stood still.
   bool awake();
   /// Nor will it soon: what must not wait any longer goes on.
   bool resumed();
   void answer_parked();
-  void run_plan();
+  void run_scheduling_cycle();
   void tick();
-  void ask_forms();
+  void poll_record_formats();
   void push_views();
   /// s up to which we know of every cancel that users were told of, by the state service or by all peers.
   double knows_cancels_at() const;
@@ -121,13 +122,13 @@
   StateClient& state_;
   http::Client& cloud_;
   Catalog& catalog_;
-  Hooks hooks_;
+  Callbacks callbacks_;
   Election election_;
-  Membership membership_;
-  std::unique_ptr<Reign> reign_;
-  double settled_at_ = -1e9;
+  RecordFormatNegotiation record_formats_;
+  std::unique_ptr<LeadershipState> leadership_;
+  double dependency_barrier_at_ = -1e9;
   bool in_batch_ = false;  // what follows from its reports is looked at once, at its end
-  Timer tick_timer_, plan_timer_, retry_timer_, resign_timer_;
+  Timer tick_timer_, cycle_timer_, retry_timer_, resign_timer_;
 };
 
 }  // namespace corkmux
--- a/src/leader/lease_watch.h
+++ b/src/leader/lease_expiry_monitor.h
@@ -7,25 +7,25 @@
 #include <map>
 #include <string>
 
-#include "cluster.h"
+#include "scheduler.h"
 #include "settings.h"
 #include "state_client.h"
 #include "term.h"
 
 namespace corkmux {
 
-class LeaseWatch : public Actor<LeaseWatch> {
+class LeaseExpiryMonitor : public Actor<LeaseExpiryMonitor> {
  public:
-  LeaseWatch(Loop& loop, const Settings& settings, StateClient& state, Term& term, Cluster& book,
-             TermHooks hooks);
+  LeaseExpiryMonitor(Loop& loop, const Settings& settings, StateClient& state, Term& term,
+                     Scheduler& scheduler, TermCallbacks callbacks);
   void tick();
 
  private:
   double span_;  // s for which a keeper's record entitles it
   StateClient& state_;
   Term& term_;
-  Cluster& book_;
-  TermHooks hooks_;
+  Scheduler& scheduler_;
+  TermCallbacks callbacks_;
   bool asking_ = false;
   double asked_at_ = -1e9;
   std::map<std::string, std::pair<std::uint64_t, double>>
--- a/src/leader/cloud_fleet.cc
+++ b/src/leader/machine_provisioner.cc
@@ -1,4 +1,4 @@
-#include "cloud_fleet.h"
+#include "machine_provisioner.h"
 
 #include <spdlog/spdlog.h>
 
@@ -8,26 +8,27 @@
 namespace corkmux {
 namespace c = constants;
 
-CloudFleet::CloudFleet(Loop& loop, const Settings& settings, const OperatorChoices& choices,
-                       http::Client& cloud, Term& term, Cluster& book, TermHooks hooks,
-                       std::function<void(const std::string&)> inspect)
+MachineProvisioner::MachineProvisioner(Loop& loop, const Settings& settings, const OperatorChoices& choices,
+                                       http::Client& cloud, Term& term, Scheduler& scheduler,
+                                       TermCallbacks callbacks,
+                                       std::function<void(const std::string&)> inspect)
     : Actor(loop),
       settings_(settings),
       choices_(choices),
       cloud_(cloud),
       term_(term),
-      book_(book),
-      hooks_(std::move(hooks)),
+      scheduler_(scheduler),
+      callbacks_(std::move(callbacks)),
       inspect_(std::move(inspect)),
       timer_(loop),
       rent_soon_(loop) {}
 
-void CloudFleet::start() {
+void MachineProvisioner::start() {
   timer_.every(c::kFleetTick, [this] { tick(); });
   list("");
 }
 
-void CloudFleet::tick() {
+void MachineProvisioner::tick() {
   // Guards against a process that stood still and does not know yet whether it still leads: what it holds for
   // idle or silent may be at work under another leader, and the cloud asks for no stamp.
   if (term_.over() || term_.resigning || !term_.awake()) return;
@@ -36,29 +37,29 @@
   rent_machines();
 }
 
-void CloudFleet::rent_machines() {
+void MachineProvisioner::rent_machines() {
   double now = steady_now();
   if (term_.over() || term_.resigning || !term_.awake()) return;
   if (now - term_.since < 1.25 * settings_.report_s) return;  // first hear from what is there
-  auto plan = plan_fleet(book_, choices_, refused_, now);
+  auto plan = plan_scaling(scheduler_, choices_, refused_, now);
   int n = 0;
   for (const auto& [key, request] : renting_) {
     if (in_flight_.count(key)) continue;
     rent({std::get<0>(key), std::get<1>(key), std::get<2>(key), request.second});
     if (++n >= c::kRentsAtOnce) return;
   }
-  for (const auto& wish : plan.rent) {
+  for (const auto& wish : plan.scale_out) {
     if (renting_.count(wish.key())) continue;
     rent(wish);
     if (++n >= c::kRentsAtOnce) break;  // the cloud's rate is shared with lists and returns
   }
-  for (const auto& name : plan.give_back) {
+  for (const auto& name : plan.scale_in) {
     spdlog::info("machine {} is idle beyond the headroom: returned", name);
-    book_.doom(name, now);
+    scheduler_.decommission(name, now);
   }
 }
 
-void CloudFleet::rent(const RentWish& wish) {
+void MachineProvisioner::rent(const ScaleOutRequest& wish) {
   auto [it, fresh] = renting_.try_emplace(wish.key());
   // A request without an answer is repeated under its name, so that nothing is rented twice.
   if (fresh)
@@ -76,7 +77,8 @@
                    if (r.ok() && body) {
                      auto names = codec::parse_rented(*body);
                      renting_.erase(wish.key());
-                     for (const auto& name : names) book_.rented(name, wish.type, wish.zone, wish.spot, now);
+                     for (const auto& name : names)
+                       scheduler_.provisioned(name, wish.type, wish.zone, wish.spot, now);
                      if (static_cast<int>(names.size()) < count)
                        refused_[wish.key()] = now + c::kNoCapacityPause;
                      spdlog::info("rented {} {} machines in {}{}", names.size(), wish.type, wish.zone,
@@ -91,21 +93,21 @@
                  }));
 }
 
-void CloudFleet::return_machines() {
+void MachineProvisioner::return_machines() {
   if (deleting_) return;
-  auto names = book_.doomed();
+  auto names = scheduler_.decommissioning();
   if (names.empty()) return;
   if (names.size() > c::kMaxDelete) names.resize(c::kMaxDelete);
   deleting_ = true;
   cloud_.request("POST", codec::kDeletePath, codec::pack(codec::delete_request(names)), c::kCloudTimeout,
                  term_.guard([this, names](http::Result r) {
                    deleting_ = false;
-                   if (r.ok()) book_.deleted(names, steady_now());
-                   hooks_.changed();
+                   if (r.ok()) scheduler_.deleted(names, steady_now());
+                   callbacks_.changed();
                  }));
 }
 
-void CloudFleet::list(const std::string& after) {
+void MachineProvisioner::list(const std::string& after) {
   if (after.empty()) {
     if (listing_) return;
     listing_ = true;
@@ -118,19 +120,19 @@
                    listing_ = false;
                    if (!body) return;
                    auto page = codec::parse_machines(*body);
-                   book_.listed(page.machines, now);
+                   scheduler_.listed(page.machines, now);
                    // After a change of leader the machines are looked up at once, before their workers have
                    // found us.
                    if (now - term_.since < settings_.lease_s)
                      for (const auto& l : page.machines)
-                       if (const Machine* m = book_.machine(l.name);
-                           m && !m->up && !m->doomed && l.phase == ListedMachine::Phase::Running)
+                       if (const Machine* m = scheduler_.machine(l.name);
+                           m && !m->up && !m->decommissioning && l.phase == ListedMachine::Phase::Running)
                          inspect_(l.name);
                    if (page.more && !page.machines.empty()) {
                      listing_ = true;
                      list(page.machines.back().name);
                    }
-                   hooks_.changed();
+                   callbacks_.changed();
                  }));
 }
 
--- a/src/leader/cloud_fleet.h
+++ b/src/leader/machine_provisioner.h
@@ -1,6 +1,6 @@
 // Rents, lists and returns machines.
 //
-// Owns the term's unsettled requests to the cloud. How many machines there should be is plan_fleet()'s to
+// Owns the term's unsettled requests to the cloud. How many machines there should be is plan_scaling()'s to
 // say, and which are to be returned the book's.
 #pragma once
 #include <map>
@@ -8,35 +8,35 @@
 #include <string>
 #include <tuple>
 
-#include "cluster.h"
-#include "fleet.h"
 #include "http.h"
+#include "scaling.h"
+#include "scheduler.h"
 #include "settings.h"
 #include "term.h"
 
 namespace corkmux {
 
-class CloudFleet : public Actor<CloudFleet> {
+class MachineProvisioner : public Actor<MachineProvisioner> {
  public:
   /// `inspect`: asks a worker for its report.
-  CloudFleet(Loop& loop, const Settings& settings, const OperatorChoices& choices, http::Client& cloud,
-             Term& term, Cluster& book, TermHooks hooks,
-             std::function<void(const std::string& machine)> inspect);
+  MachineProvisioner(Loop& loop, const Settings& settings, const OperatorChoices& choices,
+                     http::Client& cloud, Term& term, Scheduler& scheduler, TermCallbacks callbacks,
+                     std::function<void(const std::string& machine)> inspect);
   void start();
 
  private:
   using Kind = std::tuple<std::string, std::string, bool>;  // type, zone, spot
   void tick();
   void rent_machines();
-  void rent(const RentWish& wish);
+  void rent(const ScaleOutRequest& wish);
   void list(const std::string& after);
   void return_machines();
   Settings settings_;
   OperatorChoices choices_;
   http::Client& cloud_;
   Term& term_;
-  Cluster& book_;
-  TermHooks hooks_;
+  Scheduler& scheduler_;
+  TermCallbacks callbacks_;
   std::function<void(const std::string&)> inspect_;
   bool deleting_ = false, listing_ = false;
   double last_list_ = -1e9;
--- a/src/leader/membership.h
+++ b/src/leader/record_format_negotiation.h
@@ -13,17 +13,17 @@
 
 namespace corkmux {
 
-class Membership : public Actor<Membership> {
+class RecordFormatNegotiation : public Actor<RecordFormatNegotiation> {
  public:
-  struct Forms {
-    bool all_new = false;  // every controller that the settings name reads the second form
-    int first_cut = 0;     // tasks a record of the first form was cut into, 0: as the settings say
+  struct RecordFormats {
+    bool all_read_v2 = false;     // every controller that the settings name reads the second form
+    int v1_tasks_per_record = 0;  // tasks a record of the first form was cut into, 0: as the settings say
   };
-  Membership(Loop& loop, const Settings& settings, StateClient& state);
+  RecordFormatNegotiation(Loop& loop, const Settings& settings, StateClient& state);
   /// Says in the store which form this version reads, and tries until it stands there.
   void declare();
   /// nullopt: the state service did not answer everything.
-  void read(std::function<void(std::optional<Forms>)> done);
+  void read(std::function<void(std::optional<RecordFormats>)> done);
 
  private:
   Settings settings_;
--- a/src/leader/loader.h
+++ b/src/leader/state_loader.h
@@ -7,29 +7,30 @@
 #include <string>
 #include <vector>
 
-#include "cluster.h"
-#include "job_feed.h"
+#include "job_watcher.h"
+#include "scheduler.h"
 #include "state_client.h"
 #include "term.h"
 
 namespace corkmux {
 
-class Loader : public Actor<Loader> {
+class StateLoader : public Actor<StateLoader> {
  public:
-  struct Hooks {
+  struct Callbacks {
     std::function<void(std::vector<std::string> garbage)> loaded;  // keys whose records say nothing any more
     std::function<void(const std::string& key)> too_new;           // a newer version wrote this record
   };
-  Loader(Loop& loop, StateClient& state, Term& term, Cluster& book, JobFeed& feed, Hooks hooks);
+  StateLoader(Loop& loop, StateClient& state, Term& term, Scheduler& scheduler, JobWatcher& job_watcher,
+              Callbacks callbacks);
   void start();
 
  private:
   void load_records(const std::string& prefix, const std::string& after);
   StateClient& state_;
   Term& term_;
-  Cluster& book_;
-  JobFeed& feed_;
-  Hooks hooks_;
+  Scheduler& scheduler_;
+  JobWatcher& job_watcher_;
+  Callbacks callbacks_;
   std::vector<std::string> garbage_;
   std::string too_new_;
   Timer timer_;
--- a/src/leader/store_writer.h
+++ b/src/leader/store_writer.h
@@ -7,8 +7,8 @@
 #include <string>
 #include <vector>
 
-#include "cluster.h"
-#include "job_feed.h"
+#include "job_watcher.h"
+#include "scheduler.h"
 #include "settings.h"
 #include "state_client.h"
 #include "term.h"
@@ -18,8 +18,8 @@
 class StoreWriter : public Actor<StoreWriter> {
  public:
   /// `ended`: a job's end is stored.
-  StoreWriter(Loop& loop, const Settings& settings, StateClient& state, Term& term, Cluster& book,
-              JobFeed& feed, TermHooks hooks, std::function<void(codec::JobView)> ended);
+  StoreWriter(Loop& loop, const Settings& settings, StateClient& state, Term& term, Scheduler& scheduler,
+              JobWatcher& job_watcher, TermCallbacks callbacks, std::function<void(codec::JobView)> ended);
   void pump();
   void remove_later(std::vector<std::string> keys);
   /// A job's record is not where the book thinks it is.
@@ -27,8 +27,8 @@
   bool idle() const { return in_flight_ == 0; }
 
  private:
-  void write_shards(std::vector<ShardWrite> batch);
-  void read_back(const ShardWrite& write);
+  void write_task_records(std::vector<TaskRecordWrite> batch);
+  void read_back(const TaskRecordWrite& write);
   void has_end(const std::string& job);
   void finalize(const std::string& job);
   void reread(const std::string& job);
@@ -42,9 +42,9 @@
   Settings settings_;
   StateClient& state_;
   Term& term_;
-  Cluster& book_;
-  JobFeed& feed_;
-  TermHooks hooks_;
+  Scheduler& scheduler_;
+  JobWatcher& job_watcher_;
+  TermCallbacks callbacks_;
   std::function<void(codec::JobView)> ended_;
   std::vector<std::string> garbage_;
   int in_flight_ = 0;
--- a/src/leader/term.h
+++ b/src/leader/term.h
@@ -13,15 +13,15 @@
 
 struct Term {
   std::uint64_t number = 0;
-  std::uint64_t stamp = 0;  // of the leader's record; every write of the term is conditioned on it
-  double since = 0;         // s of the steady clock: when the election was won
-  double contact = -1e9;    // last moment up to which the state service has confirmed the term
-  double woke_at = -1e9;    // when the process last found that it had stood still, see Leader::tick
-  bool resigning = false;   // an orderly end is under way: nothing new is started
+  std::uint64_t revision = 0;  // of the leader's record; every write of the term is conditioned on it
+  double since = 0;            // s of the steady clock: when the election was won
+  double contact = -1e9;       // last moment up to which the state service has confirmed the term
+  double woke_at = -1e9;       // when the process last found that it had stood still, see Leader::tick
+  bool resigning = false;      // an orderly end is under way: nothing new is started
 
   void confirmed(double sent_at) { contact = std::max(contact, sent_at); }
   /// Whether the state service has confirmed the term within one life of its grant.
-  bool fresh(double now) const { return now - contact < constants::kGrantLife; }
+  bool fresh(double now) const { return now - contact < constants::kLeaderLeaseDuration; }
   /// Whether the term was confirmed since the process last stood still.
   bool awake() const { return contact >= woke_at; }
 
@@ -40,10 +40,10 @@
 };
 
 /// How the actors of a term speak to the leader.
-struct TermHooks {
-  std::function<void()> changed;                     // the book has changed: see what follows
-  std::function<void(const char* why)> over;         // the term has ended
-  std::function<void(const char* why)> all_are_new;  // every controller reads the second form of records
+struct TermCallbacks {
+  std::function<void()> changed;                         // the book has changed: see what follows
+  std::function<void(const char* why)> over;             // the term has ended
+  std::function<void(const char* why)> upgrade_records;  // every controller reads the second form of records
 };
 
 }  // namespace corkmux
--- a/src/proofs/proof_queue.h
+++ b/src/linearizable_reads/read_batcher.h
@@ -16,76 +16,77 @@
 
 namespace corkmux {
 
-class ProofQueue {
+class ReadBatcher {
  public:
-  using Ticket = std::uint64_t;  // whoever asks, named by the caller
+  using RequestId = std::uint64_t;  // whoever asks, named by the caller
   /// All who ask about one job and have waited for the same look.
-  struct Question {
+  struct PendingRead {
     std::string job;
     double since = 0;       // of the first of them
     double unanswered = 0;  // since when nobody who asked about the job has got an answer
-    std::vector<Ticket> tickets;
+    std::vector<RequestId> requests;
     int misses = 0;  // looks that it was in and that proved nothing
   };
   /// One request: the records of several jobs compared with what is known, or one job read.
-  struct Look {
+  struct ReadBatch {
     bool compare = false;
-    std::vector<Question> questions;    // of a read: one
-    std::vector<std::uint64_t> stamps;  // of a comparison: what each is compared with
-    std::vector<bool> awaiting;         // and whether each awaits others
+    std::vector<PendingRead> reads;        // of a read: one
+    std::vector<std::uint64_t> revisions;  // of a comparison: what each is compared with
+    std::vector<bool> has_dependencies;    // and whether each awaits others
   };
 
   /// `rate`: looks a second. `jobs`: that one transaction may compare. `most_known`: stamps remembered.
-  ProofQueue(double rate, int jobs, std::size_t most_known);
+  ReadBatcher(double rate, int jobs, std::size_t most_known);
   /// The job is unfinished as of this stamp. `awaits`: it awaits others, or may.
-  void learn(const std::string& job, std::uint64_t stamp, bool awaits = false);
+  void learn(const std::string& job, std::uint64_t revision, bool has_dependencies = false);
   /// Under which it was last read; none: not known, or over.
-  std::optional<std::uint64_t> stamp(const std::string& job) const;
+  std::optional<std::uint64_t> revision(const std::string& job) const;
   /// It is over.
   void forget(const std::string& job);
-  void ask(Ticket ticket, const std::string& job, double now);
+  void ask(RequestId request, const std::string& job, double now);
   /// What to send now, if anything: as often as it gives something.
-  std::optional<Look> next(double now);
+  std::optional<ReadBatch> next(double now);
   /// s until next() or overdue() may have something; nothing waits: negative.
   double wait(double now) const;
   /// Nobody waits for these any more. A job that went without an answer comes before others when it is asked
   /// about again, the longer the sooner.
-  std::vector<Ticket> overdue(double now);
+  std::vector<RequestId> overdue(double now);
 
   // How a look ended: all of its questions are answered, or what else. What is not answered waits again.
-  void answered(const Look& look);
+  void answered(const ReadBatch& look);
   /// The service would not execute it now.
-  void put_back(Look look);
+  void put_back(ReadBatch look);
   /// Its answer is lost: what it asked is in the next, or is read by itself after some misses.
-  void lost(Look look);
+  void lost(ReadBatch look);
   /// Some of it had changed: these are read, the rest is compared again.
-  void changed(Look look, const std::unordered_set<std::string>& jobs);
+  void changed(ReadBatch look, const std::unordered_set<std::string>& jobs);
   /// It took too many conditions.
-  void too_large(Look look);
+  void too_large(ReadBatch look);
   /// Its questions go without an answer.
-  std::vector<Ticket> unanswered(const Look& look);
+  std::vector<RequestId> unanswered(const ReadBatch& look);
 
   std::size_t waiting() const { return compares_.size() + reads_.size(); }
   std::size_t known() const { return known_.size(); }
 
  private:
-  std::vector<Ticket> give_up(const Question& question);
-  void put(Question question, bool read);
-  void landed(const Look& look) { --(look.compare ? comparing_ : reading_); }
+  std::vector<RequestId> give_up(const PendingRead& read);
+  void put(PendingRead read, bool single);
+  void landed(const ReadBatch& look) { --(look.compare ? comparing_ : reading_); }
   double allowance(double now) const;
   double rate_, left_, at_ = -1e9;
   int jobs_;
   std::size_t most_known_;
   struct Known {
-    std::uint64_t stamp = 0;
-    bool awaits = false;
+    std::uint64_t revision = 0;
+    bool has_dependencies = false;
   };
   std::unordered_map<std::string, Known> known_;
   std::deque<std::string> known_order_;
-  std::deque<Question> compares_, reads_;
-  std::unordered_map<std::string, double> owed_;  // jobs whose last question got no answer, since when
-  int comparing_ = 0, reading_ = 0;               // looks under way
-  bool read_next_ = false;                        // both kinds wait: they take turns
+  std::deque<PendingRead> compares_, reads_;
+  std::unordered_map<std::string, double>
+      starved_since_;                // jobs whose last question got no answer, since when
+  int comparing_ = 0, reading_ = 0;  // looks under way
+  bool read_next_ = false;           // both kinds wait: they take turns
 };
 
 }  // namespace corkmux
--- a/src/net/http.cc
+++ b/src/net/http.cc
@@ -308,22 +308,22 @@
 
 Server::Server(Loop& loop, const std::string& address, std::size_t max_connections, Handler handler)
     : loop_(loop),
-      carrier_(loop.driver() ? &loop.driver()->carrier() : nullptr),
+      transport_(loop.runtime() ? &loop.runtime()->transport() : nullptr),
       max_connections_(max_connections),
       handler_(std::move(handler)),
       sweeper_(loop) {
-  if (!carrier_) {
+  if (!transport_) {
     listen(address);
     return;
   }
-  port_ = carrier_->listen(address, [this](Request request, Carrier::Answer answer) {
+  port_ = transport_->listen(address, [this](Request request, Transport::Answer answer) {
     auto id = next_++;
-    carried_.emplace(id, std::move(answer));
+    transported_.emplace(id, std::move(answer));
     handler_(id, std::move(request));
   });
 }
 Server::~Server() {
-  if (carrier_ && port_) carrier_->unlisten(port_);
+  if (transport_ && port_) transport_->unlisten(port_);
 }
 
 void Server::listen(const std::string& address) {
@@ -344,13 +344,13 @@
 
 void Server::close() {
   closing_ = true;
-  if (carrier_ && port_) carrier_->unlisten(std::exchange(port_, 0));
+  if (transport_ && port_) transport_->unlisten(std::exchange(port_, 0));
   accept_io_.reset();
   listener_.reset();
 }
 
 bool Server::busy() const {
-  if (!carried_.empty()) return true;
+  if (!transported_.empty()) return true;
   return std::any_of(connections_.begin(), connections_.end(), [](const auto& e) {
     return !e.second->in_parts && (e.second->serving || e.second->offset < e.second->out.size());
   });
@@ -434,7 +434,7 @@
 }
 
 void Server::respond(ConnectionId id, const Response& response) {
-  if (auto carried = carried_.extract(id)) return carried.mapped()(response);
+  if (auto transported = transported_.extract(id)) return transported.mapped()(response);
   auto it = connections_.find(id);
   if (it == connections_.end()) return;
   Connection& c = *it->second;
@@ -523,7 +523,7 @@
       address_(std::move(address)),
       max_connections_(max_connections),
       max_queue_(max_queue),
-      carrier_(loop.driver() ? &loop.driver()->carrier() : nullptr),
+      transport_(loop.runtime() ? &loop.runtime()->transport() : nullptr),
       deadline_timer_(loop) {
   parse_address(address_);
 }
@@ -541,7 +541,7 @@
     return;
   }
   Pending p;
-  if (carrier_) {
+  if (transport_) {
     p.deadline = steady_now() + timeout_s, p.done = std::move(done);
     p.request.method = std::move(method), p.request.target = std::move(target),
     p.request.body = std::move(body);
@@ -565,20 +565,21 @@
 }
 
 void Client::pump_carried() {
-  while (!queue_.empty() && carried_.size() < max_connections_) {
+  while (!queue_.empty() && transported_.size() < max_connections_) {
     auto id = next_carried_++;
-    Pending& p = carried_[id] = std::move(queue_.front());
+    Pending& p = transported_[id] = std::move(queue_.front());
     queue_.pop_front();
-    bool open = carried_idle_ > 0;
-    carried_idle_ -= open;
-    p.sent = carrier_->send(address_, std::move(p.request), open, [this, id, alive = alive_](Result result) {
-      if (!*alive) return;
-      auto call = carried_.extract(id);
-      if (!call) return;  // given up
-      carried_idle_ += result.status != 0;
-      call.mapped().done(std::move(result));
-      if (*alive) pump_carried();
-    });
+    bool open = transported_idle_ > 0;
+    transported_idle_ -= open;
+    p.sent =
+        transport_->send(address_, std::move(p.request), open, [this, id, alive = alive_](Result result) {
+          if (!*alive) return;
+          auto call = transported_.extract(id);
+          if (!call) return;  // given up
+          transported_idle_ += result.status != 0;
+          call.mapped().done(std::move(result));
+          if (*alive) pump_carried();
+        });
   }
 }
 
@@ -714,13 +715,13 @@
     }
   }
   std::vector<Pending> given_up;
-  for (auto it = carried_.begin(); it != carried_.end();) {
+  for (auto it = transported_.begin(); it != transported_.end();) {
     if (it->second.deadline > now) {
       ++it;
       continue;
     }
     given_up.push_back(std::move(it->second));
-    it = carried_.erase(it);
+    it = transported_.erase(it);
   }
   std::vector<Connection*> overdue;
   for (auto& c : active_)
@@ -749,7 +750,7 @@
     if (!next || c->pending.deadline < next) next = c->pending.deadline;
   for (auto& p : queue_)
     if (!next || p.deadline < next) next = p.deadline;
-  for (auto& [id, p] : carried_)
+  for (auto& [id, p] : transported_)
     if (!next || p.deadline < next) next = p.deadline;
   if (!next) return;
   if (deadline_timer_.active() && armed_for_ <= next) return;
--- a/src/net/http.h
+++ b/src/net/http.h
@@ -11,9 +11,9 @@
 #include <unordered_map>
 #include <vector>
 
-#include "carrier.h"
-#include "loop.h"
+#include "event_loop.h"
 #include "traffic.h"
+#include "transport.h"
 
 namespace corkmux::http {
 
@@ -89,7 +89,7 @@
   /// false: the caller is gone.
   bool part(ConnectionId id, std::string_view bytes);
   void end(ConnectionId id);
-  bool connected(ConnectionId id) const { return connections_.count(id) > 0 || carried_.count(id) > 0; }
+  bool connected(ConnectionId id) const { return connections_.count(id) > 0 || transported_.count(id) > 0; }
   /// Bytes of it that the caller has not taken yet.
   std::size_t unsent(ConnectionId id) const;
   /// Takes no new connections; open ones close with their next answer.
@@ -97,7 +97,7 @@
   /// Whether a request waits for its answer, or an answer to be sent; such in parts not counted.
   bool busy() const;
   int port() const { return port_; }
-  std::size_t connections() const { return connections_.size() + carried_.size(); }
+  std::size_t connections() const { return connections_.size() + transported_.size(); }
 
  private:
   struct Connection;
@@ -109,8 +109,8 @@
   void drop(ConnectionId id);
   void sweep();
   Loop& loop_;
-  Carrier* carrier_;  // null: sockets. Answers in parts are for sockets only.
-  std::unordered_map<ConnectionId, Carrier::Answer> carried_;
+  Transport* transport_;  // null: sockets. Answers in parts are for sockets only.
+  std::unordered_map<ConnectionId, Transport::Answer> transported_;
   std::size_t max_connections_;
   Handler handler_;
   std::optional<Fd> listener_;
@@ -139,7 +139,7 @@
   /// Sees how each request ended, before its caller does.
   void observe(std::function<void(const Result&)> observer) { observer_ = std::move(observer); }
   const std::string& address() const { return address_; }
-  bool busy() const { return !active_.empty() || !queue_.empty() || !carried_.empty(); }
+  bool busy() const { return !active_.empty() || !queue_.empty() || !transported_.empty(); }
 
  private:
   struct Pending {
@@ -166,10 +166,10 @@
   std::function<void(const Result&)> observer_;
   std::list<Pending> queue_;
   std::list<std::unique_ptr<Connection>> active_, idle_;
-  Carrier* carrier_;  // null: sockets
-  std::map<std::uint64_t, Pending> carried_;
+  Transport* transport_;  // null: sockets
+  std::map<std::uint64_t, Pending> transported_;
   std::uint64_t next_carried_ = 1;
-  std::size_t carried_idle_ = 0;  // open connections that carry nothing
+  std::size_t transported_idle_ = 0;  // open connections that carry nothing
   Timer deadline_timer_;
   double armed_for_ = 0;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
--- a/src/net/carrier.h
+++ b/src/net/transport.h
@@ -3,7 +3,7 @@
 #include <functional>
 #include <string>
 
-#include "loop.h"
+#include "event_loop.h"
 
 namespace corkmux::http {
 
@@ -11,12 +11,12 @@
 struct Response;
 struct Result;
 
-class Carrier {
+class Transport {
  public:
   using Answer = std::function<void(const Response&)>;
   using Accept = std::function<void(Request, Answer)>;
   using Done = std::function<void(Result)>;
-  virtual ~Carrier() = default;
+  virtual ~Transport() = default;
   /// Requests to `address` (host:port; port 0: any) reach `accept` from now on. Returns the port.
   virtual int listen(const std::string& address, Accept accept) = 0;
   virtual void unlisten(int port) = 0;
--- a/src/scale/child_process.cc
+++ b/src/scale_test/child_process.cc
@@ -16,7 +16,7 @@
 #include <stdexcept>
 #include <utility>
 
-namespace corkmux::scale {
+namespace corkmux::scale_test {
 namespace {
 
 /// What is left to do between fork and exec: only calls that are safe there.
@@ -117,4 +117,4 @@
   if (socket_ >= 0) ::close(socket_);
 }
 
-}  // namespace corkmux::scale
+}  // namespace corkmux::scale_test
--- a/src/scale/child_process.h
+++ b/src/scale_test/child_process.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-namespace corkmux::scale {
+namespace corkmux::scale_test {
 
 /// What a process has used, from the kernel's account of it.
 struct ProcessUsage {
@@ -50,4 +50,4 @@
   std::string text_;
 };
 
-}  // namespace corkmux::scale
+}  // namespace corkmux::scale_test
--- a/src/scale/ordered_record.cc
+++ b/src/scale_test/event_merger.cc
@@ -1,19 +1,20 @@
-#include "ordered_record.h"
+#include "event_merger.h"
 
 #include <algorithm>
 
-namespace corkmux::scale {
+namespace corkmux::scale_test {
 
-OrderedRecord::OrderedRecord(std::vector<Team> teams, double cancel_s, std::size_t hosts, Listener& listener)
+EventMerger::EventMerger(std::vector<Team> teams, double cancel_s, std::size_t hosts, Listener& listener)
     : listener_(listener), checker_(std::move(teams), cancel_s, [this] { return now_; }) {
   for (std::size_t i = 0; i < hosts; ++i) told_until_[static_cast<int>(i)] = 0;
 }
 
-void OrderedRecord::add(const HostReport& report, const std::map<std::string, world::MachineFacts>& machines,
-                        world::Yard& jobs) {
+void EventMerger::add(const HostReport& report,
+                      const std::map<std::string, simulation::MachineFacts>& machines,
+                      simulation::JobRegistry& jobs) {
   for (const auto& event : report.events) {
     if (event.kind == MachineEvent::Kind::Up) continue;
-    world::Work* work = jobs.find(event.job);
+    simulation::Work* work = jobs.find(event.job);
     if (!work) continue;  // a machine was told to start what nobody submitted: the worker refuses that itself
     auto machine = machines.find(event.machine);
     at(event.at, [this, event, facts = machine == machines.end() ? nullptr : &machine->second, work] {
@@ -24,8 +25,8 @@
   if (host != told_until_.end()) host->second = std::max(host->second, report.until);
 }
 
-void OrderedRecord::machine_event(const MachineEvent& event, const world::MachineFacts* machine,
-                                  world::Work& work) {
+void EventMerger::machine_event(const MachineEvent& event, const simulation::MachineFacts* machine,
+                                simulation::Work& work) {
   switch (event.kind) {
     case MachineEvent::Kind::Up:
       return;
@@ -51,9 +52,9 @@
   }
 }
 
-void OrderedRecord::forget_host(int host) { told_until_.erase(host); }
+void EventMerger::forget_host(int host) { told_until_.erase(host); }
 
-void OrderedRecord::apply() {
+void EventMerger::apply() {
   double until = run_time();
   for (const auto& [host, told] : told_until_) until = std::min(until, told);
   while (!events_.empty() && events_.begin()->first <= until) {
@@ -63,14 +64,14 @@
   }
 }
 
-void OrderedRecord::submitted(const JobSpec& spec) {
+void EventMerger::submitted(const JobSpec& spec) {
   now([this, spec, at = run_time()] {
     listener_.submitted(spec, at);
     checker_.submitted(spec);
   });
 }
-void OrderedRecord::answered_submission(const std::string& job, int status, const std::string& phase,
-                                        double asked_at) {
+void EventMerger::answered_submission(const std::string& job, int status, const std::string& phase,
+                                      double asked_at) {
   now([=, this, at = run_time()] {
     bool taken = status == 200 || status == 201;
     if (taken && !std::exchange(accepted_[job], true)) listener_.accepted(job, at);
@@ -78,26 +79,26 @@
     checker_.answered_submission(job, status, phase, asked_at);
   });
 }
-void OrderedRecord::gave_up(const std::string& job) {
+void EventMerger::gave_up(const std::string& job) {
   now([=, this] { checker_.gave_up(job); });
 }
-void OrderedRecord::asks_to_cancel(const std::string& job) {
+void EventMerger::asks_to_cancel(const std::string& job) {
   now([=, this] { checker_.asks_to_cancel(job); });
 }
-void OrderedRecord::answered_cancel(const std::string& job, int status, const std::string& phase,
-                                    double asked_at) {
+void EventMerger::answered_cancel(const std::string& job, int status, const std::string& phase,
+                                  double asked_at) {
   now([=, this] { checker_.answered_cancel(job, status, phase, asked_at); });
 }
-void OrderedRecord::answered_poll(const std::string& job, int status, const std::string& phase,
-                                  double asked_at) {
+void EventMerger::answered_poll(const std::string& job, int status, const std::string& phase,
+                                double asked_at) {
   now([=, this] { checker_.answered_poll(job, status, phase, asked_at); });
 }
-void OrderedRecord::answered_look(const std::string& job, int status, const std::string& phase,
-                                  double asked_at) {
+void EventMerger::answered_look(const std::string& job, int status, const std::string& phase,
+                                double asked_at) {
   now([=, this] { checker_.answered_look(job, status, phase, asked_at); });
 }
-void OrderedRecord::answered_odd(const std::string& job, int status, int wanted) {
-  now([=, this] { checker_.answered_odd(job, status, wanted); });
+void EventMerger::answered_invalid(const std::string& job, int status, int wanted) {
+  now([=, this] { checker_.answered_invalid(job, status, wanted); });
 }
 
-}  // namespace corkmux::scale
+}  // namespace corkmux::scale_test
--- a/src/scale/ordered_record.h
+++ b/src/scale_test/event_merger.h
@@ -6,12 +6,12 @@
 #include <map>
 #include <vector>
 
-#include "checker.h"
+#include "invariant_checker.h"
 #include "machine_events.h"
 
-namespace corkmux::scale {
+namespace corkmux::scale_test {
 
-class OrderedRecord : public world::UserWitness {
+class EventMerger : public simulation::UserObserver {
  public:
   /// Told of each event, in order, before the checker is: its time, s of run_time().
   struct Listener {
@@ -19,21 +19,21 @@
     virtual void submitted(const JobSpec& /*job*/, double /*at*/) {}
     virtual void accepted(const std::string& /*job*/, double /*at*/) {}
     virtual void refused(int /*status*/, double /*at*/) {}
-    virtual void started(const world::Work& /*work*/, int /*index*/, double /*at*/) {}
-    virtual void running(const world::Work& /*work*/, double /*at*/) {}
-    virtual void left(const world::Work& /*work*/, const std::string& /*why*/, double /*at*/) {}
+    virtual void started(const simulation::Work& /*work*/, int /*index*/, double /*at*/) {}
+    virtual void running(const simulation::Work& /*work*/, double /*at*/) {}
+    virtual void left(const simulation::Work& /*work*/, const std::string& /*why*/, double /*at*/) {}
   };
-  OrderedRecord(std::vector<Team> teams, double cancel_s, std::size_t hosts, Listener& listener);
+  EventMerger(std::vector<Team> teams, double cancel_s, std::size_t hosts, Listener& listener);
 
   /// A host's report: its events, and that it has told everything up to a moment.
-  void add(const HostReport& report, const std::map<std::string, world::MachineFacts>& machines,
-           world::Yard& jobs);
+  void add(const HostReport& report, const std::map<std::string, simulation::MachineFacts>& machines,
+           simulation::JobRegistry& jobs);
   /// A host that has ended is not waited for any more.
   void forget_host(int host);
   /// Tells the checker everything up to the moment that all hosts have told.
   void apply();
-  world::Checker& checker() { return checker_; }
-  const world::Checker& checker() const { return checker_; }
+  simulation::InvariantChecker& checker() { return checker_; }
+  const simulation::InvariantChecker& checker() const { return checker_; }
 
   void submitted(const JobSpec& spec) override;
   void answered_submission(const std::string& job, int status, const std::string& phase,
@@ -44,18 +44,19 @@
                        double asked_at) override;
   void answered_poll(const std::string& job, int status, const std::string& phase, double asked_at) override;
   void answered_look(const std::string& job, int status, const std::string& phase, double asked_at) override;
-  void answered_odd(const std::string& job, int status, int wanted) override;
+  void answered_invalid(const std::string& job, int status, int wanted) override;
 
  private:
   void at(double time, std::function<void()> event) { events_.emplace(time, std::move(event)); }
   void now(std::function<void()> event) { at(run_time(), std::move(event)); }
-  void machine_event(const MachineEvent& event, const world::MachineFacts* machine, world::Work& work);
+  void machine_event(const MachineEvent& event, const simulation::MachineFacts* machine,
+                     simulation::Work& work);
   Listener& listener_;
   double now_ = 0;
-  world::Checker checker_;
+  simulation::InvariantChecker checker_;
   std::map<int, double> told_until_;                     // by host
   std::multimap<double, std::function<void()>> events_;  // equal times in the order of their arrival
   std::map<std::string, bool> accepted_;
 };
 
-}  // namespace corkmux::scale
+}  // namespace corkmux::scale_test
--- a/src/scale/machine_host.cc
+++ b/src/scale_test/hollow_worker_host.cc
@@ -1,13 +1,13 @@
-#include "machine_host.h"
+#include "hollow_worker_host.h"
 
 #include <fmt/format.h>
 
 #include <stdexcept>
 
-#include "scale_constants.h"
-#include "world_constants.h"
+#include "scale_test_constants.h"
+#include "simulation_constants.h"
 
-namespace corkmux::scale {
+namespace corkmux::scale_test {
 namespace {
 
 constexpr int kMostFailures = 5;  // of reports in a row, after which the collector counts as gone
@@ -16,51 +16,52 @@
 
 }  // namespace
 
-MachineHost::MachineHost(Loop& loop, const ScalePlan& plan, int host, int network,
-                         std::map<std::string, std::string> controllers, const std::string& collector)
+HollowWorkerHost::HollowWorkerHost(Loop& loop, const ScaleTestPlan& plan, int host, int network,
+                                   std::map<std::string, std::string> controllers,
+                                   const std::string& collector)
     : loop_(loop),
       plan_(plan),
       host_(host),
       network_(network),
       controllers_(std::move(controllers)),
       jobs_(plan),
-      yard_(loop, plan.times.gang_peer_s, *this, run_time),
+      registry_(loop, plan.times.gang_peer_s, *this, run_time),
       collector_(loop, collector, 1, 4),
       types_(plan.types()) {
-  yard_.invent = [this](const std::string& job) {
+  registry_.invent = [this](const std::string& job) {
     auto number = JobSource::number(job);
     if (!number) throw std::runtime_error("a launch names no job of this run: " + job);
     return jobs_.job(*number);
   };
   report();
 }
-MachineHost::~MachineHost() = default;
+HollowWorkerHost::~HollowWorkerHost() = default;
 
-void MachineHost::add(MachineEvent event) {
+void HollowWorkerHost::add(MachineEvent event) {
   event.at = run_time();
   events_.push_back(std::move(event));
 }
 
-void MachineHost::on(const std::string& machine, const std::string&, const std::string&, bool,
-                     const world::Work& work, int index, std::uint64_t attempt) {
+void HollowWorkerHost::on(const std::string& machine, const std::string&, const std::string&, bool,
+                          const simulation::Work& work, int index, std::uint64_t attempt) {
   add({MachineEvent::Kind::On, 0, machine, work.spec.id, index, attempt, "", 0});
 }
-void MachineHost::off(const std::string& machine, const world::Work& work, int index, std::uint64_t attempt,
-                      const std::string& why) {
+void HollowWorkerHost::off(const std::string& machine, const simulation::Work& work, int index,
+                           std::uint64_t attempt, const std::string& why) {
   add({MachineEvent::Kind::Off, 0, machine, work.spec.id, index, attempt, why, 0});
 }
-void MachineHost::lost(const world::Work& work, const std::string& why, double seconds) {
+void HollowWorkerHost::lost(const simulation::Work& work, const std::string& why, double seconds) {
   add({MachineEvent::Kind::Lost, 0, "", work.spec.id, 0, 0, why, seconds});
 }
-void MachineHost::running(const world::Work& work, int index) {
+void HollowWorkerHost::running(const simulation::Work& work, int index) {
   add({MachineEvent::Kind::Running, 0, "", work.spec.id, index, 0, "", 0});
 }
-void MachineHost::done(const world::Work& work, int index) {
+void HollowWorkerHost::done(const simulation::Work& work, int index) {
   add({MachineEvent::Kind::Done, 0, "", work.spec.id, index, 0, "", 0});
 }
 
 /// One batch of events, then the next after a pause; what is not taken is sent again.
-void MachineHost::report() {
+void HollowWorkerHost::report() {
   auto batch = std::make_shared<HostReport>();
   batch->host = host_;
   std::size_t count = std::min(events_.size(), kEventsAtOnce);
@@ -85,27 +86,28 @@
                      });
 }
 
-void MachineHost::obey(const HostOrders& orders) {
+void HollowWorkerHost::obey(const HostOrders& orders) {
   for (const auto& facts : orders.boot) boot(facts);
   for (const auto& name : orders.lose) lose(name, orders.why_lost);
 }
 
-void MachineHost::boot(const world::MachineFacts& facts) {
+void HollowWorkerHost::boot(const simulation::MachineFacts& facts) {
   if (workers_.count(facts.name)) return;
   int n = number_of(facts.name);
   auto listen = fmt::format("127.{}.{}.{}:0", network_, n / 250, n % 250 + 1);
-  auto worker = std::make_unique<world::Worker>(loop_, facts, plan_.times, controllers_, yard_, listen);
+  auto worker =
+      std::make_unique<simulation::Worker>(loop_, facts, plan_.times, controllers_, registry_, listen);
   add({MachineEvent::Kind::Up, 0, facts.name, "", 0, 0, worker->address(), 0});
   workers_.emplace(facts.name, std::move(worker));
 }
 
-void MachineHost::lose(const std::string& machine, const std::string& why) {
+void HollowWorkerHost::lose(const std::string& machine, const std::string& why) {
   auto worker = workers_.extract(machine);
   if (!worker) return;
   worker.mapped()->die(why);
   // Messages that name it may still wait on the loop; it is freed after them.
-  std::shared_ptr<world::Worker> dead(std::move(worker.mapped()));
+  std::shared_ptr<simulation::Worker> dead(std::move(worker.mapped()));
   loop_.call_later(2 * kEventsEvery, [dead] {});
 }
 
-}  // namespace corkmux::scale
+}  // namespace corkmux::scale_test
--- a/src/scale/machine_host.h
+++ b/src/scale_test/hollow_worker_host.h
@@ -10,43 +10,43 @@
 #include "http.h"
 #include "job_source.h"
 #include "machine_events.h"
-#include "scale_plan.h"
+#include "scale_test_plan.h"
 #include "worker.h"
 
-namespace corkmux::scale {
+namespace corkmux::scale_test {
 
-class MachineHost : public world::Witness {
+class HollowWorkerHost : public simulation::MachineObserver {
  public:
   /// `controllers`: label and users' address of each; `network`: second number of the loopback addresses.
-  MachineHost(Loop& loop, const ScalePlan& plan, int host, int network,
-              std::map<std::string, std::string> controllers, const std::string& collector);
-  ~MachineHost() override;
+  HollowWorkerHost(Loop& loop, const ScaleTestPlan& plan, int host, int network,
+                   std::map<std::string, std::string> controllers, const std::string& collector);
+  ~HollowWorkerHost() override;
 
   void on(const std::string& machine, const std::string& type, const std::string& zone, bool spot,
-          const world::Work& work, int index, std::uint64_t attempt) override;
-  void off(const std::string& machine, const world::Work& work, int index, std::uint64_t attempt,
+          const simulation::Work& work, int index, std::uint64_t attempt) override;
+  void off(const std::string& machine, const simulation::Work& work, int index, std::uint64_t attempt,
            const std::string& why) override;
-  void lost(const world::Work& work, const std::string& why, double seconds) override;
-  void running(const world::Work& work, int index) override;
-  void done(const world::Work& work, int index) override;
+  void lost(const simulation::Work& work, const std::string& why, double seconds) override;
+  void running(const simulation::Work& work, int index) override;
+  void done(const simulation::Work& work, int index) override;
 
  private:
   void report();
   void obey(const HostOrders& orders);
-  void boot(const world::MachineFacts& facts);
+  void boot(const simulation::MachineFacts& facts);
   void lose(const std::string& machine, const std::string& why);
   void add(MachineEvent event);
   Loop& loop_;
-  const ScalePlan& plan_;
+  const ScaleTestPlan& plan_;
   int host_, network_;
   std::map<std::string, std::string> controllers_;
   JobSource jobs_;
-  world::Yard yard_;
+  simulation::JobRegistry registry_;
   http::Client collector_;
   std::vector<MachineType> types_;
-  std::map<std::string, std::unique_ptr<world::Worker>> workers_;
+  std::map<std::string, std::unique_ptr<simulation::Worker>> workers_;
   std::deque<MachineEvent> events_;
   int failures_ = 0;  // reports in a row that the collector did not take
 };
 
-}  // namespace corkmux::scale
+}  // namespace corkmux::scale_test
--- a/src/scale/job_source.cc
+++ b/src/scale_test/job_source.cc
@@ -5,17 +5,17 @@
 #include <charconv>
 #include <random>
 
-namespace corkmux::scale {
+namespace corkmux::scale_test {
 namespace {
 
 const std::string kPrefix = "run-";
 
-std::mt19937_64 generator(const ScalePlan& plan, int number, unsigned purpose) {
+std::mt19937_64 generator(const ScaleTestPlan& plan, int number, unsigned purpose) {
   std::seed_seq seed{static_cast<unsigned>(plan.seed), static_cast<unsigned>(number), purpose};
   return std::mt19937_64(seed);
 }
 
-const JobClass& draw_class(const ScalePlan& plan, std::mt19937_64& random) {
+const JobClass& draw_class(const ScaleTestPlan& plan, std::mt19937_64& random) {
   std::vector<double> weights;  // of jobs: a class of large jobs needs few for its share of the tasks
   for (const auto& c : plan.classes) weights.push_back(c.share / c.mean_tasks());
   std::discrete_distribution<std::size_t> draw(weights.begin(), weights.end());
@@ -34,10 +34,10 @@
   return out;
 }
 
-world::Work JobSource::job(int number) const {
+simulation::Work JobSource::job(int number) const {
   auto random = generator(plan_, number, 1);
   const JobClass& c = draw_class(plan_, random);
-  world::Work work;
+  simulation::Work work;
   JobSpec& spec = work.spec;
   spec.id = name(number);
   spec.job_class = c.name;
@@ -63,4 +63,4 @@
   return std::uniform_real_distribution<double>(0, 1)(random) < plan_.cancel_share;
 }
 
-}  // namespace corkmux::scale
+}  // namespace corkmux::scale_test
--- a/src/scale/job_source.h
+++ b/src/scale_test/job_source.h
@@ -4,23 +4,23 @@
 #include <optional>
 #include <string>
 
-#include "scale_plan.h"
-#include "yard.h"
+#include "job_registry.h"
+#include "scale_test_plan.h"
 
-namespace corkmux::scale {
+namespace corkmux::scale_test {
 
 class JobSource {
  public:
-  explicit JobSource(const ScalePlan& plan) : plan_(plan) {}
+  explicit JobSource(const ScaleTestPlan& plan) : plan_(plan) {}
   static std::string name(int number);
   /// No value: not a name that name() gives.
   static std::optional<int> number(const std::string& name);
-  world::Work job(int number) const;
+  simulation::Work job(int number) const;
   /// Whether its user cancels it some time after the submission.
   bool cancelled(int number) const;
 
  private:
-  const ScalePlan& plan_;
+  const ScaleTestPlan& plan_;
 };
 
-}  // namespace corkmux::scale
+}  // namespace corkmux::scale_test
--- a/src/scale/machine_events.cc
+++ b/src/scale_test/machine_events.cc
@@ -4,7 +4,7 @@
 
 #include "http.h"
 
-namespace corkmux::scale {
+namespace corkmux::scale_test {
 
 double run_time() { return steady_now(); }
 
@@ -60,4 +60,4 @@
   return out;
 }
 
-}  // namespace corkmux::scale
+}  // namespace corkmux::scale_test
--- a/src/scale/machine_events.h
+++ b/src/scale_test/machine_events.h
@@ -8,7 +8,7 @@
 #include "codec.h"
 #include "worker.h"
 
-namespace corkmux::scale {
+namespace corkmux::scale_test {
 
 using codec::Json;
 
@@ -40,7 +40,7 @@
 
 /// What the collector answers.
 struct HostOrders {
-  std::vector<world::MachineFacts> boot;
+  std::vector<simulation::MachineFacts> boot;
   std::vector<std::string> lose;  // these machines end with all that is on them
   std::string why_lost;
 };
@@ -50,4 +50,4 @@
 /// Traffic of this process, for a report.
 Json traffic_to_wire();
 
-}  // namespace corkmux::scale
+}  // namespace corkmux::scale_test
--- a/src/scale/measures.cc
+++ b/src/scale_test/run_metrics.cc
@@ -1,8 +1,8 @@
-#include "measures.h"
+#include "run_metrics.h"
 
 #include <algorithm>
 
-namespace corkmux::scale {
+namespace corkmux::scale_test {
 
 double TimeHistogram::count() const { return boost::histogram::algorithm::sum(histogram_); }
 
@@ -23,21 +23,21 @@
   return all > 0 ? within / all : 1;
 }
 
-void Measures::submitted(const JobSpec& job, double at) {
+void RunMetrics::submitted(const JobSpec& job, double at) {
   if (!counts(at)) return;
   ++submitted_;
   waiting_for_answer_[job.id] = {at, false};
   waiting_for_start_[job.id] = {at, job.priority == Priority::High};
 }
 
-void Measures::accepted(const std::string& job, double at) {
+void RunMetrics::accepted(const std::string& job, double at) {
   auto waiting = waiting_for_answer_.extract(job);
   if (waiting) accepted_in_.add(at - waiting.mapped().since);
 }
 
-void Measures::refused(int status, double at) { refusals_[status] += counts(at); }
+void RunMetrics::refused(int status, double at) { refusals_[status] += counts(at); }
 
-void Measures::started(const world::Work&, int, double at) {
+void RunMetrics::started(const simulation::Work&, int, double at) {
   most_running_ = std::max(most_running_, ++running_now_);
   double gap = last_start_ > 0 ? at - last_start_ : 0;
   if (counts(at)) {
@@ -52,18 +52,18 @@
 }
 
 /// Of a gang all tasks run from the same moment on; of an array the first counts.
-void Measures::running(const world::Work& work, double at) {
+void RunMetrics::running(const simulation::Work& work, double at) {
   auto waiting = waiting_for_start_.extract(work.spec.id);
   if (!waiting) return;
   (waiting.mapped().urgent ? urgent_running_in_ : other_running_in_).add(at - waiting.mapped().since);
 }
 
-void Measures::left(const world::Work&, const std::string& why, double) {
+void RunMetrics::left(const simulation::Work&, const std::string& why, double) {
   --running_now_;
   ++exits_by_why_[why];
 }
 
-codec::Json Measures::to_json() const {
+codec::Json RunMetrics::to_json() const {
   auto times = [](const TimeHistogram& h) {
     return codec::Json{{"count", h.count()},
                        {"p50_s", h.quantile(0.5)},
@@ -92,4 +92,4 @@
           {"pauses", pauses}};
 }
 
-}  // namespace corkmux::scale
+}  // namespace corkmux::scale_test
--- a/src/scale/measures.h
+++ b/src/scale_test/run_metrics.h
@@ -6,10 +6,10 @@
 #include <vector>
 
 #include "codec.h"
-#include "ordered_record.h"
-#include "scale_constants.h"
+#include "event_merger.h"
+#include "scale_test_constants.h"
 
-namespace corkmux::scale {
+namespace corkmux::scale_test {
 
 /// Times on a logarithmic scale.
 class TimeHistogram {
@@ -33,7 +33,7 @@
   double at = 0, longest_s = 0;
 };
 
-class Measures : public OrderedRecord::Listener {
+class RunMetrics : public EventMerger::Listener {
  public:
   /// Only what is submitted or starts in the window, s of run_time(), counts.
   void set_window(double from, double to) { from_ = from, to_ = to; }
@@ -41,9 +41,9 @@
   void submitted(const JobSpec& job, double at) override;
   void accepted(const std::string& job, double at) override;
   void refused(int status, double at) override;
-  void started(const world::Work& work, int index, double at) override;
-  void running(const world::Work& work, double at) override;
-  void left(const world::Work& work, const std::string& why, double at) override;
+  void started(const simulation::Work& work, int index, double at) override;
+  void running(const simulation::Work& work, double at) override;
+  void left(const simulation::Work& work, const std::string& why, double at) override;
   codec::Json to_json() const;
   int starts() const { return starts_; }
 
@@ -62,4 +62,4 @@
   std::vector<Pause> pauses_;
 };
 
-}  // namespace corkmux::scale
+}  // namespace corkmux::scale_test
--- a/src/scale/scale_account.cc
+++ b/src/scale_test/run_report.cc
@@ -3,10 +3,10 @@
 
 #include <algorithm>
 
-#include "scale_constants.h"
-#include "scale_run.h"
+#include "scale_test_constants.h"
+#include "scale_test_run.h"
 
-namespace corkmux::scale {
+namespace corkmux::scale_test {
 using codec::Json;
 
 namespace {
@@ -34,10 +34,10 @@
 
 }  // namespace
 
-std::vector<std::string> ScaleRun::problems() const {
+std::vector<std::string> ScaleTestRun::problems() const {
   if (!failure_.empty()) return {"run: " + failure_};
   auto out = record_.checker().broken();
-  auto shares = [&](const char* what, const std::map<std::string, world::Checker::Share>& all) {
+  auto shares = [&](const char* what, const std::map<std::string, simulation::InvariantChecker::Share>& all) {
     for (const auto& [name, s] : all)
       if (s.served() < kServed)
         out.push_back(
@@ -48,7 +48,7 @@
   return out;
 }
 
-Json ScaleRun::role_account(const std::vector<const Role*>& of) const {
+Json ScaleTestRun::role_account(const std::vector<const Role*>& of) const {
   double seconds = std::max(1e-9, window_to_ - window_from_), cpu = 0, most_cpu = 0, peak = 0;
   int files = 0, files_before = 0;
   Json traffic = Json::object(), before = Json::object();
@@ -72,7 +72,7 @@
           {"per_second", per_second(traffic, before, seconds)}};
 }
 
-Json ScaleRun::state_account() const {
+Json ScaleTestRun::state_account() const {
   double seconds = std::max(1e-9, window_to_ - window_from_);
   Json out = role_account({&state_});
   double changes = 0;
@@ -85,14 +85,14 @@
   }
   out["changes_per_s"] = changes;
   out["changes_per_s_by_kind_of_key"] = kinds;
-  out["changes_per_start"] = changes / std::max(1e-9, measures_.starts() / seconds);
+  out["changes_per_start"] = changes / std::max(1e-9, metrics_.starts() / seconds);
   out["requests_per_s"] = (state_counts_.served - state_at_start_.served) / seconds;
   out["over_rate"] = state_counts_.over_rate;
   out["keys"] = state_counts_.keys;
   return out;
 }
 
-Json ScaleRun::account() const {
+Json ScaleTestRun::account() const {
   std::vector<const Role*> leads, others, hosts, singles;
   for (std::size_t i = 0; i < controllers_.size(); ++i)
     (i == leader_at_start_ ? leads : others).push_back(controllers_[i].get());
@@ -115,7 +115,7 @@
           {"jobs_per_s", plan_.jobs_per_s()},
           {"window_s", window_to_ - window_from_},
           {"leader_changed", leader_at_start_ != leader_at_end_},
-          {"users", measures_.to_json()},
+          {"users", metrics_.to_json()},
           {"roles",
            {{"leader", role_account(leads)},
             {"other_controllers", role_account(others)},
@@ -128,7 +128,7 @@
           {"problems", problems()}};
 }
 
-std::string ScaleRun::account_text() const {
+std::string ScaleTestRun::account_text() const {
   auto a = account();
   std::string out =
       fmt::format("{}: {} hollow workers, {} controllers, {} teams; window of {:.0f} s\n", plan_.name,
@@ -164,4 +164,4 @@
   return out;
 }
 
-}  // namespace corkmux::scale
+}  // namespace corkmux::scale_test
--- a/src/scale/scale_constants.h
+++ b/src/scale_test/scale_test_constants.h
@@ -2,7 +2,7 @@
 #pragma once
 #include <cstddef>
 
-namespace corkmux::scale {
+namespace corkmux::scale_test {
 
 inline constexpr int kSocketsPerWorker = 3;      // its listener, its report and the controllers' orders
 inline constexpr int kSpareSockets = 200;        // of each process: files, pipes, users and services
@@ -34,4 +34,4 @@
 inline constexpr double kLeastTime = 0.001, kMostTime = 1000;  // s
 inline constexpr int kTimeBins = 600;
 
-}  // namespace corkmux::scale
+}  // namespace corkmux::scale_test
--- a/src/scale/scale_plan.cc
+++ b/src/scale_test/scale_test_plan.cc
@@ -1,4 +1,4 @@
-#include "scale_plan.h"
+#include "scale_test_plan.h"
 
 #include <fmt/format.h>
 #include <sys/resource.h>
@@ -8,10 +8,10 @@
 #include <cmath>
 #include <numeric>
 
-#include "scale_constants.h"
+#include "scale_test_constants.h"
 #include "toml_reader.h"
 
-namespace corkmux::scale {
+namespace corkmux::scale_test {
 namespace {
 
 constexpr Resources kPlainSize{32, 0, 128};        // a machine without accelerators
@@ -62,7 +62,7 @@
   reader.fail("kind", "no such fault");
 }
 
-void read_site(const Reader& top, ScalePlan& plan) {
+void read_site(const Reader& top, ScaleTestPlan& plan) {
   auto workers = top.sub("worker_times");
   workers.only({"report_s", "lease_s", "gang_wait_s", "gang_peer_s", "cancel_s"});
   Settings& site = plan.site;
@@ -111,7 +111,7 @@
   return std::accumulate(tasks.begin(), tasks.end(), 0.0) / static_cast<double>(tasks.size());
 }
 
-double ScalePlan::jobs_per_s() const {
+double ScaleTestPlan::jobs_per_s() const {
   double all = 0;
   for (const auto& c : classes) all += c.share;
   double jobs = 0;
@@ -119,20 +119,20 @@
   return jobs;
 }
 
-std::vector<std::string> ScalePlan::zone_names() const {
+std::vector<std::string> ScaleTestPlan::zone_names() const {
   std::vector<std::string> out;
   for (int i = 1; i <= zones; ++i) out.push_back(fmt::format("zone-{}", i));
   for (int i = 1; i <= single_workers; ++i) out.push_back(fmt::format("single-{}", i));
   return out;
 }
 
-std::vector<MachineType> ScalePlan::types() const {
+std::vector<MachineType> ScaleTestPlan::types() const {
   auto everywhere = zone_names();
   return {{"plain", kPlainSize, 200, fetch_gb_per_s, 1, 0.5, 5, everywhere},
           {"accelerated", kAcceleratedSize, 200, fetch_gb_per_s, 8, 4, 5, everywhere}};
 }
 
-int ScalePlan::machines_in(std::size_t zone, const std::string& type) const {
+int ScaleTestPlan::machines_in(std::size_t zone, const std::string& type) const {
   if (zone >= static_cast<std::size_t>(zones)) return type == "plain" ? 1 : 0;
   int shared = workers - single_workers;
   auto share = [&](int all) { return all / zones + (static_cast<int>(zone) < all % zones ? 1 : 0); };
@@ -140,16 +140,16 @@
   return type == "plain" ? share(shared) - share(accelerated) : share(accelerated);
 }
 
-int ScalePlan::most_workers_in_zone() const {
+int ScaleTestPlan::most_workers_in_zone() const {
   return machines_in(0, "plain") + machines_in(0, "accelerated");
 }
 
-void ScalePlan::resize_arrays(int tasks) {
+void ScaleTestPlan::resize_arrays(int tasks) {
   for (auto& c : classes)
     if (c.kind == JobKind::Array) c.tasks = {tasks};
 }
 
-std::vector<std::string> ScalePlan::drop_gangs_that_do_not_fit() {
+std::vector<std::string> ScaleTestPlan::drop_gangs_that_do_not_fit() {
   std::vector<std::string> said;
   auto last = static_cast<std::size_t>(zones) - 1;  // the smallest of the shared zones
   double gpus = machines_in(last, "accelerated") * kAcceleratedSize.gpus;
@@ -169,7 +169,7 @@
   return said;
 }
 
-std::vector<Team> ScalePlan::team_list() const {
+std::vector<Team> ScaleTestPlan::team_list() const {
   double cpus = workers * kPlainSize.cpus / teams, gpus = accelerators / teams;
   double largest = 0, largest_accelerated = 0;
   for (const auto& c : classes) {
@@ -189,7 +189,7 @@
   return out;
 }
 
-ScalePlan parse_scale_plan(const std::string& text, const std::string& file) {
+ScaleTestPlan parse_scale_plan(const std::string& text, const std::string& file) {
   auto table = parse_toml(text, file);
   Reader top(file, table);
   top.only(
@@ -197,7 +197,7 @@
        "controllers", "accelerators", "starts_per_s", "run_s",    "task_cpus",      "warm_s",
        "for_s",       "drain_s",      "cancel_share", "image_gb", "images",         "fetch_gb_per_s",
        "classes",     "faults",       "worker_times", "state",    "cloud",          "controller_limits"});
-  ScalePlan plan;
+  ScaleTestPlan plan;
   plan.name = top.text("name");
   plan.seed = static_cast<std::uint64_t>(count_of(top, "seed", 0));
   plan.workers = count_of(top, "workers", 1);
@@ -226,9 +226,9 @@
   return plan;
 }
 
-ScalePlan load_scale_plan(const std::string& file) { return parse_scale_plan(slurp(file), file); }
+ScaleTestPlan load_scale_plan(const std::string& file) { return parse_scale_plan(slurp(file), file); }
 
-std::string refusal(const ScalePlan& plan) {
+std::string refusal(const ScaleTestPlan& plan) {
   rlimit files{};
   ::getrlimit(RLIMIT_NOFILE, &files);
   double limit = static_cast<double>(files.rlim_cur);
@@ -254,7 +254,7 @@
   return "";
 }
 
-std::string controller_settings(const ScalePlan& plan, std::size_t controller,
+std::string controller_settings(const ScaleTestPlan& plan, std::size_t controller,
                                 const std::vector<std::string>& user_addresses,
                                 const std::vector<std::string>& peer_addresses, const std::string& state,
                                 const std::string& cloud) {
@@ -292,4 +292,4 @@
   return out;
 }
 
-}  // namespace corkmux::scale
+}  // namespace corkmux::scale_test
--- a/src/scale/scale_plan.h
+++ b/src/scale_test/scale_test_plan.h
@@ -8,7 +8,7 @@
 #include "settings.h"
 #include "worker.h"
 
-namespace corkmux::scale {
+namespace corkmux::scale_test {
 
 /// Jobs of one class; which share of all tasks is theirs.
 struct JobClass {
@@ -30,7 +30,7 @@
   static const char* name(Kind kind);
 };
 
-struct ScalePlan {
+struct ScaleTestPlan {
   std::string name;
   std::uint64_t seed = 1;
   int workers = 0, zones = 1, single_workers = 0, teams = 1, controllers = 3;
@@ -45,7 +45,7 @@
   std::vector<JobClass> classes;
   std::vector<Fault> faults;
   Settings site;  // times and limits of workers, state service and cloud
-  world::WorkerTimes times;
+  simulation::WorkerTimes times;
 
   double running_tasks() const { return starts_per_s * run_s; }
   double jobs_per_s() const;
@@ -65,14 +65,14 @@
 };
 
 /// Throws SettingsError, which names the file and the field.
-ScalePlan parse_scale_plan(const std::string& text, const std::string& file);
-ScalePlan load_scale_plan(const std::string& file);
+ScaleTestPlan parse_scale_plan(const std::string& text, const std::string& file);
+ScaleTestPlan load_scale_plan(const std::string& file);
 /// Why this machine cannot carry the run within its limits; empty if it can.
-std::string refusal(const ScalePlan& plan);
+std::string refusal(const ScaleTestPlan& plan);
 /// The settings file of one controller, in the platform's form.
-std::string controller_settings(const ScalePlan& plan, std::size_t controller,
+std::string controller_settings(const ScaleTestPlan& plan, std::size_t controller,
                                 const std::vector<std::string>& user_addresses,
                                 const std::vector<std::string>& peer_addresses, const std::string& state,
                                 const std::string& cloud);
 
-}  // namespace corkmux::scale
+}  // namespace corkmux::scale_test
