--- a/src/scale/scale_run.cc
+++ b/src/scale_test/scale_test_run.cc
@@ -1,4 +1,4 @@
-#include "scale_run.h"
+#include "scale_test_run.h"
 
 #include <fmt/format.h>
 #include <signal.h>
@@ -12,17 +12,17 @@
 #include <random>
 
 #include "constants.h"
-#include "scale_constants.h"
-#include "world_constants.h"
+#include "scale_test_constants.h"
+#include "simulation_constants.h"
 
-namespace corkmux::scale {
+namespace corkmux::scale_test {
 namespace fs = std::filesystem;
 using codec::Json;
 
 namespace {
 
 fs::path make_folder() {
-  std::string name = (fs::temp_directory_path() / "corkmux-scale-XXXXXX").string();
+  std::string name = (fs::temp_directory_path() / "corkmux-scale-test-XXXXXX").string();
   if (!::mkdtemp(name.data())) throw std::runtime_error(name + " cannot be made");
   return name;
 }
@@ -35,23 +35,23 @@
 
 }  // namespace
 
-ScaleRun::ScaleRun(Loop& loop, ScalePlan plan, Programs programs, std::string plan_file,
-                   std::vector<std::string> overrides)
+ScaleTestRun::ScaleTestRun(Loop& loop, ScaleTestPlan plan, Programs programs, std::string plan_file,
+                           std::vector<std::string> overrides)
     : loop_(loop),
       plan_(std::move(plan)),
       programs_(std::move(programs)),
       plan_file_(std::move(plan_file)),
       overrides_(std::move(overrides)),
       jobs_(plan_),
-      record_(plan_.team_list(), plan_.site.cancel_s, plan_.zone_names().size(), measures_),
+      record_(plan_.team_list(), plan_.site.cancel_s, plan_.zone_names().size(), metrics_),
       folder_(make_folder()),
-      nobody_(std::make_unique<world::Witness>()),
-      yard_(loop, plan_.times.gang_peer_s, *nobody_, run_time),
+      nobody_(std::make_unique<simulation::MachineObserver>()),
+      registry_(loop, plan_.times.gang_peer_s, *nobody_, run_time),
       collector_(loop, "127.0.0.1:0", kMostProcesses + 50,
                  [this](http::Server::ConnectionId id, http::Request r) { serve(id, r); }),
       random_(plan_.seed) {}
 
-ScaleRun::~ScaleRun() {
+ScaleTestRun::~ScaleTestRun() {
   for (auto& c : controllers_) c->process.reset();
   for (auto& h : hosts_) h->process.reset();
   state_.process.reset();
@@ -59,7 +59,7 @@
   if (failure_.empty()) fs::remove_all(folder_, ignored);
 }
 
-void ScaleRun::start(std::function<void()> done) {
+void ScaleTestRun::start(std::function<void()> done) {
   done_ = std::move(done);
   state_.log = folder_ / "state.log";
   std::vector<std::string> command{programs_.own, plan_file_,
@@ -73,7 +73,7 @@
       "the state service", [this] { return state_counts_.port != 0; }, [this] { begin_outside(); });
 }
 
-void ScaleRun::wait_for(std::string what, std::function<bool()> there, std::function<void()> then) {
+void ScaleTestRun::wait_for(std::string what, std::function<bool()> there, std::function<void()> then) {
   auto until = std::make_shared<double>(run_time() + kUpPatience);
   auto look = std::make_shared<std::function<void()>>();
   *look = [=, this] {
@@ -87,15 +87,15 @@
 
 // ---------------------------------------------------------------- what is started
 
-void ScaleRun::begin_outside() {
-  std::vector<world::Capacity> capacity;
+void ScaleTestRun::begin_outside() {
+  std::vector<simulation::Capacity> capacity;
   auto zones = plan_.zone_names();
   for (std::size_t z = 0; z < zones.size(); ++z)
     for (const auto& type : plan_.types())
       capacity.push_back({type.name, zones[z], false, plan_.machines_in(z, type.name)});
-  world::Cloud::Hooks hooks;
+  simulation::Cloud::Callbacks hooks;
   hooks.address = [this](const std::string& name) { return machine_addresses_[name]; };
-  cloud_ = std::make_unique<world::Cloud>(loop_, plan_.types(), capacity, plan_.site.list_lag_s, hooks);
+  cloud_ = std::make_unique<simulation::Cloud>(loop_, plan_.types(), capacity, plan_.site.list_lag_s, hooks);
   cloud_->requests.set(plan_.site.cloud_rps, 2);
   for (std::size_t z = 0; z < zones.size(); ++z) {
     hosts_.push_back(std::make_unique<Host>());
@@ -116,7 +116,7 @@
       [this] { begin_load(); });
 }
 
-void ScaleRun::start_controllers() {
+void ScaleTestRun::start_controllers() {
   for (int i = 0; i < plan_.controllers; ++i) {
     auto ip = fmt::format("127.0.1.{}", i + 1);
     user_addresses_.emplace_back(ip);
@@ -139,7 +139,7 @@
   }
 }
 
-void ScaleRun::start_controller(std::size_t number) {
+void ScaleTestRun::start_controller(std::size_t number) {
   Role& c = *controllers_[number];
   c.process = std::make_unique<ChildProcess>(
       std::vector<std::string>{programs_.controller, "--config", folder_ / (c.label + ".toml"), "--operator",
@@ -147,7 +147,7 @@
       c.log);
 }
 
-void ScaleRun::start_hosts() {
+void ScaleTestRun::start_hosts() {
   std::string controllers;
   for (std::size_t i = 0; i < controllers_.size(); ++i)
     controllers += (i ? "," : "") + controllers_[i]->label + "=" + user_addresses_[i].text();
@@ -173,7 +173,7 @@
 
 // ---------------------------------------------------------------- what the other processes say
 
-void ScaleRun::serve(http::Server::ConnectionId id, const http::Request& request) {
+void ScaleTestRun::serve(http::Server::ConnectionId id, const http::Request& request) {
   auto body = codec::unpack(request.body);
   if (request.target == "/host" && body)
     if (auto report = parse_host_report(*body)) return host_report(id, *report);
@@ -181,7 +181,7 @@
   collector_.respond(id, {400, "", 0, false});
 }
 
-void ScaleRun::host_report(http::Server::ConnectionId id, const HostReport& report) {
+void ScaleTestRun::host_report(http::Server::ConnectionId id, const HostReport& report) {
   if (report.host < 0 || static_cast<std::size_t>(report.host) >= hosts_.size())
     return collector_.respond(id, {400, "", 0, false});
   Host& host = *hosts_[static_cast<std::size_t>(report.host)];
@@ -190,7 +190,7 @@
   host.tasks = report.tasks;
   for (const auto& event : report.events)
     if (event.kind == MachineEvent::Kind::Up) machine_addresses_[event.machine] = event.why;
-  record_.add(report, machines_, yard_);
+  record_.add(report, machines_, registry_);
   record_.apply();
   HostOrders orders = std::exchange(host.orders, {});
   std::size_t boots = std::min(host.to_boot.size(), kBootsAtOnce);
@@ -200,13 +200,13 @@
   collector_.respond(id, {200, codec::pack(to_wire(orders)), 0, false});
 }
 
-void ScaleRun::state_report(http::Server::ConnectionId id, StateCounts counts) {
+void ScaleTestRun::state_report(http::Server::ConnectionId id, StateCounts counts) {
   state_.traffic = counts.traffic;
   state_counts_ = std::move(counts);
   collector_.respond(id, {200, "", 0, false});
 }
 
-std::size_t ScaleRun::leader() const {
+std::size_t ScaleTestRun::leader() const {
   for (std::size_t i = 0; i < controllers_.size(); ++i)
     if (controllers_[i]->label == state_counts_.leader) return i;
   return controllers_.size();
@@ -214,22 +214,22 @@
 
 // ---------------------------------------------------------------- the course of the run
 
-void ScaleRun::begin_load() {
+void ScaleTestRun::begin_load() {
   began_ = run_time();
   std::map<std::string, std::string> addresses;
   for (std::size_t i = 0; i < controllers_.size(); ++i)
     addresses[controllers_[i]->label] = user_addresses_[i].text();
-  users_ = std::make_unique<world::Users>(loop_, addresses, record_, yard_);
-  measures_.set_window(began_ + plan_.warm_s, began_ + plan_.for_s);
+  users_ = std::make_unique<simulation::Users>(loop_, addresses, record_, registry_);
+  metrics_.set_window(began_ + plan_.warm_s, began_ + plan_.for_s);
   submitting_ = true;
   // The balancer probes each second; before its first answer nobody is healthy.
-  loop_.call_later(2 * world::kReadyEvery, [this] { submit_next(); });
+  loop_.call_later(2 * simulation::kReadyEvery, [this] { submit_next(); });
   loop_.call_later(plan_.warm_s, [this] { open_window(); });
   loop_.call_later(plan_.for_s, [this] { close_window(); });
   for (const auto& f : plan_.faults) loop_.call_later(f.at_s, [this, &f] { inject(f); });
 }
 
-void ScaleRun::submit_next() {
+void ScaleTestRun::submit_next() {
   if (!submitting_ || over_) return;
   int number = ++next_job_;
   double cancel_after = -1;
@@ -239,7 +239,7 @@
   loop_.call_later(gap(random_), [this] { submit_next(); });
 }
 
-void ScaleRun::open_window() {
+void ScaleTestRun::open_window() {
   leader_at_start_ = leader();
   ask_for_traffic();
   loop_.call_later(kTrafficPatience, [this] {
@@ -256,7 +256,7 @@
   });
 }
 
-void ScaleRun::close_window() {
+void ScaleTestRun::close_window() {
   submitting_ = false;
   leader_at_end_ = leader();
   ask_for_traffic();
@@ -272,18 +272,18 @@
 }
 
 /// Until every job is over, or the plan's patience is.
-void ScaleRun::drain() {
+void ScaleTestRun::drain() {
   if (over_) return;
   int tasks =
       std::accumulate(hosts_.begin(), hosts_.end(), 0, [](int n, const auto& h) { return n + h->tasks; });
-  bool idle = tasks == 0 && record_.checker().open(yard_).empty();
+  bool idle = tasks == 0 && record_.checker().open(registry_).empty();
   if (idle || seconds() > plan_.for_s + plan_.drain_s) return finish();
   loop_.call_later(kProgressEvery / 5, [this] { drain(); });
 }
 
-void ScaleRun::finish() {
+void ScaleTestRun::finish() {
   if (std::exchange(over_, true)) return;
-  for (const auto& open : record_.checker().open(yard_))
+  for (const auto& open : record_.checker().open(registry_))
     std::cerr << fmt::format("at the end {} ({}, {} tasks) still waits for {} starts\n", open.work->spec.id,
                              open.work->spec.job_class, open.work->spec.tasks, open.waiting);
   record_.apply();
@@ -291,7 +291,7 @@
   done_();
 }
 
-void ScaleRun::fail(const std::string& why) {
+void ScaleTestRun::fail(const std::string& why) {
   if (std::exchange(over_, true)) return;
   failure_ = why + fmt::format(" (logs: {})", folder_.string());
   done_();
@@ -299,10 +299,10 @@
 
 // ---------------------------------------------------------------- faults
 
-void ScaleRun::inject(const Fault& f) {
+void ScaleTestRun::inject(const Fault& f) {
   if (over_) return;
   std::cerr << fmt::format("{:6.1f} s  fault: {} ({})\n", seconds(), Fault::name(f.kind), f.count);
-  measures_.fault(Fault::name(f.kind), run_time());
+  metrics_.fault(Fault::name(f.kind), run_time());
   std::size_t leading = leader();
   switch (f.kind) {
     case Fault::Kind::LeaderKilled:
@@ -321,7 +321,7 @@
   }
 }
 
-void ScaleRun::restart_controller(std::size_t number) {
+void ScaleTestRun::restart_controller(std::size_t number) {
   Role& c = *controllers_[number];
   if (over_ || !c.process) return;
   read_usage(c, false);
@@ -336,10 +336,10 @@
 
 /// Machines of one zone, which is what a rack or a switch takes down; those that come back have new names, as
 /// rented ones have.
-void ScaleRun::lose_machines(int count, const std::string& why, bool come_back) {
+void ScaleTestRun::lose_machines(int count, const std::string& why, bool come_back) {
   auto zones = plan_.zone_names();
   std::size_t zone = random_() % static_cast<std::size_t>(plan_.zones);
-  std::vector<world::MachineFacts> lost;
+  std::vector<simulation::MachineFacts> lost;
   for (std::size_t tried = 0; tried < static_cast<std::size_t>(plan_.zones); ++tried, ++zone) {
     zone %= static_cast<std::size_t>(plan_.zones);
     Host& host = *hosts_[zone];
@@ -368,14 +368,14 @@
 
 // ---------------------------------------------------------------- measuring
 
-std::vector<ScaleRun::Role*> ScaleRun::roles() {
+std::vector<ScaleTestRun::Role*> ScaleTestRun::roles() {
   std::vector<Role*> out{&state_};
   for (auto& c : controllers_) out.push_back(c.get());
   for (auto& h : hosts_) out.push_back(h.get());
   return out;
 }
 
-void ScaleRun::read_usage(Role& role, bool count_files) {
+void ScaleTestRun::read_usage(Role& role, bool count_files) {
   auto usage = role.process ? role.process->usage(count_files) : std::nullopt;
   if (!usage) return;
   role.peak_mb = std::max(role.peak_mb, usage->peak_mb);
@@ -384,7 +384,7 @@
 }
 
 /// Memory of all processes together, and sockets, while the window is open.
-void ScaleRun::sample() {
+void ScaleTestRun::sample() {
   if (over_) return;
   bool count_files = ++samples_ % 8 == 0;
   double memory = 0;
@@ -404,14 +404,14 @@
   loop_.call_later(kSampleEvery, [this] { sample(); });
 }
 
-void ScaleRun::ask_for_traffic() {
+void ScaleTestRun::ask_for_traffic() {
   for (auto& c : controllers_)
     if (c->process) c->process->signal(SIGUSR1);
 }
 
 /// The last line of a controller's log that says what it has sent and served. Counts begin anew with each
 /// life.
-void ScaleRun::read_traffic(Role& role) const {
+void ScaleTestRun::read_traffic(Role& role) const {
   std::ifstream log(role.log);
   std::string line, last;
   while (std::getline(log, line))
@@ -422,7 +422,7 @@
   if (parsed.is_object()) role.traffic = std::move(parsed);
 }
 
-void ScaleRun::progress() {
+void ScaleTestRun::progress() {
   if (over_) return;
   int workers = 0, tasks = 0;
   for (const auto& h : hosts_) workers += h->workers, tasks += h->tasks;
@@ -433,4 +433,4 @@
   loop_.call_later(kProgressEvery, [this] { progress(); });
 }
 
-}  // namespace corkmux::scale
+}  // namespace corkmux::scale_test
--- a/src/scale/scale_run.h
+++ b/src/scale_test/scale_test_run.h
@@ -10,26 +10,26 @@
 
 #include "child_process.h"
 #include "cloud.h"
+#include "event_merger.h"
 #include "job_source.h"
-#include "measures.h"
-#include "ordered_record.h"
-#include "scale_plan.h"
+#include "run_metrics.h"
+#include "scale_test_plan.h"
 #include "state_host.h"
 #include "users.h"
 
-namespace corkmux::scale {
+namespace corkmux::scale_test {
 
 /// The programs that a run starts.
 struct Programs {
   std::string own, controller;  // this program, for its other roles; the deployed one
 };
 
-class ScaleRun {
+class ScaleTestRun {
  public:
   /// `plan_file`: handed to the processes of other roles, which read the same plan, with `overrides`.
-  ScaleRun(Loop& loop, ScalePlan plan, Programs programs, std::string plan_file,
-           std::vector<std::string> overrides);
-  ~ScaleRun();
+  ScaleTestRun(Loop& loop, ScaleTestPlan plan, Programs programs, std::string plan_file,
+               std::vector<std::string> overrides);
+  ~ScaleTestRun();
   /// Plays the plan; `done` when it is over. Throws std::runtime_error if something cannot be started.
   void start(std::function<void()> done);
   /// Every rule held and enough of every class and team was served.
@@ -49,7 +49,7 @@
     codec::Json traffic = codec::Json::object(), traffic_at_start = codec::Json::object();
   };
   struct Host : Role {
-    std::vector<world::MachineFacts> to_boot;
+    std::vector<simulation::MachineFacts> to_boot;
     HostOrders orders;
     int workers = 0, tasks = 0;
   };
@@ -84,25 +84,25 @@
   double seconds() const { return run_time() - began_; }
 
   Loop& loop_;
-  ScalePlan plan_;
+  ScaleTestPlan plan_;
   Programs programs_;
   std::string plan_file_;
   std::vector<std::string> overrides_;
   JobSource jobs_;
-  Measures measures_;
-  OrderedRecord record_;
+  RunMetrics metrics_;
+  EventMerger record_;
   std::filesystem::path folder_;  // settings and logs; removed with the run unless it failed
-  std::unique_ptr<world::Witness> nobody_;
-  world::Yard yard_;
+  std::unique_ptr<simulation::MachineObserver> nobody_;
+  simulation::JobRegistry registry_;
   http::Server collector_;
-  std::unique_ptr<world::Cloud> cloud_;
-  std::unique_ptr<world::Users> users_;
+  std::unique_ptr<simulation::Cloud> cloud_;
+  std::unique_ptr<simulation::Users> users_;
   std::vector<ReservedAddress> user_addresses_, peer_addresses_;
   std::vector<std::unique_ptr<Role>> controllers_;
   std::vector<std::unique_ptr<Host>> hosts_;
   Role state_;
   StateCounts state_counts_, state_at_start_;
-  std::map<std::string, world::MachineFacts> machines_;
+  std::map<std::string, simulation::MachineFacts> machines_;
   std::map<std::string, std::string> machine_addresses_;
   std::size_t leader_at_start_ = 0, leader_at_end_ = 0;
   std::mt19937_64 random_;
@@ -113,4 +113,4 @@
   std::function<void()> done_;
 };
 
-}  // namespace corkmux::scale
+}  // namespace corkmux::scale_test
--- a/src/scale/state_host.cc
+++ b/src/scale_test/state_host.cc
@@ -1,10 +1,10 @@
 #include "state_host.h"
 
 #include "machine_events.h"
-#include "scale_constants.h"
+#include "scale_test_constants.h"
 #include "store_keys.h"
 
-namespace corkmux::scale {
+namespace corkmux::scale_test {
 namespace {
 constexpr int kMostFailures = 5;  // of reports in a row, after which the collector counts as gone
 }
@@ -27,7 +27,7 @@
   return out;
 }
 
-StateHost::StateHost(Loop& loop, const ScalePlan& plan, const std::string& collector)
+StateHost::StateHost(Loop& loop, const ScaleTestPlan& plan, const std::string& collector)
     : loop_(loop), state_(loop, "127.0.0.1:0"), collector_(loop, collector, 1, 4) {
   state_.value_bytes = static_cast<std::size_t>(plan.site.value_kb * 1024);
   state_.txn_ops = static_cast<std::size_t>(plan.site.txn_ops);
@@ -57,4 +57,4 @@
                      });
 }
 
-}  // namespace corkmux::scale
+}  // namespace corkmux::scale_test
--- a/src/scale/state_host.h
+++ b/src/scale_test/state_host.h
@@ -3,10 +3,10 @@
 #include <string>
 
 #include "http.h"
-#include "scale_plan.h"
+#include "scale_test_plan.h"
 #include "state_service.h"
 
-namespace corkmux::scale {
+namespace corkmux::scale_test {
 
 /// What the state service has counted so far.
 struct StateCounts {
@@ -21,15 +21,15 @@
 
 class StateHost {
  public:
-  StateHost(Loop& loop, const ScalePlan& plan, const std::string& collector);
+  StateHost(Loop& loop, const ScaleTestPlan& plan, const std::string& collector);
 
  private:
   void report();
   StateCounts counts() const;
   Loop& loop_;
-  world::State state_;
+  simulation::State state_;
   http::Client collector_;
   int failures_ = 0;
 };
 
-}  // namespace corkmux::scale
+}  // namespace corkmux::scale_test
--- a/src/book/room_index.cc
+++ b/src/scheduler/capacity_index.cc
@@ -1,22 +1,22 @@
-#include "room_index.h"
+#include "capacity_index.h"
 
 #include <algorithm>
 #include <cmath>
 
-#include "cluster.h"
-#include "floor.h"
+#include "reserved_capacity.h"
+#include "scheduler.h"
 
 namespace corkmux {
 namespace {
 
-using Use = RoomState::Use;
+using Use = MachineCapacity::Use;
 
-RoomIndex::Room room_of(const Resources& free) {
+CapacityIndex::FreeCapacity room_of(const Resources& free) {
   return {std::llround(free.gpus * 1e6), std::llround(free.cpus * 1e6), std::llround(free.memory_gb * 1e6)};
 }
 
 /// What is at its floor does not fall below it.
-RoomIndex::Drift drift(double value, double slope, double heard) {
+CapacityIndex::Drift drift(double value, double slope, double heard) {
   if (value <= 0 && slope < 0) slope = 0;
   return {value, slope, slope * heard};
 }
@@ -25,30 +25,30 @@
 
 bool ByName::operator()(const Machine* a, const Machine* b) const { return a->name < b->name; }
 
-void RoomIndex::take_out(Machine& m) {
-  Filed& f = m.filed;
+void CapacityIndex::take_out(Machine& m) {
+  IndexEntry& f = m.index_entry;
   if (!f.level) return;
-  Level& level = *f.level;
+  CapacityBucket& level = *f.level;
   level.slack.add(f.slack, -1);
   level.heat.add(f.heat, -1);
   for (const auto& image : m.images)
     if (auto i = level.images.find(image); i != level.images.end() && --i->second == 0) level.images.erase(i);
   Machine* last = level.machines.back();
   level.machines[f.position] = last;
-  last->filed.position = f.position;
+  last->index_entry.position = f.position;
   level.machines.pop_back();
   // An empty level goes, and with it what its sums have lost in rounding.
   if (level.machines.empty()) f.levels->erase(room_of(level.free));
   f.levels = nullptr, f.level = nullptr;
 }
 
-void RoomIndex::update(Machine& m, const RoomState& state, double slack) {
-  Filed& f = m.filed;
+void CapacityIndex::update(Machine& m, const MachineCapacity& state, double slack) {
+  IndexEntry& f = m.index_entry;
   if (!f.pool) {
     if (!m.up) return;
-    const int shelf = Floor::shelf(m.name);
-    Pool& pool = pools_[{m.type, m.zone, m.spot, shelf}];
-    pool.type = m.type, pool.zone = m.zone, pool.spot = m.spot, pool.shelf = shelf;
+    const int reservation_tier = ReservedCapacity::reservation_tier(m.name);
+    Pool& pool = pools_[{m.type, m.zone, m.spot, reservation_tier}];
+    pool.type = m.type, pool.zone = m.zone, pool.spot = m.spot, pool.reservation_tier = reservation_tier;
     if (m.size.cpus > 0) pool.size = m.size;
     f.pool = &pool;
     note_tasks(m);
@@ -73,14 +73,14 @@
   f.counted_size = counts ? m.size : Resources{};
   free_ += f.counted_free, size_ += f.counted_size;
 
-  Levels* levels = state.use == Use::Ready      ? &f.pool->ready
-                   : state.use == Use::Doubtful ? &f.pool->doubtful
-                                                : nullptr;
-  const Room room = room_of(m.free);
+  CapacityBuckets* levels = state.use == Use::Ready     ? &f.pool->ready
+                            : state.use == Use::Suspect ? &f.pool->suspect
+                                                        : nullptr;
+  const FreeCapacity room = room_of(m.free);
   if (!levels || levels != f.levels || room_of(f.level->free) != room) {
     take_out(m);
     if (!levels) return;
-    Level& level = (*levels)[room];
+    CapacityBucket& level = (*levels)[room];
     if (level.machines.empty()) level.free = m.free;
     f.levels = levels, f.level = &level, f.position = level.machines.size();
     level.machines.push_back(&m);
@@ -95,8 +95,8 @@
   f.level->heat.add(f.heat, 1);
 }
 
-void RoomIndex::remove(Machine& m) {
-  Filed& f = m.filed;
+void CapacityIndex::remove(Machine& m) {
+  IndexEntry& f = m.index_entry;
   if (!f.pool) return;
   update(m, {}, 0);
   list(m, -1);
@@ -104,13 +104,13 @@
   f.pool = nullptr;
 }
 
-void RoomIndex::list(Machine& m, int lowest) {
-  Filed& f = m.filed;
+void CapacityIndex::list(Machine& m, int lowest) {
+  IndexEntry& f = m.index_entry;
   if (f.lowest == lowest) return;
   if (f.lowest >= 0) {
     auto& from = f.pool->stoppable[static_cast<std::size_t>(f.lowest)];
     from[f.lowest_position] = from.back();
-    from[f.lowest_position]->filed.lowest_position = f.lowest_position;
+    from[f.lowest_position]->index_entry.lowest_position = f.lowest_position;
     from.pop_back();
   }
   f.lowest = lowest;
@@ -120,19 +120,19 @@
   to.push_back(&m);
 }
 
-void RoomIndex::note_tasks(Machine& m) {
-  if (!m.filed.pool) return;
+void CapacityIndex::note_tasks(Machine& m) {
+  if (!m.index_entry.pool) return;
   int lowest = -1;
   for (int p = 3; p >= 0; --p)
     if (m.stoppable[static_cast<std::size_t>(p)] > 0) lowest = p;
   list(m, lowest);
   if (m.stopping > 0)
-    m.filed.pool->stopping.insert(&m);
+    m.index_entry.pool->stopping.insert(&m);
   else
-    m.filed.pool->stopping.erase(&m);
+    m.index_entry.pool->stopping.erase(&m);
 }
 
-std::vector<Machine*> RoomIndex::due(double now) {
+std::vector<Machine*> CapacityIndex::due(double now) {
   std::vector<Machine*> out;
   for (const auto& [at, m] : wakes_) {
     if (at > now) break;
@@ -142,7 +142,7 @@
   return out;
 }
 
-const MachineSet& RoomIndex::kept_for(const std::string& job) const {
+const MachineSet& CapacityIndex::kept_for(const std::string& job) const {
   static const MachineSet none;
   auto k = kept_.find(job);
   return k == kept_.end() ? none : k->second;
--- a/src/book/room_index.h
+++ b/src/scheduler/capacity_index.h
@@ -13,7 +13,7 @@
 #include <utility>
 #include <vector>
 
-#include "types.h"
+#include "model.h"
 
 namespace corkmux {
 
@@ -26,18 +26,18 @@
 using MachineSet = std::set<Machine*, ByName>;
 
 /// Where new work may go as things stand, and until when that holds if nothing else changes.
-struct RoomState {
+struct MachineCapacity {
   enum class Use {
-    Out,       // takes no new work
-    Ready,     // takes any
-    Doubtful,  // failed lately: takes work only where nothing else has room
-    Kept,      // only of one job
+    Out,      // takes no new work
+    Ready,    // takes any
+    Suspect,  // failed lately: takes work only where nothing else has room
+    Kept,     // only of one job
   } use = Use::Out;
   std::string kept_for;
   double until = 1e18;  // s of the steady clock
 };
 
-class RoomIndex {
+class CapacityIndex {
  public:
   /// Sums over machines, of values that drift between reports: as of a moment, `at(now)` a little later.
   struct Drift {
@@ -47,34 +47,34 @@
       value += sign * d.value, slope += sign * d.slope, slope_heard += sign * d.slope_heard;
     }
   };
-  struct Level {
+  struct CapacityBucket {
     Resources free;  // of each of its machines
     std::vector<Machine*> machines;
     Drift slack, heat;                            // of all of them together
     std::unordered_map<std::string, int> images;  // how many of them hold each
   };
   /// In units of 1e-6, less than what Resources::fits() lets pass. Most accelerators and CPUs first.
-  using Room = std::array<long long, 3>;
-  using Levels = std::map<Room, Level, std::greater<>>;
+  using FreeCapacity = std::array<long long, 3>;
+  using CapacityBuckets = std::map<FreeCapacity, CapacityBucket, std::greater<>>;
   struct Pool {
     std::string type, zone;
     bool spot = false;
-    int shelf = 0;   // see Floor
-    Resources size;  // of each machine
-    Levels ready, doubtful;
+    int reservation_tier = 0;  // see Floor
+    Resources size;            // of each machine
+    CapacityBuckets ready, suspect;
     /// Machines by the lowest priority of what may be stopped there: arrays and services, gangs apart.
     std::array<std::vector<Machine*>, 4> stoppable;
     MachineSet stopping;  // something there is on its way out
   };
 
   /// What the index holds of a machine; kept in the machine, written by the index only.
-  struct Filed {
+  struct IndexEntry {
     Pool* pool = nullptr;
-    Levels* levels = nullptr;  // none: not in any level
-    Level* level = nullptr;
+    CapacityBuckets* levels = nullptr;  // none: not in any level
+    CapacityBucket* level = nullptr;
     std::size_t position = 0;  // in its level
     Drift slack, heat;
-    RoomState::Use use = RoomState::Use::Out;
+    MachineCapacity::Use use = MachineCapacity::Use::Out;
     std::string kept_for;
     double wake_at = 1e18;
     Resources counted_free, counted_size;  // in the totals of accelerators
@@ -83,7 +83,7 @@
   };
 
   /// Its state, room, heat or images have changed, or it is new. `slack` is the share of it that is free.
-  void update(Machine& m, const RoomState& state, double slack);
+  void update(Machine& m, const MachineCapacity& state, double slack);
   /// Out of its level until the next update: its images must not change while it is in one.
   void take_out(Machine& m);
   void remove(Machine& m);
--- a/src/book/settlement.cc
+++ b/src/scheduler/dependency_barrier.cc
@@ -1,11 +1,11 @@
-#include "settlement.h"
+#include "dependency_barrier.h"
 
 #include <algorithm>
 #include <utility>
 
 namespace corkmux {
 
-double Settlement::look(double seen, const std::vector<std::string>& pending, bool unclear) {
+double DependencyBarrier::look(double seen, const std::vector<std::string>& pending, bool unclear) {
   if (!news(seen)) return at_;
   // What was not there at the last look came of a cancel after it; or of one whose job was being looked up,
   // which may be older, though not older than what was settled then.
--- a/src/book/settlement.h
+++ b/src/scheduler/dependency_barrier.h
@@ -9,10 +9,10 @@
 
 namespace corkmux {
 
-class Settlement {
+class DependencyBarrier {
  public:
   /// `known`: what an earlier term has found, s of the steady clock.
-  explicit Settlement(double known) : at_(known) {}
+  explicit DependencyBarrier(double known) : at_(known) {}
   /// `seen`: s up to which all changes of jobs are in the book. `pending`: jobs whose needed job was
   /// cancelled and whose end is not stored yet. `unclear`: of some awaited job it is not known yet how it
   /// ended.
--- a/src/book/cluster_awaits.cc
+++ b/src/scheduler/dependency_graph.cc
@@ -2,21 +2,22 @@
 // those that need it. Graphs may be deep or wide, so nothing here recurses.
 #include <algorithm>
 
-#include "cluster.h"
 #include "constants.h"
+#include "scheduler.h"
 
 namespace corkmux {
 namespace c = constants;
 
 /// s from the moment a job may start until what needs it may, as its owner estimates.
-double Cluster::step_s(const Job& job) const { return std::max(1.0, job.spec.estimate_s); }
+double Scheduler::step_s(const Job& job) const { return std::max(1.0, job.spec.estimate_s); }
 
-std::string Cluster::waiting_for(const Job& job) {
-  if (job.unmet.empty()) return "";
-  return "waiting for " + *job.unmet.begin() + (job.unmet.size() > 1 ? " and others" : "");
+std::string Scheduler::waiting_for(const Job& job) {
+  if (job.unmet_dependencies.empty()) return "";
+  return "waiting for " + *job.unmet_dependencies.begin() +
+         (job.unmet_dependencies.size() > 1 ? " and others" : "");
 }
 
-void Cluster::no_longer_awaits(const std::string& id, const std::string& awaited) {
+void Scheduler::dependency_met(const std::string& id, const std::string& awaited) {
   auto d = dependents_.find(awaited);
   if (d == dependents_.end()) return;
   std::erase(d->second, id);
@@ -25,33 +26,33 @@
   unknown_.erase(awaited);
 }
 
-void Cluster::await(Job& job) {
+void Scheduler::await(Job& job) {
   const std::string& id = job.spec.id;
-  for (const auto& awaited : job.spec.awaits) {
+  for (const auto& awaited : job.spec.dependencies) {
     if (auto o = outcomes_.find(awaited); o != outcomes_.end()) {
       if (o->second.first == Outcome::Done)
         job.ready_at = std::max(job.ready_at, o->second.second);
       else
-        job.orphaned = true;
+        job.dependency_cancelled = true;
       continue;
     }
-    job.unmet.insert(awaited);
+    job.unmet_dependencies.insert(awaited);
     dependents_[awaited].push_back(id);
     if (const Job* other = this->job(awaited))
-      job.orphaned |= other->cancelled || other->orphaned;
+      job.dependency_cancelled |= other->cancelled || other->dependency_cancelled;
     else
       unknown_.insert(awaited);
   }
   job.why = waiting_for(job);
-  if (job.orphaned) {
+  if (job.dependency_cancelled) {
     ends(id);
-    orphan_dependents(id);
+    cancel_dependents(id);
   }
   inherit(job);
 }
 
 /// The highest priority and the tightest deadline of what needs it, through any number of steps.
-void Cluster::inherit(Job& first) {
+void Scheduler::inherit(Job& first) {
   std::vector<Job*> todo{&first};
   bool fresh = true;
   while (!todo.empty()) {
@@ -61,7 +62,7 @@
     double due = job.spec.deadline_s ? job.accepted_at + *job.spec.deadline_s : kNever;
     if (auto d = dependents_.find(job.spec.id); d != dependents_.end())
       for (const auto& id : d->second)
-        if (const Job* other = this->job(id); other && !other->cancelled && !other->orphaned) {
+        if (const Job* other = this->job(id); other && !other->cancelled && !other->dependency_cancelled) {
           priority = std::max(priority, other->priority);
           if (other->due_at < kNever) due = std::min(due, other->due_at - step_s(*other));
         }
@@ -78,29 +79,29 @@
     }
     job.due_at = due;
     job_index_.update(job);
-    for (const auto& id : job.unmet)
+    for (const auto& id : job.unmet_dependencies)
       if (Job* awaited = this->job(id)) todo.push_back(awaited);
   }
 }
 
-void Cluster::met(Job& job, const std::string& awaited, double at) {
-  if (!job.unmet.erase(awaited)) return;
+void Scheduler::met(Job& job, const std::string& awaited, double at) {
+  if (!job.unmet_dependencies.erase(awaited)) return;
   job.ready_at = std::max(job.ready_at, at);
-  no_longer_awaits(job.spec.id, awaited);
+  dependency_met(job.spec.id, awaited);
   job.why = waiting_for(job);
   changed_.insert(job.spec.id);
-  if (job.unmet.empty()) want_plan_ = true;
+  if (job.unmet_dependencies.empty()) wants_cycle_ = true;
   job_index_.update(job);
 }
 
-void Cluster::outcome(const std::string& id, Outcome how, double at) {
+void Scheduler::outcome(const std::string& id, Outcome how, double at) {
   if (outcomes_.try_emplace(id, how, at).second) outcome_order_.push_back(id);
   if (outcome_order_.size() > c::kFinalCache) {
     outcomes_.erase(outcome_order_.front());
     outcome_order_.pop_front();
   }
   unknown_.erase(id);
-  if (how == Outcome::Cancelled) return orphan_dependents(id);
+  if (how == Outcome::Cancelled) return cancel_dependents(id);
   auto d = dependents_.find(id);
   if (d == dependents_.end()) return;
   for (const auto& needs_it : std::vector<std::string>(d->second))
@@ -108,7 +109,7 @@
 }
 
 /// All that need it, directly or through others. They have no task anywhere: none of them could start.
-void Cluster::orphan_dependents(const std::string& id) {
+void Scheduler::cancel_dependents(const std::string& id) {
   std::vector<std::string> todo{id};
   while (!todo.empty()) {
     auto d = dependents_.find(todo.back());
@@ -116,9 +117,9 @@
     if (d == dependents_.end()) continue;
     for (const auto& needs_it : d->second) {
       Job* job = this->job(needs_it);
-      if (!job || job->orphaned) continue;
+      if (!job || job->dependency_cancelled) continue;
       if (!job->cancelled) {
-        job->orphaned = true;
+        job->dependency_cancelled = true;
         job->why = "a job that it needs was cancelled";
         ends(needs_it);
         changed_.insert(needs_it);
@@ -129,10 +130,10 @@
   }
 }
 
-std::vector<std::string> Cluster::orphans() const {
+std::vector<std::string> Scheduler::dependents_of_cancelled() const {
   std::vector<std::string> out;
   for (const auto& [id, order] : ending_)
-    if (auto job = jobs_.find(id); job != jobs_.end() && job->second.orphaned) out.push_back(id);
+    if (auto job = jobs_.find(id); job != jobs_.end() && job->second.dependency_cancelled) out.push_back(id);
   return out;
 }
 
--- a/src/book/blame.h
+++ b/src/scheduler/failure_attribution.h
@@ -7,13 +7,14 @@
 namespace corkmux {
 
 /// What is known of a job that failed on a machine.
-struct FailedThere {
+struct MachineFailures {
   int times = 0;      // its tasks that failed there since the machine last completed anything
   int elsewhere = 0;  // other machines that it failed on
   bool well = false;  // some of its tasks were completed, there or elsewhere
 };
-/// What such failures say against the machine, to be added over jobs: it counts as faulty from kBlameSick on.
-double blame_of_machine(const FailedThere& failed);
+/// What such failures say against the machine, to be added over jobs: it counts as faulty from kFaultyWeight
+/// on.
+double weight_against_machine(const MachineFailures& failed);
 /// Whether a job that has completed nothing and failed on so many machines that do not count as faulty by
 /// other jobs' failures fails by itself.
 bool fails_by_itself(int machines);
--- a/src/book/cluster_workers.cc
+++ b/src/scheduler/heartbeat_reconciler.cc
@@ -1,26 +1,26 @@
 // The book's side of the workers' protocol: reports, orders, leases and what proves a place empty.
 #include <algorithm>
 
-#include "cluster.h"
 #include "constants.h"
-#include "planted.h"
+#include "mutation.h"
+#include "scheduler.h"
 
 namespace corkmux {
 namespace c = constants;
 using Stage = ActiveTask::Stage;
 
-Cluster::ReportResult Cluster::on_report(const Report& r, Channel channel, double now) {
+Scheduler::HeartbeatResult Scheduler::on_heartbeat(const Heartbeat& r, Channel channel, double now) {
   // Guards against ghosts: a held-back report of a machine that was returned must not revive it.
   if (returned_.count(r.machine)) return {};
   auto [it, fresh] = machines_.try_emplace(r.machine);
   Machine& m = it->second;
   if (fresh) {
     m.name = r.machine;
-    fence(m);
-    m.rented_at = now;
+    raise_fencing_token(m);
+    m.provisioned_at = now;
   }
   if (!m.up || m.type.empty()) {
-    room_.remove(m);
+    capacity_index_.remove(m);
     m.up = true;
     m.type = r.type;
     m.zone = r.zone;
@@ -31,35 +31,37 @@
     m.free = m.size;
     m.free -= used;
     m.idle_since = now;
-    want_plan_ = true;
+    wants_cycle_ = true;
   }
   if (!r.address.empty()) m.address = r.address;
-  to_order_.insert(m.name);
-  ReportResult result;
-  result.token = m.token;
-  if (r.token > m.token && (r.token >> c::kTermShift) > term_) {
+  dispatch_candidates_.insert(m.name);
+  HeartbeatResult result;
+  result.fencing_token = m.fencing_token;
+  if (r.fencing_token > m.fencing_token && (r.fencing_token >> c::kTermShift) > term_) {
     result.superseded = true;
     return result;
   }
   // Late and reordered reports say nothing about the present.
-  bool stale = r.session < m.session || (r.session == m.session && r.seq <= m.seq);
+  bool stale = r.worker_epoch < m.worker_epoch || (r.worker_epoch == m.worker_epoch && r.seq <= m.seq);
   if (stale) return result;
-  if (r.session > m.session) {
-    if (m.session) notes_.push_back("machine " + m.name + " began session " + std::to_string(r.session));
-    all_gone(m, "lost its lease", now, r.session);
-    room_.take_out(m);
+  if (r.worker_epoch > m.worker_epoch) {
+    if (m.worker_epoch)
+      notes_.push_back("machine " + m.name + " began session " + std::to_string(r.worker_epoch));
+    lose_all_tasks(m, "lost its lease", now, r.worker_epoch);
+    capacity_index_.take_out(m);
     m.images.clear();
-    m.session = r.session;
+    m.worker_epoch = r.worker_epoch;
     m.seq = 0;
   }
-  if (now - m.last_heard > c::kSilentReports * config_.report_s) want_plan_ = true;
+  if (now - m.last_heard > c::kSilentReports * config_.report_s) wants_cycle_ = true;
   m.seq = r.seq;
   m.last_heard = now;
-  bool newly_fenced = m.token_seen < (term_ << c::kTermShift) && r.token >= (term_ << c::kTermShift);
-  m.token_seen = std::max(m.token_seen, r.token);
+  bool newly_fenced =
+      m.observed_token < (term_ << c::kTermShift) && r.fencing_token >= (term_ << c::kTermShift);
+  m.observed_token = std::max(m.observed_token, r.fencing_token);
   if (newly_fenced) {
-    m.fenced_at = now;
-    want_plan_ = true;
+    m.fencing_token_raised_at = now;
+    wants_cycle_ = true;
   }
   if (r.notice_s && m.gone_at < 0) {
     m.gone_at = now + *r.notice_s;
@@ -68,7 +70,7 @@
   }
 
   std::set<TaskKey> present;
-  std::vector<Command> forget;
+  std::vector<TaskCommand> forget;
   for (const auto& t : r.tasks) {
     TaskKey key{t.job, t.index};
     Job* job = this->job(t.job);
@@ -76,7 +78,7 @@
     if (job)
       if (auto f = job->active.find(t.index); f != job->active.end()) a = &f->second;
     bool ours = a && a->machine == m.name && a->attempt == t.attempt;
-    if (t.state == TaskReportState::Exited) {
+    if (t.state == TaskState::Exited) {
       if (ours) {
         present.insert(key);
         exited(*job, t.index, t, m, now);
@@ -86,27 +88,27 @@
       bool keep = false;
       if (t.why == ExitReason::Done && job && !job->cancelled && t.index < job->spec.tasks &&
           job->phase[t.index] == TaskPhase::Done) {
-        const Shard& s = shard_of(*job, t.index).second;
-        keep = s.written_gen < s.gen;
+        const TaskRecord& s = record_of(*job, t.index).second;
+        keep = s.persisted_generation < s.generation;
       }
-      if (!keep) forget.push_back({Command::Op::Forget, t.job, t.index, t.attempt, 0});
+      if (!keep) forget.push_back({TaskCommand::Op::Forget, t.job, t.index, t.attempt, 0});
       continue;
     }
     if (!ours) {
       // Nothing we hold stored says that this may run: a cancelled, finished or superseded attempt.
-      result.commands.push_back({Command::Op::Stop, t.job, t.index, t.attempt, 0});
+      result.commands.push_back({TaskCommand::Op::Stop, t.job, t.index, t.attempt, 0});
       continue;
     }
     present.insert(key);
     Stage before = a->stage;
     switch (t.state) {
-      case TaskReportState::Fetching:
+      case TaskState::Fetching:
         a->stage = Stage::Fetching;
         break;
-      case TaskReportState::Waiting:
+      case TaskState::Waiting:
         a->stage = Stage::Waiting;
         break;
-      case TaskReportState::Running:
+      case TaskState::Running:
         a->stage = Stage::Running;
         break;
       default:
@@ -114,20 +116,21 @@
         break;
     }
     if (a->stage == Stage::Running && a->running_at < 0) a->running_at = now;
-    a->session = r.session;
-    a->fence = 0;
+    a->worker_epoch = r.worker_epoch;
+    a->minimum_token = 0;
     a->after_seq = 0;
     if (a->stage == Stage::Waiting || a->stage == Stage::Running) note_image(m, job->spec);
     if (before != a->stage) changed_.insert(t.job);
     if (a->stop && (a->grace_s <= 0 || a->stage != Stage::Saving))
-      result.commands.push_back({Command::Op::Stop, t.job, t.index, t.attempt, a->grace_s});
+      result.commands.push_back({TaskCommand::Op::Stop, t.job, t.index, t.attempt, a->grace_s});
   }
 
   // Guards against a late copy of orders that were carried out: once it has cleared an attempt, the worker
   // would start it again. So what clears it carries a token above that of all launches, and waits while any
   // are on their way; until then the worker knows the attempt, and a copy does nothing.
-  if (channel == Channel::Report && !forget.empty() && !m.orders_in_flight) {
-    if (m.launched == m.token && !planted("what was cleared can be launched again")) m.token = next_number();
+  if (channel == Channel::Heartbeat && !forget.empty() && !m.dispatch_in_flight) {
+    if (m.last_launch_token == m.fencing_token && !mutation_enabled("what was cleared can be launched again"))
+      m.fencing_token = next_number();
     result.commands.insert(result.commands.end(), forget.begin(), forget.end());
   }
 
@@ -144,8 +147,8 @@
     // Absence is proof only once no launch of ours can still arrive: a launch whose fate is unknown raised
     // the machine's token, and this worker has seen it; a launch in a report's answer is settled by the next
     // report.
-    if (r.token < a.fence) continue;
-    if (a.after_seq && (channel != Channel::Report || r.seq <= a.after_seq)) continue;
+    if (r.fencing_token < a.minimum_token) continue;
+    if (a.after_seq && (channel != Channel::Heartbeat || r.seq <= a.after_seq)) continue;
     gone(key, "no longer has it", now);
   }
 
@@ -162,64 +165,64 @@
   }
   m.seen_slack = s, m.seen_heat = m.heat, m.seen_at = now;
 
-  if (channel == Channel::Report) {
+  if (channel == Channel::Heartbeat) {
     // A machine we cannot reach gets its launches with the answer; its next report settles them.
-    if (!m.direct && !m.orders_in_flight && usable(m, now)) {
+    if (!m.direct && !m.dispatch_in_flight && usable(m, now)) {
       for (const auto& [id, index] : std::exchange(m.outbox, {})) {
         Job* job = this->job(id);
         auto f = job ? job->active.find(index) : decltype(job->active.find(0)){};
-        if (!job || f == job->active.end() || f->second.session != m.session || f->second.stop) {
+        if (!job || f == job->active.end() || f->second.worker_epoch != m.worker_epoch || f->second.stop) {
           if (job && f != job->active.end()) unassign(*job, index, now);
           continue;
         }
         f->second.stage = Stage::Sent;
-        f->second.fence = 0;
+        f->second.minimum_token = 0;
         f->second.after_seq = r.seq;
         m.last_launch = now;
-        result.commands.push_back({Command::Op::Start, id, index, f->second.attempt, 0});
+        result.commands.push_back({TaskCommand::Op::Start, id, index, f->second.attempt, 0});
       }
     }
   }
-  refile(m, now);
+  reindex(m, now);
   if (m.gone_at >= 0) drain(m, now);
-  result.token = m.token;
+  result.fencing_token = m.fencing_token;
   return result;
 }
 
-void Cluster::answered(const std::string& name, double now) {
+void Scheduler::answered(const std::string& name, double now) {
   if (Machine* m = machine(name)) m->last_answered = now;
 }
 
-void Cluster::beyond_reach(const std::string& name, double now) {
+void Scheduler::set_unreachable(const std::string& name, double now) {
   if (Machine* m = machine(name)) {
     m->direct = false;
-    m->probe_at = now + 2 * config_.report_s;
+    m->next_probe_at = now + 2 * config_.report_s;
   }
 }
 
-bool Cluster::has_orders(const Machine& m) const {
-  if (m.orders_in_flight || !m.up || m.address.empty()) return false;
-  return m.direct && (!m.outbox.empty() || m.wants_orders || m.token_seen < m.wanted);
+bool Scheduler::has_commands(const Machine& m) const {
+  if (m.dispatch_in_flight || !m.up || m.address.empty()) return false;
+  return m.direct && (!m.outbox.empty() || m.needs_dispatch || m.observed_token < m.wanted);
 }
 
-std::vector<std::string> Cluster::with_orders() {
+std::vector<std::string> Scheduler::machines_with_commands() {
   std::vector<std::string> out;
-  for (const auto& name : std::exchange(to_order_, {}))
-    if (const Machine* m = machine(name); m && has_orders(*m)) out.push_back(name);
+  for (const auto& name : std::exchange(dispatch_candidates_, {}))
+    if (const Machine* m = machine(name); m && has_commands(*m)) out.push_back(name);
   return out;
 }
 
-Orders Cluster::take_orders(const std::string& name, double now) {
-  Orders out;
+CommandBatch Scheduler::take_commands(const std::string& name, double now) {
+  CommandBatch out;
   Machine& m = machines_.at(name);
-  m.orders_in_flight = true;
-  m.wants_orders = false;
-  out.token = m.token;
-  out.session = m.session;
+  m.dispatch_in_flight = true;
+  m.needs_dispatch = false;
+  out.fencing_token = m.fencing_token;
+  out.worker_epoch = m.worker_epoch;
   for (const auto& [id, index] : m.tasks) {
     const ActiveTask& a = jobs_.at(id).active.at(index);
     if (a.stop && a.stage != Stage::Assigned && (a.grace_s <= 0 || a.stage != Stage::Saving))
-      out.commands.push_back({Command::Op::Stop, id, index, a.attempt, a.grace_s});
+      out.commands.push_back({TaskCommand::Op::Stop, id, index, a.attempt, a.grace_s});
   }
   for (const auto& [id, index] : std::exchange(m.outbox, {})) {
     Job* job = this->job(id);
@@ -227,55 +230,57 @@
     auto f = job->active.find(index);
     if (f == job->active.end()) continue;
     ActiveTask& a = f->second;
-    if (a.session != m.session || a.stop || m.doomed) {
+    if (a.worker_epoch != m.worker_epoch || a.stop || m.decommissioning) {
       unassign(*job, index, now);
       if (job->spec.kind == JobKind::Gang) abort_gang(*job, now);
       continue;
     }
     a.stage = Stage::Sent;
-    a.fence = ~0ull;  // in flight: no report can prove absence
+    a.minimum_token = ~0ull;  // in flight: no report can prove absence
     m.last_launch = now;
     out.launches.push_back({id, index});
     out.attempts.push_back(a.attempt);
-    out.commands.push_back({Command::Op::Start, id, index, a.attempt, 0});
+    out.commands.push_back({TaskCommand::Op::Start, id, index, a.attempt, 0});
   }
-  if (!out.launches.empty()) m.launched = m.token;
+  if (!out.launches.empty()) m.last_launch_token = m.fencing_token;
   return out;
 }
 
-void Cluster::orders_done(const std::string& name, const Orders& orders, OrdersOutcome outcome, double now) {
+void Scheduler::dispatch_done(const std::string& name, const CommandBatch& command_batch,
+                              DispatchOutcome outcome, double now) {
   Machine* m = machine(name);
   if (!m) return;
-  m->orders_in_flight = false;
-  to_order_.insert(name);
-  if (outcome == OrdersOutcome::Unanswered) {
+  m->dispatch_in_flight = false;
+  dispatch_candidates_.insert(name);
+  if (outcome == DispatchOutcome::Unanswered) {
     // The launch may still arrive, minutes late: only a higher token that the worker has seen shuts it out.
-    fence(*m);
-    refile(*m, now);
+    raise_fencing_token(*m);
+    reindex(*m, now);
   }
-  if (outcome == OrdersOutcome::Unsent || outcome == OrdersOutcome::Unanswered) {
+  if (outcome == DispatchOutcome::Unsent || outcome == DispatchOutcome::Unanswered) {
     m->direct = false;
-    m->probe_at = now + 2 * config_.report_s;
-    if (!orders.commands.empty()) m->wants_orders = true;
+    m->next_probe_at = now + 2 * config_.report_s;
+    if (!command_batch.commands.empty()) m->needs_dispatch = true;
   } else {
     m->direct = true;
   }
-  for (std::size_t i = 0; i < orders.launches.size(); ++i) {
-    const auto& [id, index] = orders.launches[i];
+  for (std::size_t i = 0; i < command_batch.launches.size(); ++i) {
+    const auto& [id, index] = command_batch.launches[i];
     Job* job = this->job(id);
     if (!job) continue;
     auto f = job->active.find(index);
-    if (f == job->active.end() || f->second.attempt != orders.attempts[i] || f->second.stage != Stage::Sent)
+    if (f == job->active.end() || f->second.attempt != command_batch.attempts[i] ||
+        f->second.stage != Stage::Sent)
       continue;
     switch (outcome) {
-      case OrdersOutcome::Executed:
-        f->second.fence = 0;
+      case DispatchOutcome::Executed:
+        f->second.minimum_token = 0;
         break;
-      case OrdersOutcome::Unanswered:
-        f->second.fence = m->token;
+      case DispatchOutcome::Unanswered:
+        f->second.minimum_token = m->fencing_token;
         break;
-      case OrdersOutcome::Refused:
-      case OrdersOutcome::Unsent:
+      case DispatchOutcome::Refused:
+      case DispatchOutcome::Unsent:
         unassign(*job, index, now);
         if (job->spec.kind == JobKind::Gang) abort_gang(*job, now);
         break;
@@ -283,7 +288,7 @@
   }
 }
 
-void Cluster::drain(Machine& m, double now) {
+void Scheduler::drain(Machine& m, double now) {
   for (const auto& [id, index] : std::set<TaskKey>(m.tasks)) {
     Job* job = this->job(id);
     if (!job) continue;
@@ -291,7 +296,7 @@
     if (f == job->active.end() || f->second.stop || job->spec.checkpoint_s <= 0) continue;
     ActiveTask& a = f->second;
     if (a.stage != Stage::Running && a.stage != Stage::Waiting && a.stage != Stage::Fetching) continue;
-    if (m.gone_at >= 0 && m.gone_at - now < job->spec.save_s && !m.sick) continue;
+    if (m.gone_at >= 0 && m.gone_at - now < job->spec.save_s && !m.faulty) continue;
     double grace = job->spec.save_s + c::kCancelReserve;
     if (job->spec.kind == JobKind::Gang) {
       // An orderly stop reaches every member at once, or the save fails.
--- a/src/book/job_index.cc
+++ b/src/scheduler/job_index.cc
@@ -1,6 +1,6 @@
 #include "job_index.h"
 
-#include "cluster.h"
+#include "scheduler.h"
 
 namespace corkmux {
 namespace {
--- a/src/book/job_index.h
+++ b/src/scheduler/job_index.h
@@ -11,7 +11,7 @@
 #include <utility>
 #include <vector>
 
-#include "types.h"
+#include "model.h"
 
 namespace corkmux {
 
--- a/src/book/cluster_blame.cc
+++ b/src/scheduler/machine_failures.cc
@@ -1,35 +1,35 @@
 // Failures in the book: machines that are faulty are returned, jobs that fail by themselves are tried again
 // with pauses, and neither is taken for the other.
-#include "blame.h"
-#include "cluster.h"
 #include "constants.h"
+#include "failure_attribution.h"
+#include "scheduler.h"
 
 namespace corkmux {
 namespace c = constants;
 
-double Cluster::blame(const Machine& m, const std::string& without_job) const {
+double Scheduler::failure_weight(const Machine& m, const std::string& without_job) const {
   double sum = 0;
-  for (const auto& [id, b] : m.blamed) {
+  for (const auto& [id, b] : m.failures) {
     if (id == without_job) continue;
-    FailedThere failed{b.times, 0, b.well};
+    MachineFailures failed{b.times, 0, b.well};
     if (auto it = jobs_.find(id); it != jobs_.end()) {
       failed.well = it->second.done > 0;
       failed.elsewhere = std::max(0, static_cast<int>(it->second.failed_on.size()) - 1);
     }
-    sum += blame_of_machine(failed);
+    sum += weight_against_machine(failed);
   }
   return sum;
 }
 
-void Cluster::failed(Machine& m, Job& job, double now) {
+void Scheduler::failed(Machine& m, Job& job, double now) {
   const std::string& id = job.spec.id;
-  if (m.blamed.empty()) m.blamed_since = now;
-  if (m.blamed.size() < c::kBlamedJobs || m.blamed.count(id)) ++m.blamed[id].times;
+  if (m.failures.empty()) m.failures_since = now;
+  if (m.failures.size() < c::kFailedJobsRemembered || m.failures.count(id)) ++m.failures[id].times;
   // Guards against a batch of faulty machines that makes a good job look bad: what failed on a machine that
   // others fail on as well says nothing against the job.
-  if (m.sick || blame(m, id) >= c::kBlameSick) {
+  if (m.faulty || failure_weight(m, id) >= c::kFaultyWeight) {
     job.why = "failed on " + m.name + ", which fails others as well; started again elsewhere";
-    m.suspect_until = now + c::kSuspectTime;
+    m.cordoned_until = now + c::kCordonTime;
     return;
   }
   job.failed_on.insert(m.name);
@@ -37,7 +37,7 @@
   const bool was_bad = std::exchange(job.bad, job.done == 0 && fails_by_itself(machines));
   if (!job.bad) {
     job.why = "failed on " + m.name + ", started again elsewhere";
-    m.suspect_until = now + c::kSuspectTime;
+    m.cordoned_until = now + c::kCordonTime;
     return;
   }
   // Many tasks of one try fail at once: they are one reason to wait longer, not many.
@@ -47,42 +47,43 @@
   if (was_bad) return;
   // Its machines are cleared of what only it has said against them.
   for (const auto& name : job.failed_on)
-    if (Machine* other = machine(name); other && blame(*other, id) <= 0) {
-      other->suspect_until = -1e9;
-      refile(*other, now);
+    if (Machine* other = machine(name); other && failure_weight(*other, id) <= 0) {
+      other->cordoned_until = -1e9;
+      reindex(*other, now);
     }
 }
 
-void Cluster::went_well(Machine& m, Job& job) {
-  m.blamed.clear();
-  m.suspect_until = -1e9;
+void Scheduler::went_well(Machine& m, Job& job) {
+  m.failures.clear();
+  m.cordoned_until = -1e9;
   if (!job.bad) return;
   job.bad = false;
   job.not_before = 0;
 }
 
-void Cluster::judge(Machine& m, double now) {
-  if (m.sick || m.blamed.empty() || now - m.blamed_since < c::kBlameWait || blame(m, "") < c::kBlameSick)
+void Scheduler::judge_machine(Machine& m, double now) {
+  if (m.faulty || m.failures.empty() || now - m.failures_since < c::kFaultyDelay ||
+      failure_weight(m, "") < c::kFaultyWeight)
     return;
-  m.sick = true;
+  m.faulty = true;
   notes_.push_back("machine " + m.name + " fails work of different jobs: drained and returned");
-  for (const auto& [id, b] : m.blamed) {
+  for (const auto& [id, b] : m.failures) {
     Job* job = this->job(id);
     if (!job || !job->failed_on.erase(m.name) || !job->bad) continue;
     job->bad = job->done == 0 && fails_by_itself(static_cast<int>(job->failed_on.size()));
     if (!job->bad) job->not_before = now;
   }
-  refile(m, now);
+  reindex(m, now);
 }
 
-void Cluster::settle_blame(Job& job) {
+void Scheduler::settle_job_failures(Job& job) {
   for (const auto& name : job.failed_on)
     if (Machine* m = machine(name))
-      if (auto b = m->blamed.find(job.spec.id); b != m->blamed.end()) {
+      if (auto b = m->failures.find(job.spec.id); b != m->failures.end()) {
         if (job.done > 0)
           b->second.well = true;
         else
-          m->blamed.erase(b);
+          m->failures.erase(b);
       }
   job.failed_on.clear();
 }
--- a/src/book/cluster_placement.cc
+++ b/src/scheduler/placement.cc
@@ -7,44 +7,45 @@
 #include <limits>
 #include <numeric>
 
-#include "cluster.h"
 #include "constants.h"
+#include "scheduler.h"
 
 namespace corkmux {
 namespace c = constants;
 using Stage = ActiveTask::Stage;
 
-bool Cluster::takes_work(const Machine& m) const {
-  return m.up && !m.doomed && !m.sick && m.gone_at < 0 && m.size.cpus > 0 &&
-         m.token_seen >= (term_ << c::kTermShift) && m.token_seen >= m.wanted;
+bool Scheduler::takes_work(const Machine& m) const {
+  return m.up && !m.decommissioning && !m.faulty && m.gone_at < 0 && m.size.cpus > 0 &&
+         m.observed_token >= (term_ << c::kTermShift) && m.observed_token >= m.wanted;
 }
 
-bool Cluster::usable(const Machine& m, double now) const {
-  return takes_work(m) && now >= m.full_until && now < m.last_heard + c::kSilentReports * config_.report_s;
+bool Scheduler::usable(const Machine& m, double now) const {
+  return takes_work(m) && now >= m.no_capacity_until &&
+         now < m.last_heard + c::kSilentReports * config_.report_s;
 }
 
-bool Cluster::allowed(const JobSpec& spec, const std::string& type, const std::string& zone,
-                      bool spot) const {
+bool Scheduler::allowed(const JobSpec& spec, const std::string& type, const std::string& zone,
+                        bool spot) const {
   return spec.allows_type(type) && (!spec.zone || *spec.zone == zone) && (spec.spot || !spot);
 }
 
-bool Cluster::allowed(const JobSpec& spec, const Machine& m) const {
+bool Scheduler::allowed(const JobSpec& spec, const Machine& m) const {
   return allowed(spec, m.type, m.zone, m.spot);
 }
 
-double Cluster::fetch_time(const JobSpec& spec, const Machine& m) const {
+double Scheduler::fetch_time(const JobSpec& spec, const Machine& m) const {
   if (std::find(m.images.begin(), m.images.end(), spec.image) != m.images.end()) return 0;
   const auto* t = type(m.type);
   return t ? spec.image_gb / t->fetch_gb_per_s : spec.image_gb;
 }
 
-void Cluster::note_image(Machine& m, const JobSpec& spec) {
+void Scheduler::note_image(Machine& m, const JobSpec& spec) {
   if (!m.images.empty() && m.images.front() == spec.image) return;
   if (std::erase(m.images, spec.image)) {  // the same images, only in another order
     m.images.push_front(spec.image);
     return;
   }
-  room_.take_out(m);
+  capacity_index_.take_out(m);
   m.images.push_front(spec.image);
   m.image_gb[spec.image] = spec.image_gb;
   const auto* t = type(m.type);
@@ -59,7 +60,7 @@
   }
 }
 
-double Cluster::slack(const Machine& m, const Resources& free) const {
+double Scheduler::slack(const Machine& m, const Resources& free) const {
   double s = 1;
   if (m.size.cpus > 0) s = std::min(s, free.cpus / m.size.cpus);
   if (m.size.gpus > 0) s = std::min(s, free.gpus / m.size.gpus);
@@ -67,14 +68,14 @@
   return std::max(0.0, s);
 }
 
-double Cluster::utility(const Machine& m, double now) const {
+double Scheduler::utility(const Machine& m, double now) const {
   double age = std::max(0.0, now - m.last_heard);
   double s = std::max(0.0, slack(m, m.free) + age * m.slack_slope);
   double h = std::max(0.0, m.heat + age * m.heat_slope);
   return std::log2(1 + s) - c::kGamma * std::log2(1 + h) - c::kFetchWeight * m.fetch_s;
 }
 
-bool Cluster::within_limit(const std::string& name, const Resources& more) const {
+bool Scheduler::within_limit(const std::string& name, const Resources& more) const {
   auto t = teams_.find(name);
   if (t == teams_.end()) return false;
   Resources use = team_use(name);
@@ -83,7 +84,7 @@
 }
 
 /// Of one bid on one machine, so a gang's size is that of a member (paper III-B: the mass of a task).
-double Cluster::weight(const Job& job) const {
+double Scheduler::weight(const Job& job) const {
   static constexpr double kPriorityWeight[] = {1, 4, 16, 64};
   double largest = 1;
   for (const auto& t : types_) largest = std::max(largest, t.size.cpus);
@@ -92,7 +93,7 @@
          (job.indexed.guaranteed ? c::kGuaranteeBoost : 1);
 }
 
-Cluster::Shape Cluster::shape(const Job& job) const {
+Scheduler::Shape Scheduler::shape(const Job& job) const {
   const JobSpec& s = job.spec;
   return {s.need.cpus,
           s.need.gpus,
@@ -104,24 +105,24 @@
           static_cast<int>(job.priority),
           s.zone.value_or(""),
           s.types.value_or(std::vector<std::string>{}),
-          floored(job)};
+          is_starving(job)};
 }
 
-bool Cluster::known_not_to_fit(const Job& job, double now) const {
+bool Scheduler::known_not_to_fit(const Job& job, double now) const {
   // A job that room was made for sees machines that others do not; nor is one bound to a zone by its own
   // tasks like the rest.
-  if (now - job.room_made_at < c::kKeepRoom || !job.active.empty()) return false;
+  if (now - job.preempted_at < c::kNominationTime || !job.active.empty()) return false;
   auto it = not_fitting_.find(shape(job));
   return it != not_fitting_.end() && (job.spec.kind != JobKind::Gang || job.spec.tasks >= it->second);
 }
 
-void Cluster::note_not_fitting(const Job& job, double now) {
-  if (now - job.room_made_at < c::kKeepRoom || !job.active.empty()) return;
+void Scheduler::note_not_fitting(const Job& job, double now) {
+  if (now - job.preempted_at < c::kNominationTime || !job.active.empty()) return;
   auto [it, fresh] = not_fitting_.try_emplace(shape(job), job.spec.tasks);
   if (!fresh) it->second = std::min(it->second, job.spec.tasks);
 }
 
-void Cluster::note_freed(const std::string& zone, const Resources& need, double now) {
+void Scheduler::note_freed(const std::string& zone, const Resources& need, double now) {
   Freed& f = freed_[zone];
   double keep = std::exp(-std::max(0.0, now - f.at) / c::kFreeingWindow);
   f.sum.cpus = keep * f.sum.cpus + need.cpus;
@@ -133,28 +134,28 @@
 /// Once it is due, one zone is kept for it if the missing places will be free soon, at the rate at which the
 /// zone's have been of late: where many tasks end each second that costs next to nothing, where few do it
 /// would idle half a zone.
-void Cluster::gather(const Job& job, double now) {
+void Scheduler::hold_zone_for_gang(const Job& job, double now) {
   const JobSpec& spec = job.spec;
   if (spec.kind != JobKind::Gang || !spec.one_zone || !job.active.empty()) return;
   std::string best;
   int most = 0;
-  for (const auto& [zone, room] : room_by_zone(spec, fitting(job, false, now), now))
-    if (room.places > most && !gathering_.count(zone)) best = zone, most = room.places;
+  for (const auto& [zone, room] : free_capacity_by_zone(spec, fitting(job, false, now), now))
+    if (room.places > most && !held_zones_.count(zone)) best = zone, most = room.places;
   auto f = freed_.find(best);
   if (f == freed_.end()) return;
   double decay = std::exp(-std::max(0.0, now - f->second.at) / c::kFreeingWindow) / c::kFreeingWindow;
   bool by_gpus = spec.need.gpus > 0;
   double rate = decay * (by_gpus ? f->second.sum.gpus : f->second.sum.cpus);
   double missing = (spec.tasks - most) * (by_gpus ? spec.need.gpus : spec.need.cpus);
-  if (missing <= rate * c::kGatherPatience) gathering_[best] = spec.id;
+  if (missing <= rate * c::kZoneHoldLimit) held_zones_[best] = spec.id;
 }
 
-bool Cluster::overdue(const Job& job, double now) const {
+bool Scheduler::overdue(const Job& job, double now) const {
   return job.spec.kind != JobKind::Gang && job.spec.tasks >= c::kBeginTasks && job.active.empty() &&
          job.done == 0 && now - job.ready_at > c::kBeginShare * c::kBeginWithin;
 }
 
-Cluster::StartAim Cluster::start_aim(const Job& job, double now) const {
+Scheduler::StartAim Scheduler::start_aim(const Job& job, double now) const {
   StartAim out;
   auto aims = config_.start_within.find(job.spec.job_class);
   if (aims == config_.start_within.end() || !job.active.empty() || job.done > 0) return out;
@@ -167,18 +168,19 @@
 }
 
 /// The levels of a pool that the job's tasks fit on. They are in falling order of accelerators and CPUs, so
-/// those with too little are not even looked at; and no more than kLevels once there is room for all that is
-/// placed at once, the emptiest.
-void Cluster::level_slots(const Job& job, const RoomIndex::Pool& pool, const RoomIndex::Levels& levels,
-                          const std::map<const RoomIndex::Level*, std::vector<std::size_t>>& failed,
-                          double most_gpus, std::vector<Slot>& out) {
+/// those with too little are not even looked at; and no more than kBucketsExamined once there is room for all
+/// that is placed at once, the emptiest.
+void Scheduler::level_slots(
+    const Job& job, const CapacityIndex::Pool& pool, const CapacityIndex::CapacityBuckets& levels,
+    const std::map<const CapacityIndex::CapacityBucket*, std::vector<std::size_t>>& failed, double most_gpus,
+    std::vector<Slot>& out) {
   const Resources& need = job.spec.need;
   const int enough = job.spec.kind == JobKind::Gang ? job.spec.tasks : 1;
   int looked = 0, places = 0;
   for (auto it = levels.begin(); it != levels.end();) {
     ++steps_;
     const auto& [room, level] = *it;
-    if (need.gpus > level.free.gpus + 1e-6 || (looked >= c::kLevels && places >= enough)) return;
+    if (need.gpus > level.free.gpus + 1e-6 || (looked >= c::kBucketsExamined && places >= enough)) return;
     if (need.cpus > level.free.cpus + 1e-6) {  // nor do the next: on to those with fewer accelerators
       it = levels.upper_bound({room[0], std::numeric_limits<long long>::min(), 0});
       continue;
@@ -198,70 +200,74 @@
   }
 }
 
-std::vector<Cluster::Slot> Cluster::fitting(const Job& job, bool doubtful_too, double now,
-                                            const std::string* zone) {
+std::vector<Scheduler::Slot> Scheduler::fitting(const Job& job, bool include_suspect, double now,
+                                                const std::string* zone) {
   const JobSpec& spec = job.spec;
   if (spec.one_zone && !job.active.empty()) zone = &job.active.begin()->second.zone;
-  std::vector<Slot> shelved, plain, with_gpus, doubtful;
-  const bool held = floored(job);
+  std::vector<Slot> in_reserved_tier, plain, with_gpus, suspect;
+  const bool held = is_starving(job);
   // Accelerators never stall behind work that does not need them: it takes no machine with more of them free.
   double most_gpus = 1e18;
   if (spec.need.gpus <= 0 && accelerator_users_ && job.priority <= *accelerator_users_)
-    most_gpus = accelerators_wanted_ ? -1 : room_.free_gpus() - c::kAcceleratorReserve * room_.all_gpus();
+    most_gpus = accelerators_wanted_
+                    ? -1
+                    : capacity_index_.free_gpus() - c::kAcceleratorReserve * capacity_index_.all_gpus();
   auto closed = [&](const std::string& z) {
-    auto g = gathering_.find(z);
-    return (zone && z != *zone) || (g != gathering_.end() && g->second != spec.id);
+    auto g = held_zones_.find(z);
+    return (zone && z != *zone) || (g != held_zones_.end() && g->second != spec.id);
   };
   auto single = [&](Machine& m, std::vector<Slot>& out) {
     ++steps_;
     if (!allowed(spec, m) || closed(m.zone) || !spec.need.fits(m.free)) return;
     if (m.size.gpus > 0 && m.free.gpus > most_gpus) return;
-    if (kept_out(job, m.type, m.filed.pool->shelf)) return;
-    out.push_back({m.filed.pool, nullptr, &m, {}, 1, spec.need.times_in(m.free)});
+    if (excluded_by_reservation(job, m.type, m.index_entry.pool->reservation_tier)) return;
+    out.push_back({m.index_entry.pool, nullptr, &m, {}, 1, spec.need.times_in(m.free)});
   };
-  std::map<const RoomIndex::Level*, std::vector<std::size_t>> failed;
+  std::map<const CapacityIndex::CapacityBucket*, std::vector<std::size_t>> failed;
   for (const auto& name : job.failed_on) {
     Machine* m = machine(name);
-    if (!m || m->filed.use != RoomState::Use::Ready) continue;
-    failed[m->filed.level].push_back(m->filed.position);
-    single(*m, doubtful);
+    if (!m || m->index_entry.use != MachineCapacity::Use::Ready) continue;
+    failed[m->index_entry.level].push_back(m->index_entry.position);
+    single(*m, suspect);
   }
-  for (const auto& [key, pool] : room_.pools()) {
+  for (const auto& [key, pool] : capacity_index_.pools()) {
     ++steps_;
     if (closed(pool.zone) || !spec.need.fits(pool.size) || !allowed(spec, pool.type, pool.zone, pool.spot) ||
-        kept_out(job, pool.type, pool.shelf))
+        excluded_by_reservation(job, pool.type, pool.reservation_tier))
       continue;
     const bool gpus = spec.need.gpus <= 0 && pool.size.gpus > 0;
     // Work that machines are kept for fills these first, so that others find the rest.
-    const bool first = held && pool.shelf > 0 && pool.shelf <= floor_.shelves();
-    std::vector<Slot>& out = first && spec.kind != JobKind::Gang ? shelved : gpus ? with_gpus : plain;
+    const bool first =
+        held && pool.reservation_tier > 0 && pool.reservation_tier <= reserved_capacity_.reservation_tiers();
+    std::vector<Slot>& out = first && spec.kind != JobKind::Gang ? in_reserved_tier
+                             : gpus                              ? with_gpus
+                                                                 : plain;
     const double most = pool.size.gpus > 0 ? most_gpus : 1e18;
     level_slots(job, pool, pool.ready, failed, most, out);
-    level_slots(job, pool, pool.doubtful, {}, most, doubtful);
+    level_slots(job, pool, pool.suspect, {}, most, suspect);
   }
-  for (Machine* m : room_.kept_for(spec.id)) {
+  for (Machine* m : capacity_index_.kept_for(spec.id)) {
     bool gpus = spec.need.gpus <= 0 && m->size.gpus > 0;
-    single(*m, gpus ? with_gpus : now < m->suspect_until || job.failed_on.count(m->name) ? doubtful : plain);
+    single(*m, gpus ? with_gpus : now < m->cordoned_until || job.failed_on.count(m->name) ? suspect : plain);
   }
   if (spec.kind == JobKind::Gang) {
     // Whole machines for gangs: all fitting machines are looked at, those without accelerators first.
     std::move(with_gpus.begin(), with_gpus.end(), std::back_inserter(plain));
-    if (doubtful_too) std::move(doubtful.begin(), doubtful.end(), std::back_inserter(plain));
+    if (include_suspect) std::move(suspect.begin(), suspect.end(), std::back_inserter(plain));
     return plain;
   }
-  if (!shelved.empty()) return shelved;
+  if (!in_reserved_tier.empty()) return in_reserved_tier;
   // Work that needs no accelerator takes accelerator machines only when nothing else fits.
   if (!plain.empty()) return plain;
   if (!with_gpus.empty()) return with_gpus;
-  return doubtful;
+  return suspect;
 }
 
-std::map<std::string, Cluster::ZoneRoom> Cluster::room_by_zone(const JobSpec& spec,
-                                                               const std::vector<Slot>& slots,
-                                                               double now) const {
-  std::map<std::string, ZoneRoom> zones;
+std::map<std::string, Scheduler::ZoneCapacity> Scheduler::free_capacity_by_zone(
+    const JobSpec& spec, const std::vector<Slot>& slots, double now) const {
+  std::map<std::string, ZoneCapacity> zones;
   for (const auto& s : slots) {
-    ZoneRoom& z = zones[s.pool->zone];
+    ZoneCapacity& z = zones[s.pool->zone];
     auto n = static_cast<double>(s.count);
     z.machines += n;
     z.places += static_cast<int>(n) * s.times;
@@ -284,8 +290,8 @@
   return zones;
 }
 
-std::vector<std::string> Cluster::draw_zones(const JobSpec& spec,
-                                             const std::map<std::string, ZoneRoom>& zones) {
+std::vector<std::string> Scheduler::draw_zones(const JobSpec& spec,
+                                               const std::map<std::string, ZoneCapacity>& zones) {
   bool whole = spec.kind == JobKind::Gang && spec.one_zone;
   std::vector<std::pair<std::string, double>> odds;
   for (const auto& [name, z] : zones) {
@@ -307,7 +313,7 @@
   return order;
 }
 
-std::vector<std::size_t> Cluster::sample(std::size_t all, std::size_t most) {
+std::vector<std::size_t> Scheduler::sample(std::size_t all, std::size_t most) {
   std::vector<std::size_t> out;
   if (all <= most) {
     out.resize(all);
@@ -324,13 +330,13 @@
   return out;
 }
 
-Machine* Cluster::pick(const JobSpec& spec, const std::vector<Slot>& slots, double now) {
-  std::normal_distribution<double> noise(0, c::kNoise);
+Machine* Scheduler::pick(const JobSpec& spec, const std::vector<Slot>& slots, double now) {
+  std::normal_distribution<double> noise(0, c::kScoreNoise);
   Machine* best = nullptr;
   double best_score = -1e18;
   std::size_t all = 0;
   for (const auto& s : slots) all += s.count;
-  for (std::size_t k : sample(all, c::kSample)) {
+  for (std::size_t k : sample(all, c::kSampleSize)) {
     ++steps_;
     const Slot* s = slots.data();
     for (; k >= s->count; ++s) k -= s->count;
@@ -344,7 +350,7 @@
   return best;
 }
 
-bool Cluster::place_gang(Job& job, bool doubtful_too, double now) {
+bool Scheduler::place_gang(Job& job, bool include_suspect, double now) {
   const JobSpec& spec = job.spec;
   if (!within_limit(spec.team, spec.at_once())) {
     job.why = "waiting: the team's limit leaves no room for the whole gang";
@@ -355,8 +361,8 @@
               " room for all its tasks at once";
     return false;
   };
-  if (!doubtful_too && known_not_to_fit(job, now)) return no_room();
-  const auto zones = room_by_zone(spec, fitting(job, doubtful_too, now), now);
+  if (!include_suspect && known_not_to_fit(job, now)) return no_room();
+  const auto zones = free_capacity_by_zone(spec, fitting(job, include_suspect, now), now);
   const int most = spec.spread ? (spec.tasks + 1) / 2 : spec.tasks;  // in one zone
   auto order = draw_zones(spec, zones);
   // Its tasks are alike, so a zone takes as many as it has places, whichever machine comes first.
@@ -366,7 +372,7 @@
                       (spec.one_zone ? 0 : places) + std::min(most, zones.at(zone).places));
   if (places < spec.tasks) {
     // Machines on which something failed lately are better than waiting for ever.
-    if (!doubtful_too) return place_gang(job, true, now);
+    if (!include_suspect) return place_gang(job, true, now);
     note_not_fitting(job, now);
     return no_room();
   }
@@ -375,7 +381,7 @@
   int next = 0;
   for (const auto& zone : order)
     for (int here = 0; here < most && next < spec.tasks; ++here) {
-      auto slots = fitting(job, doubtful_too, now, &zone);
+      auto slots = fitting(job, include_suspect, now, &zone);
       Machine* m = slots.empty() ? nullptr : pick(spec, slots, now);
       if (!m) break;
       fetch = std::max(fetch, m->fetch_s);
@@ -392,7 +398,7 @@
   return true;
 }
 
-int Cluster::place_tasks(Job& job, int budget, double now) {
+int Scheduler::place_tasks(Job& job, int budget, double now) {
   const JobSpec& spec = job.spec;
   int placed = 0;
   std::map<std::string, int> in_zone;
@@ -414,7 +420,7 @@
       job.why = "waiting: no machine it may use has room";
       break;
     }
-    auto zone = draw_zones(spec, room_by_zone(spec, slots, now)).front();
+    auto zone = draw_zones(spec, free_capacity_by_zone(spec, slots, now)).front();
     std::erase_if(slots, [&](const Slot& s) { return s.pool->zone != zone; });
     Machine* m = pick(spec, slots, now);
     if (!m) break;
@@ -428,16 +434,18 @@
   return placed;
 }
 
-bool Cluster::kept_out(const Job& job, const std::string& type, int shelf) const {
-  return shelf > 0 && shelf <= floor_.shelves() && floor_types_.count(type) && !floored(job);
+bool Scheduler::excluded_by_reservation(const Job& job, const std::string& type, int reservation_tier) const {
+  return reservation_tier > 0 && reservation_tier <= reserved_capacity_.reservation_tiers() &&
+         reserved_types_.count(type) && !is_starving(job);
 }
 
-void Cluster::look_at_floor(const std::vector<const Job*>& order, double now) {
+void Scheduler::update_reserved_capacity(const std::vector<const Job*>& order, double now) {
   Resources ahead;  // processor and accelerator seconds
-  const Resources all{std::max(1.0, room_.all_cpus()), std::max(1.0, room_.all_gpus()), 0};
+  const Resources all{std::max(1.0, capacity_index_.all_cpus()), std::max(1.0, capacity_index_.all_gpus()),
+                      0};
   auto has = [&](const Resources& use) { return std::max(use.cpus / all.cpus, use.gpus / all.gpus); };
-  auto run_s = [](const JobSpec& s) { return s.estimate_s > 0 ? s.estimate_s : c::kFloorNoEstimate; };
-  std::vector<Floor::Waiting> waiting;
+  auto run_s = [](const JobSpec& s) { return s.estimate_s > 0 ? s.estimate_s : c::kDefaultJobEstimate; };
+  std::vector<ReservedCapacity::Waiting> waiting;
   for (const Job* job : order) {
     const JobSpec& s = job->spec;
     // What its own team's limit holds back waits for no other; what fails is not kept from being served.
@@ -452,33 +460,33 @@
     double seconds = job->queued * run_s(s);
     ahead += {seconds * s.need.cpus, seconds * s.need.gpus, 0};
   }
-  floor_.look(waiting, now);
-  if (auto held = floor_.held(); held != floor_told_) {
-    floor_told_ = std::move(held);
+  reserved_capacity_.look(waiting, now);
+  if (auto held = reserved_capacity_.starving(); held != logged_starving_) {
+    logged_starving_ = std::move(held);
     std::string all;
-    for (const auto& name : floor_told_) all += (all.empty() ? "" : ", ") + name;
+    for (const auto& name : logged_starving_) all += (all.empty() ? "" : ", ") + name;
     notes_.push_back(all.empty()
                          ? "no class or team is in arrears any more: no machines are kept"
                          : "less than half would be served of " + all + ": machines are kept for them");
   }
-  floor_types_.clear();
-  if (floor_.shelves() == 0) return;
+  reserved_types_.clear();
+  if (reserved_capacity_.reservation_tiers() == 0) return;
   for (const Job* job : order) {
-    if (!floored(*job)) continue;
+    if (!is_starving(*job)) continue;
     const JobSpec& s = job->spec;
     bool plain = false;  // where it fits without accelerators it needs none
     auto usable_type = [&](const MachineType& t) { return s.allows_type(t.name) && s.need.fits(t.size); };
     for (const auto& t : types_) plain |= usable_type(t) && t.size.gpus <= 0;
     for (const auto& t : types_)
-      if (usable_type(t) && !(plain && t.size.gpus > 0)) floor_types_.insert(t.name);
+      if (usable_type(t) && !(plain && t.size.gpus > 0)) reserved_types_.insert(t.name);
   }
 }
 
-void Cluster::plan(double now) {
-  want_plan_ = false;
+void Scheduler::schedule(double now) {
+  wants_cycle_ = false;
   not_fitting_.clear();
-  gathering_.clear();
-  for (Machine* m : room_.due(now)) refile(*m, now);
+  held_zones_.clear();
+  for (Machine* m : capacity_index_.due(now)) reindex(*m, now);
   keep_promises(now);
   auto late = [this](const Job& job, double at) {
     auto aim = config_.finish_within.find(job.spec.job_class);
@@ -516,13 +524,13 @@
   });
   std::vector<const Job*> bids;
   for (const Bid& bid : order) bids.push_back(bid.job);
-  look_at_floor(bids, now);
+  update_reserved_capacity(bids, now);
   accelerators_wanted_ = false;
   accelerator_users_ = job_index_.accelerator_users();
   for (const Bid& bid : order)
     accelerators_wanted_ |=
         bid.job->spec.need.gpus > 0 && within_limit(bid.job->spec.team, bid.job->spec.need);
-  int budget = c::kPassBids, preemptors = 0;
+  int budget = c::kBidsPerCycle, preemptors = 0;
   bool claimed = false;
   // Looking for work to stop is dear; it is left out where nothing of lower priority runs.
   const Priority lowest = job_index_.lowest_stoppable().value_or(Priority::Production);
@@ -536,7 +544,7 @@
   for (const Bid& bid : order) {
     Job* job = bid.job;
     if (budget <= 0) {
-      want_plan_ = true;
+      wants_cycle_ = true;
       break;
     }
     const JobSpec& spec = job->spec;
@@ -553,13 +561,13 @@
     if (gang && place_gang(*job, false, now))
       budget -= spec.tasks;
     else if (gang && bid.aim.due)
-      gather(*job, now);
+      hold_zone_for_gang(*job, now);
     else if (!gang)
       budget -= place_tasks(*job, bid.overdue || behind ? 1 : budget, now);
     // A guarantee is claimed once waiting alone would miss its aim; one claim a pass bounds the pass's time.
     if (job->queued > 0 && job->promise == Job::Promise::Given && !claimed &&
         now - job->ready_at >= c::kClaimAfter * config_.guarantee_within &&
-        now - job->reclaimed_at >= config_.gang_peer_s + c::kKeepRoom) {
+        now - job->reclaimed_at >= config_.gang_peer_s + c::kNominationTime) {
       claimed = true;
       job->reclaimed_at = now;
       if (reclaim(*job, now)) continue;
@@ -570,8 +578,8 @@
       if (!fresh) h->second = std::max(h->second, job->priority);
     }
     // Guards against stopping ever more: what was stopped for a job gets the time to end before more is.
-    if (now - job->room_made_at < c::kKeepRoom) continue;
-    if (preemptors++ < c::kPreemptorsPerPass && make_room(*job, now)) job->room_made_at = now;
+    if (now - job->preempted_at < c::kNominationTime) continue;
+    if (preemptors++ < c::kPreemptorsPerCycle && preempt_for(*job, now)) job->preempted_at = now;
   }
 }
 
--- a/src/book/cluster_preemption.cc
+++ b/src/scheduler/preemption.cc
@@ -4,9 +4,9 @@
 #include <optional>
 #include <queue>
 
-#include "cluster.h"
 #include "constants.h"
-#include "reclaim.h"
+#include "quota_reclaim.h"
+#include "scheduler.h"
 
 namespace corkmux {
 namespace c = constants;
@@ -14,11 +14,11 @@
 
 /// Saving takes time that the urgent work waits; where a stop loses no more than saving costs, it is not
 /// asked for.
-bool Cluster::saves_when_stopped(const JobSpec& spec) const {
-  return spec.checkpoint_s > 0 && spec.checkpoint_s / 2 > c::kSaveWorth * spec.save_s;
+bool Scheduler::saves_when_stopped(const JobSpec& spec) const {
+  return spec.checkpoint_s > 0 && spec.checkpoint_s / 2 > c::kCheckpointWorth * spec.save_s;
 }
 
-void Cluster::preempt(const TaskKey& key, const std::string& why) {
+void Scheduler::preempt(const TaskKey& key, const std::string& why) {
   Job& job = jobs_.at(key.first);
   bool save = saves_when_stopped(job.spec);
   job.why = why;
@@ -30,27 +30,30 @@
 }
 
 /// Whether a job's tasks may go there once it has room.
-bool Cluster::open_to(const Job& job, const Machine& m, double now) const {
+bool Scheduler::open_to(const Job& job, const Machine& m, double now) const {
   const JobSpec& spec = job.spec;
-  return usable(m, now) && (now >= m.room_until || m.room_for == spec.id) && allowed(spec, m) &&
-         !kept_out(job, m.type, m.filed.pool ? m.filed.pool->shelf : 0) &&
+  return usable(m, now) && (now >= m.nominated_until || m.nominated_job == spec.id) && allowed(spec, m) &&
+         !excluded_by_reservation(job, m.type,
+                                  m.index_entry.pool ? m.index_entry.pool->reservation_tier : 0) &&
          (!spec.one_zone || job.active.empty() || job.active.begin()->second.zone == m.zone);
 }
 
 /// Those with room as they are, as many as the job could use; those where something is stopping already; and
-/// of those that run less urgent work all, or kStopLooks drawn from them. A job that finds too little among
-/// these looks at others in a later pass.
-std::map<std::string, std::vector<Machine*>> Cluster::stop_candidates(const Job& job, double now) {
+/// of those that run less urgent work all, or kPreemptionCandidatesExamined drawn from them. A job that finds
+/// too little among these looks at others in a later pass.
+std::map<std::string, std::vector<Machine*>> Scheduler::stop_candidates(const Job& job, double now) {
   const JobSpec& spec = job.spec;
   const auto wanted = static_cast<std::size_t>(spec.kind == JobKind::Gang ? spec.tasks : 1);
   std::map<std::string, MachineSet> groups;
   std::map<std::string, std::vector<const std::vector<Machine*>*>> lists;
-  for (const auto& [key, pool] : room_.pools()) {
+  for (const auto& [key, pool] : capacity_index_.pools()) {
     ++steps_;
-    if (!allowed(spec, pool.type, pool.zone, pool.spot) || kept_out(job, pool.type, pool.shelf)) continue;
+    if (!allowed(spec, pool.type, pool.zone, pool.spot) ||
+        excluded_by_reservation(job, pool.type, pool.reservation_tier))
+      continue;
     const std::string group = spec.one_zone ? pool.zone : "";
     auto& machines = groups[group];
-    std::size_t looks = c::kStopLooks;
+    std::size_t looks = c::kPreemptionCandidatesExamined;
     for (Machine* m : pool.stopping)
       if (looks-- == 0)
         break;
@@ -69,7 +72,7 @@
   for (auto& [group, machines] : groups) {
     std::size_t all = 0;
     for (const auto* list : lists[group]) all += list->size();
-    for (std::size_t k : sample(all, c::kStopLooks)) {
+    for (std::size_t k : sample(all, c::kPreemptionCandidatesExamined)) {
       auto list = lists[group].begin();
       for (; k >= (*list)->size(); ++list) k -= (*list)->size();
       machines.insert((**list)[k]);
@@ -83,12 +86,12 @@
 /// what it waits for, else on machines. What is already stopping counts as free, so nothing is stopped twice
 /// over. One walk over candidates and their tasks, then a heap of machines by how much has to be stopped on
 /// each.
-bool Cluster::make_room(Job& job, double now) {
+bool Scheduler::preempt_for(Job& job, double now) {
   const JobSpec& spec = job.spec;
   auto team = teams_.find(spec.team);
   if (team == teams_.end()) return false;
   const int tasks = spec.kind == JobKind::Gang ? spec.tasks : 1;
-  struct Victim {
+  struct PreemptionCandidate {
     TaskKey key;
     Resources need;
     double cost;
@@ -97,13 +100,13 @@
   struct Place {
     Machine* machine;
     Resources after;  // free once everything that is stopping has stopped
-    std::vector<Victim> victims;
+    std::vector<PreemptionCandidate> victims;
     std::size_t stopped = 0;  // of the victims, from the front
   };
   Resources use = team_use(spec.team);
   if (auto s = stopping_use_.find(spec.team); s != stopping_use_.end()) use -= s->second;
   const bool guarded = !job.indexed.guaranteed;
-  auto victim = [&](const Job& other, int index, const ActiveTask& a) -> std::optional<Victim> {
+  auto victim = [&](const Job& other, int index, const ActiveTask& a) -> std::optional<PreemptionCandidate> {
     bool same = other.spec.team == spec.team;
     // Guards against two jobs that take turns: what is placed first, for its team's guarantee, is not
     // stopped for another team's work beyond its own; what came within the guarantee starts whatever others
@@ -114,7 +117,8 @@
       return std::nullopt;
     // Starts that have just been counted are spared; then what has run least.
     double age = now - a.since;
-    return Victim{{other.spec.id, index}, other.spec.need, age + (age < c::kFreshStart ? 1e6 : 0), same};
+    return PreemptionCandidate{
+        {other.spec.id, index}, other.spec.need, age + (age < c::kFreshStart ? 1e6 : 0), same};
   };
   // A one-zone job is tried zone by zone, any other in one group.
   std::map<std::string, std::vector<Place>> groups;
@@ -137,11 +141,11 @@
   const Resources wanted = spec.at_once();
   auto over = [&](Resources u) { return !team->second.allows(u += wanted); };
   const bool at_limit = over(use);  // then work of the same team goes first: it frees both room and limit
-  auto cheaper = [&](const Victim& a, const Victim& b) {
+  auto cheaper = [&](const PreemptionCandidate& a, const PreemptionCandidate& b) {
     if (at_limit && a.same_team != b.same_team) return a.same_team;
     return a.cost != b.cost ? a.cost < b.cost : a.key < b.key;
   };
-  std::vector<Victim> chosen;
+  std::vector<PreemptionCandidate> chosen;
   std::vector<Machine*> places;
   bool found = false;
   for (auto& [zone, group] : groups) {
@@ -162,7 +166,7 @@
       std::sort(group[i].victims.begin(), group[i].victims.end(), cheaper);
       if (auto n = stops(group[i])) heap.push({*n, i});
     }
-    std::vector<Victim> stopped;
+    std::vector<PreemptionCandidate> stopped;
     std::vector<Machine*> where;
     while (static_cast<int>(where.size()) < tasks && !heap.empty()) {
       auto [n, i] = heap.top();
@@ -188,10 +192,12 @@
     if (v.same_team) use -= v.need;
   }
   if (over(use)) {
-    std::vector<Victim> own;  // what may be stopped of the same team, wherever it is: the latest jobs' first
+    std::vector<PreemptionCandidate>
+        own;  // what may be stopped of the same team, wherever it is: the latest jobs' first
     for (bool guaranteed : {false, true}) {
       const auto& running = job_index_.running(spec.team, guaranteed);
-      for (auto other = running.rbegin(); other != running.rend() && own.size() < c::kStopLooks; ++other) {
+      for (auto other = running.rbegin();
+           other != running.rend() && own.size() < c::kPreemptionCandidatesExamined; ++other) {
         ++steps_;
         if ((*other)->priority >= job.priority || (*other)->spec.kind == JobKind::Gang) continue;
         for (const auto& [index, a] : (*other)->active) {
@@ -209,7 +215,7 @@
     }
     if (over(use)) return false;
   }
-  for (auto* m : places) keep_for(*m, job, now + c::kKeepRoom, now);
+  for (auto* m : places) nominate(*m, job, now + c::kNominationTime, now);
   for (const auto& v : chosen)
     preempt(v.key, "stopped to make room for " + spec.id + ", which is more urgent; started again later");
   if (!chosen.empty())
@@ -218,13 +224,13 @@
   return true;
 }
 
-void Cluster::keep_for(Machine& m, const Job& job, double until, double now) {
-  m.room_for = job.spec.id;
-  m.room_until = until;
-  refile(m, now);
+void Scheduler::nominate(Machine& m, const Job& job, double until, double now) {
+  m.nominated_job = job.spec.id;
+  m.nominated_until = until;
+  reindex(m, now);
 }
 
-void Cluster::keep_promises(double now) {
+void Scheduler::keep_promises(double now) {
   using P = Job::Promise;
   for (Job* job : std::vector<Job*>(job_index_.promising().begin(), job_index_.promising().end())) {
     ++steps_;
@@ -240,25 +246,25 @@
 }
 
 /// What choose_reclaim() is asked, and what its places and units are in the book.
-struct Cluster::ReclaimCase {
-  ReclaimInput in;
+struct Scheduler::QuotaReclaimCase {
+  QuotaReclaimInput in;
   std::vector<Machine*> machines;
   std::vector<TaskKey> keys;  // of each unit, one of its tasks
 };
 
 /// The places that a claim could get: as many as it needs of those with room, those where something is
-/// stopping, and those of the work that may be stopped for it. Of that at most kStopLooks tasks are looked
-/// at, of each team those of the latest jobs.
-Cluster::ReclaimCase Cluster::reclaim_case(const Job& job, double now) {
+/// stopping, and those of the work that may be stopped for it. Of that at most kPreemptionCandidatesExamined
+/// tasks are looked at, of each team those of the latest jobs.
+Scheduler::QuotaReclaimCase Scheduler::reclaim_case(const Job& job, double now) {
   const JobSpec& spec = job.spec;
-  ReclaimCase out;
+  QuotaReclaimCase out;
   out.in.need = spec.need, out.in.tasks = job.queued, out.in.one_zone = spec.one_zone;
   std::map<std::string, int> zones;
   std::unordered_map<const Machine*, int> places;
   auto place_of = [&](Machine* m) {
     auto [it, fresh] = places.try_emplace(m, static_cast<int>(out.machines.size()));
     if (!fresh) return it->second;
-    ReclaimInput::Place place;
+    QuotaReclaimInput::Place place;
     place.free = m->free;
     place.zone = zones.try_emplace(m->zone, static_cast<int>(zones.size())).first->second;
     place.open = open_to(job, *m, now);
@@ -279,8 +285,8 @@
          ++i)
       place_of(slot.level->machines[i]);
   }
-  for (const auto& [key, pool] : room_.pools()) {
-    std::size_t looks = c::kStopLooks;
+  for (const auto& [key, pool] : capacity_index_.pools()) {
+    std::size_t looks = c::kPreemptionCandidatesExamined;
     for (Machine* m : pool.stopping)
       if (looks-- == 0)
         break;
@@ -299,7 +305,8 @@
     if (name == spec.team || beyond.cpus <= 0) continue;  // each task takes CPUs
     std::size_t looked = 0;
     const auto& running = job_index_.running(name, false);
-    for (auto it = running.rbegin(); it != running.rend() && looked < c::kStopLooks; ++it) {
+    for (auto it = running.rbegin(); it != running.rend() && looked < c::kPreemptionCandidatesExamined;
+         ++it) {
       const Job& other = **it;
       ++steps_;
       if (other.draining) continue;
@@ -333,8 +340,8 @@
 }
 
 /// The claim's places are kept for it until what is stopped has saved and gone.
-void Cluster::keep_reclaimed(const Job& job, const ReclaimCase& c, const std::vector<int>& chosen,
-                             double now) {
+void Scheduler::keep_reclaimed(const Job& job, const QuotaReclaimCase& c, const std::vector<int>& chosen,
+                               double now) {
   const JobSpec& spec = job.spec;
   auto places = c.in.places;
   double longest = 0;
@@ -356,7 +363,7 @@
     int n = spec.need.times_in(places[i].free);
     if (n == 0) continue;
     left -= n;
-    keep_for(*c.machines[i], job, now + longest + config_.gang_peer_s + constants::kCancelReserve, now);
+    nominate(*c.machines[i], job, now + longest + config_.gang_peer_s + constants::kCancelReserve, now);
   }
 }
 
@@ -364,7 +371,7 @@
 /// team's use together with that stays within the guarantee. What is stopped is never within a guarantee
 /// itself, is of teams that run more than theirs, and never takes one of them below it. So no stopped work
 /// could claim anything back, and two teams cannot take turns.
-bool Cluster::reclaim(Job& job, double now) {
+bool Scheduler::reclaim(Job& job, double now) {
   const JobSpec& spec = job.spec;
   auto team = teams_.find(spec.team);
   // Guards against stopping work for places that the job would then not get: a job that is spread over zones
@@ -373,7 +380,7 @@
   Resources wanted = team_use(spec.team);
   for (int i = 0; i < job.queued; ++i) wanted += spec.need;
   if (!team->second.guarantees(wanted)) return false;
-  const ReclaimCase c = reclaim_case(job, now);
+  const QuotaReclaimCase c = reclaim_case(job, now);
   auto chosen = choose_reclaim(c.in);
   if (!chosen || chosen->empty()) return false;  // empty: room is about to be free anyway
   keep_reclaimed(job, c, *chosen, now);
--- a/src/book/reclaim.cc
+++ b/src/scheduler/quota_reclaim.cc
@@ -1,4 +1,4 @@
-#include "reclaim.h"
+#include "quota_reclaim.h"
 
 #include <algorithm>
 #include <numeric>
@@ -7,28 +7,28 @@
 namespace {
 
 /// How many claimed tasks fit, kept up as units are taken and put back.
-class Room {
+class FreeCapacity {
  public:
-  Room(const ReclaimInput& in, int zone) : in_(in), zone_(zone), beyond_(in.beyond) {
+  FreeCapacity(const QuotaReclaimInput& in, int zone) : in_(in), zone_(zone), beyond_(in.beyond) {
     for (const auto& p : in.places) free_.push_back(p.free);
     for (std::size_t i = 0; i < free_.size(); ++i) fits_ += count(static_cast<int>(i));
   }
   bool enough() const { return fits_ >= in_.tasks; }
-  bool allowed(const ReclaimInput::Unit& u) const {
+  bool allowed(const QuotaReclaimInput::PreemptionUnit& u) const {
     Resources all = total(u);
     const Resources& left = beyond_[static_cast<std::size_t>(u.team)];
     constexpr double kRounding = 1e-6;
     return all.cpus <= left.cpus + kRounding && all.gpus <= left.gpus + kRounding;
   }
-  void take(const ReclaimInput::Unit& u) { change(u, 1); }
-  void put_back(const ReclaimInput::Unit& u) { change(u, -1); }
+  void take(const QuotaReclaimInput::PreemptionUnit& u) { change(u, 1); }
+  void put_back(const QuotaReclaimInput::PreemptionUnit& u) { change(u, -1); }
   /// Whether stopping it frees anything where the claim could use it.
-  bool touches(const ReclaimInput::Unit& u) const {
+  bool touches(const QuotaReclaimInput::PreemptionUnit& u) const {
     return std::any_of(u.members.begin(), u.members.end(), [&](int m) { return usable(m); });
   }
 
  private:
-  static Resources total(const ReclaimInput::Unit& u) {
+  static Resources total(const QuotaReclaimInput::PreemptionUnit& u) {
     Resources all;
     for (std::size_t i = 0; i < u.members.size(); ++i) all += u.need;
     return all;
@@ -40,7 +40,7 @@
   int count(int place) const {
     return usable(place) ? in_.need.times_in(free_[static_cast<std::size_t>(place)]) : 0;
   }
-  void change(const ReclaimInput::Unit& u, int sign) {
+  void change(const QuotaReclaimInput::PreemptionUnit& u, int sign) {
     for (int m : u.members) {
       fits_ -= count(m);
       Resources& f = free_[static_cast<std::size_t>(m)];
@@ -50,14 +50,14 @@
     Resources& left = beyond_[static_cast<std::size_t>(u.team)];
     sign > 0 ? left -= total(u) : left += total(u);
   }
-  const ReclaimInput& in_;
+  const QuotaReclaimInput& in_;
   int zone_;
   std::vector<Resources> free_, beyond_;
   int fits_ = 0;
 };
 
-std::optional<std::vector<int>> choose_in(const ReclaimInput& in, int zone) {
-  Room room(in, zone);
+std::optional<std::vector<int>> choose_in(const QuotaReclaimInput& in, int zone) {
+  FreeCapacity room(in, zone);
   std::vector<int> order(in.units.size()), taken;
   std::iota(order.begin(), order.end(), 0);
   std::sort(order.begin(), order.end(), [&](int a, int b) {
@@ -89,7 +89,7 @@
 
 }  // namespace
 
-std::optional<std::vector<int>> choose_reclaim(const ReclaimInput& in) {
+std::optional<std::vector<int>> choose_reclaim(const QuotaReclaimInput& in) {
   if (!in.one_zone) return choose_in(in, -1);
   int zones = 0;
   for (const auto& p : in.places) zones = std::max(zones, p.zone + 1);
--- a/src/book/reclaim.h
+++ b/src/scheduler/quota_reclaim.h
@@ -4,11 +4,11 @@
 #include <optional>
 #include <vector>
 
-#include "types.h"
+#include "model.h"
 
 namespace corkmux {
 
-struct ReclaimInput {
+struct QuotaReclaimInput {
   /// What is claimed: `tasks` places of this size, all in one zone or anywhere.
   Resources need;
   int tasks = 1;
@@ -20,13 +20,13 @@
   };
   std::vector<Place> places;
   /// What can only be stopped together: a task, or a whole gang.
-  struct Unit {
+  struct PreemptionUnit {
     int team = 0;              // index into `beyond`
     double lost = 0;           // CPU seconds of work that the stop costs
     Resources need;            // of each member
     std::vector<int> members;  // the place of each
   };
-  std::vector<Unit> units;
+  std::vector<PreemptionUnit> units;
   /// What each team runs beyond its guarantee: no more of it is stopped. Memory does not count.
   std::vector<Resources> beyond;
 };
@@ -34,6 +34,6 @@
 /// The units to stop, by index: those that lose least first, and none that the claim can do without. Empty:
 /// it fits as it is. nullopt: it cannot be met within what the teams run beyond their guarantees. A pure
 /// function.
-std::optional<std::vector<int>> choose_reclaim(const ReclaimInput& input);
+std::optional<std::vector<int>> choose_reclaim(const QuotaReclaimInput& input);
 
 }  // namespace corkmux
--- a/src/book/floor.h
+++ b/src/scheduler/reserved_capacity.h
@@ -3,8 +3,8 @@
 //
 // Owns how much of each class and team was served of late and how far it is in arrears. It is told what waits
 // and for how long it will, and looks at nothing else; so a new leader, who remembers nothing served, knows
-// the same arrears within kFloorRise. Which work is kept out of kept machines is the book's
-// (Cluster::kept_out).
+// the same arrears within kReservationRise. Which work is kept out of kept machines is the book's
+// (Cluster::excluded_by_reservation).
 #pragma once
 #include <map>
 #include <string>
@@ -12,7 +12,7 @@
 
 namespace corkmux {
 
-class Floor {
+class ReservedCapacity {
  public:
   struct Waiting {
     const std::string *job_class = nullptr, *team = nullptr;
@@ -21,16 +21,16 @@
   };
   /// A job of theirs is done.
   void served(const std::string& job_class, const std::string& team, double now);
-  /// How things stand; every kFloorEvery s or more.
+  /// How things stand; every kReservationInterval s or more.
   void look(const std::vector<Waiting>& waiting, double now);
   /// Whether machines are kept for such work.
   bool holds(const std::string& job_class, const std::string& team) const;
-  /// Shelves of machines that are kept: 0 to kFloorShelves.
-  int shelves() const { return shelves_; }
+  /// Shelves of machines that are kept: 0 to kReservationTiers.
+  int reservation_tiers() const { return reservation_tiers_; }
   /// The shelf that a machine is on for good, from 1; most are on none: 0.
-  static int shelf(const std::string& machine);
+  static int reservation_tier(const std::string& machine);
   /// Classes and teams that are held, for the log.
-  std::vector<std::string> held() const;
+  std::vector<std::string> starving() const;
 
  private:
   struct Group {
@@ -46,7 +46,7 @@
   static double wanted(Group& g, double now);
   std::map<std::string, Group> classes_, teams_;
   double looked_at_ = -1e9;
-  int shelves_ = 0;
+  int reservation_tiers_ = 0;
 };
 
 }  // namespace corkmux
--- a/src/book/fleet.cc
+++ b/src/scheduler/scaling.cc
@@ -1,4 +1,4 @@
-#include "fleet.h"
+#include "scaling.h"
 
 #include <algorithm>
 #include <cmath>
@@ -19,24 +19,24 @@
 
 }  // namespace
 
-FleetPlan plan_fleet(const Cluster& cluster, const OperatorChoices& choices,
-                     const std::map<std::tuple<std::string, std::string, bool>, double>& refused,
-                     double now) {
-  FleetPlan out;
+ScalingPlan plan_scaling(const Scheduler& cluster, const OperatorChoices& choices,
+                         const std::map<std::tuple<std::string, std::string, bool>, double>& refused,
+                         double now) {
+  ScalingPlan out;
   if (!choices.manage_fleet) return out;
   // Without any unfinished job for several of the usual gaps between jobs, nothing is kept in reserve.
   double patience =
-      std::min(choices.idle_return_s, std::max(c::kLullFloor, c::kLullGaps * cluster.arrival_gap()));
-  bool quiet = cluster.lull(now) > patience;
+      std::min(choices.idle_return_s, std::max(c::kIdleMinimum, c::kIdleGaps * cluster.arrival_gap()));
+  bool quiet = cluster.idle_for(now) > patience;
   double idle_limit = quiet ? patience : choices.idle_return_s;
   std::map<std::string, Stock> stock;
   for (const auto& [name, m] : cluster.machines()) {
-    if (m.doomed || m.sick || m.gone_at >= 0) continue;
+    if (m.decommissioning || m.faulty || m.gone_at >= 0) continue;
     Stock& s = stock[m.type];
     const auto* t = cluster.type(m.type);
     if (!m.up) {
       // A boot that takes far longer than the catalog says no longer counts as a machine to come.
-      if (t && now - m.rented_at < 2 * t->boot_s + c::kBootGrace) ++s.coming, ++s.in_zone[m.zone];
+      if (t && now - m.provisioned_at < 2 * t->boot_s + c::kBootGrace) ++s.coming, ++s.in_zone[m.zone];
       continue;
     }
     ++s.in_zone[m.zone];
@@ -92,13 +92,13 @@
         if (zones.empty()) continue;
         std::map<std::string, int> add;
         auto in_zone = s.in_zone;
-        for (int i = 0; i < std::min(missing, c::kMaxRent); ++i) {
+        for (int i = 0; i < std::min(missing, c::kMaxScaleOut); ++i) {
           auto z = *std::min_element(zones.begin(), zones.end(),
                                      [&](const auto& a, const auto& b) { return in_zone[a] < in_zone[b]; });
           ++add[z];
           ++in_zone[z];
         }
-        for (const auto& [z, n] : add) out.rent.push_back({t.name, z, spot, n});
+        for (const auto& [z, n] : add) out.scale_out.push_back({t.name, z, spot, n});
         asked = true;
         break;
       }
@@ -112,7 +112,7 @@
                 [](auto* a, auto* b) { return a->idle_since < b->idle_since; });
       for (const auto* m : s.returnable) {
         if (surplus-- <= 0) break;
-        out.give_back.push_back(m->name);
+        out.scale_in.push_back(m->name);
       }
     }
   }
--- a/src/book/fleet.h
+++ b/src/scheduler/scaling.h
@@ -5,25 +5,26 @@
 #include <tuple>
 #include <vector>
 
-#include "cluster.h"
+#include "scheduler.h"
 #include "settings.h"
 
 namespace corkmux {
 
-struct RentWish {
+struct ScaleOutRequest {
   std::string type, zone;
   bool spot = false;
   int count = 0;
   auto key() const { return std::make_tuple(type, zone, spot); }
 };
 
-struct FleetPlan {
-  std::vector<RentWish> rent;
-  std::vector<std::string> give_back;
+struct ScalingPlan {
+  std::vector<ScaleOutRequest> scale_out;
+  std::vector<std::string> scale_in;
 };
 
 /// `refused` tells until when a type, zone and kind is not asked again.
-FleetPlan plan_fleet(const Cluster& cluster, const OperatorChoices& choices,
-                     const std::map<std::tuple<std::string, std::string, bool>, double>& refused, double now);
+ScalingPlan plan_scaling(const Scheduler& cluster, const OperatorChoices& choices,
+                         const std::map<std::tuple<std::string, std::string, bool>, double>& refused,
+                         double now);
 
 }  // namespace corkmux
--- a/src/book/cluster.cc
+++ b/src/scheduler/scheduler.cc
@@ -1,28 +1,28 @@
-#include "cluster.h"
+#include "scheduler.h"
 
 #include <algorithm>
 #include <cmath>
 
 #include "constants.h"
-#include "planted.h"
+#include "mutation.h"
 
 namespace corkmux {
 namespace c = constants;
 using Stage = ActiveTask::Stage;
 
-double ClusterConfig::keepalive() const {
+double SchedulerConfig::keepalive() const {
   // A cancel that a cut-off holder cannot see must still be met: its workers' leases have to run out in time.
   return std::max(0.0, cancel_s - lease_s * (1 + c::kClockDrift) - c::kCancelReserve);
 }
 
-int ClusterConfig::tasks_per_shard() const {
-  if (first_form_cut > 0) return first_form_cut;
+int SchedulerConfig::tasks_per_v1_record() const {
+  if (v1_tasks_per_record > 0) return v1_tasks_per_record;
   constexpr double kBytesPerTask = 96,
                    kUsable = 0.8;  // a record's worst case as JSON, share of the limit used
   return std::clamp(static_cast<int>(value_kb * 1024 * kUsable / kBytesPerTask), 1, 256);
 }
 
-Cluster::Cluster(ClusterConfig config, std::uint64_t term, double now, std::uint64_t seed)
+Scheduler::Scheduler(SchedulerConfig config, std::uint64_t term, double now, std::uint64_t seed)
     : config_(std::move(config)),
       term_(term),
       started_(now),
@@ -34,36 +34,37 @@
   for (const auto& team : config_.teams) teams_[team.name] = team;
 }
 
-void Cluster::set_catalog(const std::vector<MachineType>& types) { types_ = types; }
-const MachineType* Cluster::type(const std::string& name) const {
+void Scheduler::set_catalog(const std::vector<MachineType>& types) { types_ = types; }
+const MachineType* Scheduler::type(const std::string& name) const {
   for (const auto& t : types_)
     if (t.name == name) return &t;
   return nullptr;
 }
-Job* Cluster::job(const std::string& id) {
+Job* Scheduler::job(const std::string& id) {
   auto it = jobs_.find(id);
   return it == jobs_.end() ? nullptr : &it->second;
 }
-Machine* Cluster::machine(const std::string& name) {
+Machine* Scheduler::machine(const std::string& name) {
   auto it = machines_.find(name);
   return it == machines_.end() ? nullptr : &it->second;
 }
-Resources Cluster::team_use(const std::string& team) const {
+Resources Scheduler::team_use(const std::string& team) const {
   auto it = use_.find(team);
   return it == use_.end() ? Resources{} : it->second;
 }
 
 // ---------------------------------------------------------------- jobs
 
-void Cluster::put_job(const JobSpec& spec, std::uint64_t version, bool cancelled, double now, double age_s) {
+void Scheduler::put_job(const JobSpec& spec, std::uint64_t revision, bool cancelled, double now,
+                        double age_s) {
   auto [it, fresh] = jobs_.try_emplace(spec.id);
   Job& job = it->second;
-  job.version = version;
+  job.revision = revision;
   if (fresh) {
     unknown_.erase(spec.id);
     job.spec = spec;
     job.priority = spec.priority;
-    job.order = version;
+    job.order = revision;
     job.accepted_at = job.ready_at = now - age_s;
     job.phase.assign(static_cast<std::size_t>(spec.tasks), TaskPhase::Queued);
     job.queued = spec.tasks;
@@ -77,7 +78,7 @@
     await(job);
   }
   changed_.insert(spec.id);
-  want_plan_ = true;
+  wants_cycle_ = true;
   if (cancelled && !job.cancelled) {
     job.cancelled = true;
     std::vector<int> unsent;
@@ -86,18 +87,18 @@
     for (int index : unsent) unassign(job, index, now);
     for (auto& [index, a] : job.active) stop_task(job, index, 0);
     ends(spec.id);
-    orphan_dependents(spec.id);
+    cancel_dependents(spec.id);
   }
   job_index_.update(job);
 }
 
-void Cluster::forget_job(const std::string& id) {
+void Scheduler::forget_job(const std::string& id) {
   auto it = jobs_.find(id);
   if (it == jobs_.end()) return;
   Job& job = it->second;
   while (!job.active.empty()) unassign(job, job.active.begin()->first, 0);
-  auto awaited = std::move(job.spec.awaits);
-  settle_blame(job);
+  auto awaited = std::move(job.spec.dependencies);
+  settle_job_failures(job);
   job_index_.remove(job);
   jobs_.erase(it);
   changed_.erase(id);
@@ -105,31 +106,31 @@
   // What still needs it learns of its end from the store.
   if (dependents_.count(id) && !outcomes_.count(id)) unknown_.insert(id);
   for (const auto& other : awaited) {
-    no_longer_awaits(id, other);
+    dependency_met(id, other);
     if (Job* a = this->job(other)) inherit(*a);
   }
 }
 
-int Cluster::running(const Job& job) const {
+int Scheduler::running(const Job& job) const {
   int n = 0;
   for (const auto& [i, a] : job.active) n += a.stage == Stage::Running || a.stage == Stage::Saving;
   return n;
 }
-std::string Cluster::reason(const Job& job) const {
+std::string Scheduler::reason(const Job& job) const {
   return job.queued > 0 || !job.failed_on.empty() ? job.why : "";
 }
 
-void Cluster::assign(Job& job, int index, Machine& m, std::uint64_t attempt, double now) {
+void Scheduler::assign(Job& job, int index, Machine& m, std::uint64_t attempt, double now) {
   ActiveTask a;
   a.attempt = attempt;
   a.machine = m.name;
   a.zone = m.zone;
-  a.session = m.session;
+  a.worker_epoch = m.worker_epoch;
   a.since = now;
-  a.fence = ~0ull;
-  a.lapse_at = now + c::kReservation + 2 * fetch_time(job.spec, m);
-  dirty(job, index, Urgency::Launch, now);
-  a.gen = shard_of(job, index).second.gen;
+  a.minimum_token = ~0ull;
+  a.reservation_expires_at = now + c::kReservationTimeout + 2 * fetch_time(job.spec, m);
+  mark_dirty(job, index, Urgency::Launch, now);
+  a.generation = record_of(job, index).second.generation;
   job.active[index] = a;
   job.phase[index] = TaskPhase::Active;
   --job.queued;
@@ -140,35 +141,37 @@
   class_use_[job.spec.job_class] += job.spec.need;
   changed_.insert(job.spec.id);
   count_task(m, job, a, 1);
-  refile(m, now);
+  reindex(m, now);
   job_index_.update(job);
 }
 
-void Cluster::count_task(Machine& m, const Job& job, const ActiveTask& a, int by) {
+void Scheduler::count_task(Machine& m, const Job& job, const ActiveTask& a, int by) {
   if (a.stop)
     m.stopping += by;
   else if (job.spec.kind != JobKind::Gang)
     m.stoppable[static_cast<std::size_t>(job.priority)] += by;
-  room_.note_tasks(m);
+  capacity_index_.note_tasks(m);
 }
 
-RoomState Cluster::room_state(const Machine& m, double now) const {
+MachineCapacity Scheduler::machine_capacity(const Machine& m, double now) const {
   const double silent_at = m.last_heard + c::kSilentReports * config_.report_s;
-  using Use = RoomState::Use;
+  using Use = MachineCapacity::Use;
   if (!takes_work(m) || now >= silent_at) return {};
-  auto until = [&](Use use, double at) { return RoomState{use, "", std::min(at, silent_at)}; };
-  if (now < m.full_until) return until(Use::Out, m.full_until);
-  if (now < m.room_until) {
-    RoomState kept = until(Use::Kept, m.room_until);
-    kept.kept_for = m.room_for;
+  auto until = [&](Use use, double at) { return MachineCapacity{use, "", std::min(at, silent_at)}; };
+  if (now < m.no_capacity_until) return until(Use::Out, m.no_capacity_until);
+  if (now < m.nominated_until) {
+    MachineCapacity kept = until(Use::Kept, m.nominated_until);
+    kept.kept_for = m.nominated_job;
     return kept;
   }
-  return now < m.suspect_until ? until(Use::Doubtful, m.suspect_until) : until(Use::Ready, silent_at);
+  return now < m.cordoned_until ? until(Use::Suspect, m.cordoned_until) : until(Use::Ready, silent_at);
 }
 
-void Cluster::refile(Machine& m, double now) { room_.update(m, room_state(m, now), slack(m, m.free)); }
+void Scheduler::reindex(Machine& m, double now) {
+  capacity_index_.update(m, machine_capacity(m, now), slack(m, m.free));
+}
 
-void Cluster::unassign(Job& job, int index, double now) {
+void Scheduler::unassign(Job& job, int index, double now) {
   auto it = job.active.find(index);
   if (it == job.active.end()) return;
   Machine* m = machine(it->second.machine);
@@ -181,7 +184,7 @@
     }
     std::erase(m->outbox, TaskKey{job.spec.id, index});
     count_task(*m, job, it->second, -1);
-    refile(*m, now);
+    reindex(*m, now);
   }
   note_freed(it->second.zone, job.spec.need, now);
   if (it->second.stop) stopping_use_[job.spec.team] -= job.spec.need;
@@ -194,15 +197,15 @@
     job.phase[index] = TaskPhase::Queued;
     ++job.queued;
     job.cursor = std::min(job.cursor, index);
-    dirty(job, index, Urgency::Rest, now);
+    mark_dirty(job, index, Urgency::Rest, now);
   }
   if (job.active.empty()) job.draining = false;
   changed_.insert(job.spec.id);
-  want_plan_ = true;
+  wants_cycle_ = true;
   job_index_.update(job);
 }
 
-void Cluster::stop_task(Job& job, int index, double grace_s) {
+void Scheduler::stop_task(Job& job, int index, double grace_s) {
   auto it = job.active.find(index);
   if (it == job.active.end()) return;
   ActiveTask& a = it->second;
@@ -216,12 +219,12 @@
   }
   a.grace_s = grace_s;
   if (m) {
-    m->wants_orders = true;
-    to_order_.insert(m->name);
+    m->needs_dispatch = true;
+    dispatch_candidates_.insert(m->name);
   }
 }
 
-void Cluster::abort_gang(Job& job, double now) {
+void Scheduler::abort_gang(Job& job, double now) {
   // All start or all release: what is not sent yet is taken back, the rest is stopped.
   std::vector<int> unsent;
   for (auto& [index, a] : job.active)
@@ -231,7 +234,7 @@
     if (!(job.draining && a.stop)) stop_task(job, index, 0);
 }
 
-void Cluster::task_done(Job& job, int index, double now) {
+void Scheduler::task_done(Job& job, int index, double now) {
   auto finish = [&](int i) {
     if (job.phase[i] == TaskPhase::Done) return;
     if (job.phase[i] == TaskPhase::Queued) --job.queued;
@@ -239,7 +242,7 @@
     ++job.done;
     unassign(job, i, now);
     job_index_.update(job);
-    dirty(job, i, Urgency::Rest, now);
+    mark_dirty(job, i, Urgency::Rest, now);
   };
   if (job.spec.kind == JobKind::Service) {  // a replica that ended is started again
     unassign(job, index, now);
@@ -249,18 +252,18 @@
   // PROTOCOL "Gangs": they complete together. Guards against quota that is taken for free: that a mate is
   // done does not say that it has left a machine which hangs or cannot be reached. So each counts as done,
   // and its place as empty, by its own report or another proof that it is gone.
-  const bool all = planted("a gang that is done has left all machines");
+  const bool all = mutation_enabled("a gang that is done has left all machines");
   for (int i = 0; complete(job) && i < job.spec.tasks; ++i)
     if (all || job.phase[i] == TaskPhase::Queued) finish(i);
   job.why.clear();
-  if (job.over() && ends(job.spec.id)) floor_.served(job.spec.job_class, job.spec.team, now);
+  if (job.over() && ends(job.spec.id)) reserved_capacity_.served(job.spec.job_class, job.spec.team, now);
 }
 
-bool Cluster::complete(const Job& job) const {
+bool Scheduler::complete(const Job& job) const {
   return job.spec.kind == JobKind::Gang && job.done > 0 && !job.cancelled;
 }
 
-void Cluster::exited(Job& job, int index, const TaskReport& t, Machine& m, double now) {
+void Scheduler::exited(Job& job, int index, const TaskStatus& t, Machine& m, double now) {
   auto it = job.active.find(index);
   if (it == job.active.end()) return;
   if ((t.why == ExitReason::Done || complete(job)) && !job.cancelled) {
@@ -273,7 +276,7 @@
       failed(m, job, now);
       break;
     case ExitReason::NoRoom:
-      m.full_until = now + config_.report_s;
+      m.no_capacity_until = now + config_.report_s;
       break;
     case ExitReason::Busy:
     case ExitReason::Unknown:
@@ -286,7 +289,7 @@
   if (job.spec.kind == JobKind::Gang) abort_gang(job, now);
 }
 
-void Cluster::gone(const TaskKey& key, const char* why, double now) {
+void Scheduler::gone(const TaskKey& key, const char* why, double now) {
   Job* job = this->job(key.first);
   if (!job) return;
   if (complete(*job)) return task_done(*job, key.second, now);
@@ -295,12 +298,12 @@
   if (job->spec.kind == JobKind::Gang) abort_gang(*job, now);
 }
 
-void Cluster::all_gone(Machine& m, const char* why, double now, std::uint64_t before_session) {
+void Scheduler::lose_all_tasks(Machine& m, const char* why, double now, std::uint64_t before_epoch) {
   auto tasks = m.tasks;
   for (const auto& key : tasks) {
     Job* job = this->job(key.first);
     auto it = job ? job->active.find(key.second) : decltype(job->active.find(0)){};
-    if (!job || it == job->active.end() || it->second.session >= before_session) continue;
+    if (!job || it == job->active.end() || it->second.worker_epoch >= before_epoch) continue;
     gone(key, why, now);
   }
   std::erase_if(m.outbox, [&](const TaskKey& k) { return m.tasks.count(k) == 0; });
@@ -308,48 +311,49 @@
 
 // ---------------------------------------------------------------- time
 
-std::vector<std::string> Cluster::lapsed(double now) const {
+std::vector<std::string> Scheduler::machines_with_expired_leases(double now) const {
   std::vector<std::string> out;
   double lease = config_.lease_s * (1 + c::kClockDrift) + c::kProofMargin;
-  if (planted("half a lease counts as a whole one")) lease /= 2;
+  if (mutation_enabled("half a lease counts as a whole one")) lease /= 2;
   std::uint64_t base = term_ << c::kTermShift;
   for (const auto& [name, m] : machines_) {
     if (m.tasks.empty()) continue;
     // The last moment anybody could have renewed this worker's lease: us, a keeper, or a former leader that
     // has lost the state service and keeps tasks alive for a while, unless the worker already obeys our term.
-    double life = std::max({m.last_answered, m.last_launch, m.kept_until});
-    life = std::max(life, m.token_seen >= base ? m.fenced_at : started_ + config_.keepalive());
+    double life = std::max({m.last_answered, m.last_launch, m.renewed_by_proxy_until});
+    life =
+        std::max(life, m.observed_token >= base ? m.fencing_token_raised_at : started_ + config_.keepalive());
     if (now > life + lease) out.push_back(name);
   }
   return out;
 }
 
-void Cluster::kept(const std::string& name, double until) {
-  if (Machine* m = machine(name)) m->kept_until = std::max(m->kept_until, until);
+void Scheduler::renewed_by_proxy(const std::string& name, double until) {
+  if (Machine* m = machine(name)) m->renewed_by_proxy_until = std::max(m->renewed_by_proxy_until, until);
 }
 
-void Cluster::lease_over(const std::string& name, double now) {
+void Scheduler::lease_expired(const std::string& name, double now) {
   Machine* m = machine(name);
   if (!m) return;
   notes_.push_back("machine " + name + " is silent past its lease: its tasks start elsewhere");
-  all_gone(*m, "was silent past its lease", now);
+  lose_all_tasks(*m, "was silent past its lease", now);
 }
 
-void Cluster::stood_still(double now) {
+void Scheduler::process_stalled(double now) {
   listened_since_ = now;
   // Workers may have found another controller meanwhile, and come back one by one.
   for (const auto& zone : config_.zones) cut_until_[zone] = std::max(cut_until_[zone], now + config_.lease_s);
   for (auto& [id, job] : jobs_)
     for (auto& [index, a] : job.active)
-      a.lapse_at = std::max(a.lapse_at, now + config_.report_s * c::kDeadReports);
+      a.reservation_expires_at = std::max(a.reservation_expires_at, now + config_.report_s * c::kDeadReports);
 }
 
-void Cluster::tick(double now) {
+void Scheduler::tick(double now) {
   if (!jobs_.empty()) last_job_at_ = now;
   std::map<std::string, std::pair<int, int>> silent;  // zone -> silent, all
   any_silent_ = false;
   for (auto& [name, m] : machines_) {
-    if (!m.up || m.doomed) continue;
+    if (!m.up || m.decommissioning) continue;
     auto& [s, all] = silent[m.zone];
     ++all;
     bool quiet = now - m.last_heard > c::kSilentReports * config_.report_s;
@@ -360,23 +364,23 @@
     if (counts.first > std::max(1.0, c::kMaxSilentShare * counts.second))
       cut_until_[zone] = now + config_.lease_s;
   for (auto& [name, m] : machines_) {
-    if (!m.direct && now >= m.probe_at && m.up) {
+    if (!m.direct && now >= m.next_probe_at && m.up) {
       m.direct = true;
-      to_order_.insert(name);
+      dispatch_candidates_.insert(name);
     }
-    if (m.up && !m.doomed && now - m.last_heard > c::kDeadReports * config_.report_s &&
+    if (m.up && !m.decommissioning && now - m.last_heard > c::kDeadReports * config_.report_s &&
         now - std::max(started_, listened_since_) > c::kDeadReports * config_.report_s) {
       // One or two silent machines are broken; many at once mean that the network is, and they come back one
       // by one. Nor is one broken that a keeper answers: its tasks run on beyond a cut.
-      if (now >= cut_until_[m.zone] && now >= m.kept_until) {
+      if (now >= cut_until_[m.zone] && now >= m.renewed_by_proxy_until) {
         notes_.push_back("machine " + name + " is silent: returned to the cloud");
-        doom(name, now);
+        decommission(name, now);
       }
     }
-    judge(m, now);
-    if (m.sick && !m.doomed) {
+    judge_machine(m, now);
+    if (m.faulty && !m.decommissioning) {
       drain(m, now);
-      if (m.tasks.empty()) doom(name, now);
+      if (m.tasks.empty()) decommission(name, now);
     }
   }
   // Known only from a stored task, and now without any: nothing is left to remember.
@@ -388,26 +392,27 @@
       if (!job.why.empty()) notes_.push_back("job " + id + " (" + job.spec.job_class + "): " + job.why);
       job.why_told = job.why;
     }
-    std::vector<int> lapsed;
+    std::vector<int> machines_with_expired_leases;
     for (auto& [index, a] : job.active) {
       bool unstarted = a.stage == Stage::Sent || a.stage == Stage::Fetching || a.stage == Stage::Waiting;
-      if (unstarted && !a.stop && now > a.lapse_at) lapsed.push_back(index);
+      if (unstarted && !a.stop && now > a.reservation_expires_at)
+        machines_with_expired_leases.push_back(index);
     }
-    for (int index : lapsed) {
+    for (int index : machines_with_expired_leases) {
       job.why = "a reservation lapsed before the task had started; placed again";
       stop_task(job, index, 0);
     }
     if (job.queued && job.not_before > 0 && now >= job.not_before) {
       job.not_before = 0;
-      want_plan_ = true;
+      wants_cycle_ = true;
     }
   }
 }
 
 // ---------------------------------------------------------------- machines
 
-void Cluster::rented(const std::string& name, const std::string& type, const std::string& zone, bool spot,
-                     double now) {
+void Scheduler::provisioned(const std::string& name, const std::string& type, const std::string& zone,
+                            bool spot, double now) {
   if (returned_.count(name)) return;
   auto [it, fresh] = machines_.try_emplace(name);
   Machine& m = it->second;
@@ -416,14 +421,14 @@
   m.type = type;
   m.zone = zone;
   m.spot = spot;
-  fence(m);
-  m.rented_at = now;
+  raise_fencing_token(m);
+  m.provisioned_at = now;
   if (const auto* t = this->type(type)) m.size = m.free = t->size;
 }
 
-void Cluster::listed(const std::vector<ListedMachine>& list, double now) {
+void Scheduler::listed(const std::vector<ListedMachine>& list, double now) {
   for (const auto& l : list) {
-    rented(l.name, l.type, l.zone, l.spot, now - l.age_s);
+    provisioned(l.name, l.type, l.zone, l.spot, now - l.age_s);
     if (returned_.count(l.name)) continue;
     Machine& m = machines_.at(l.name);
     if (m.type.empty()) {  // known so far only from a task's record
@@ -432,23 +437,24 @@
       m.spot = l.spot;
     }
     if (m.address.empty()) m.address = l.address;
-    if (l.phase == ListedMachine::Phase::Failed && !m.doomed) {
+    if (l.phase == ListedMachine::Phase::Failed && !m.decommissioning) {
       notes_.push_back("machine " + l.name + " failed on its own: returned");
-      doom(l.name, now);
+      decommission(l.name, now);
     }
     const auto* t = type(m.type);
-    if (!m.up && !m.doomed && t && now - m.rented_at > c::kBootLate * t->boot_s + c::kBootGrace &&
+    if (!m.up && !m.decommissioning && t &&
+        now - m.provisioned_at > c::kBootLate * t->boot_s + c::kBootGrace &&
         now - std::max(started_, listened_since_) > c::kDeadReports * config_.report_s) {
       notes_.push_back("machine " + l.name + " never came up: returned");
-      doom(l.name, now);
+      decommission(l.name, now);
     }
   }
 }
 
-void Cluster::doom(const std::string& name, double now) {
+void Scheduler::decommission(const std::string& name, double now) {
   Machine* m = machine(name);
-  if (!m || m->doomed) return;
-  m->doomed = true;
+  if (!m || m->decommissioning) return;
+  m->decommissioning = true;
   for (const auto& [id, index] : std::set<TaskKey>(m->tasks)) {
     Job* job = this->job(id);
     if (!job) continue;
@@ -458,23 +464,23 @@
       if (job->spec.kind == JobKind::Gang) abort_gang(*job, now);
     }
   }
-  refile(*m, now);
+  reindex(*m, now);
 }
 
-std::vector<std::string> Cluster::doomed() const {
+std::vector<std::string> Scheduler::decommissioning() const {
   std::vector<std::string> out;
   for (const auto& [name, m] : machines_)
-    if (m.doomed) out.push_back(name);
+    if (m.decommissioning) out.push_back(name);
   return out;
 }
 
-void Cluster::deleted(const std::vector<std::string>& names, double now) {
+void Scheduler::deleted(const std::vector<std::string>& names, double now) {
   for (const auto& name : names) {
     Machine* m = machine(name);
     if (!m) continue;
     // The cloud's 200 is proof: the machine and everything on it are gone.
-    all_gone(*m, "was returned", now);
-    room_.remove(*m);
+    lose_all_tasks(*m, "was returned", now);
+    capacity_index_.remove(*m);
     machines_.erase(name);
     returned_.insert(name);
     // Names rise with creation: the oldest are the first that nobody speaks of any more.
--- a/src/book/cluster.h
+++ b/src/scheduler/scheduler.h
@@ -16,19 +16,19 @@
 #include <unordered_set>
 #include <vector>
 
+#include "capacity_index.h"
 #include "constants.h"
-#include "floor.h"
 #include "job_index.h"
-#include "room_index.h"
-#include "types.h"
+#include "model.h"
+#include "reserved_capacity.h"
 
 namespace corkmux {
 
-struct ClusterConfig {
+struct SchedulerConfig {
   double report_s = 3, lease_s = 30, gang_wait_s = 30, gang_peer_s = 8, cancel_s = 60;
-  double value_kb = 16;    // KiB a record may take; the first form of task records is cut by it
-  double record_kb = 0;    // KiB a record of the second form may take; 0: value_kb
-  int first_form_cut = 0;  // tasks a record of the first form was cut into; 0: as value_kb says
+  double value_kb = 16;         // KiB a record may take; the first form of task records is cut by it
+  double record_kb = 0;         // KiB a record of the second form may take; 0: value_kb
+  int v1_tasks_per_record = 0;  // tasks a record of the first form was cut into; 0: as value_kb says
   std::vector<std::string> zones;
   std::vector<Team> teams;
   std::map<std::string, std::vector<double>> start_within;  // s, per class: the aims on starting, rising
@@ -37,7 +37,7 @@
   /// s a holder without contact to the state service goes on answering workers, see rule_keepalive().
   double keepalive() const;
   /// Of the first form, in which a record does not say how it was cut: see docs/design.md.
-  int tasks_per_shard() const;
+  int tasks_per_v1_record() const;
   bool details = false;  // keep lines for the debug log, see take_details()
 };
 
@@ -48,24 +48,24 @@
   enum class Stage { Assigned, Sent, Recovered, Fetching, Waiting, Running, Saving };
   std::uint64_t attempt = 0;
   std::string machine, zone;  // the zone is stored too: a new leader may not know the machine yet
-  std::uint64_t session = 0;
+  std::uint64_t worker_epoch = 0;
   Stage stage = Stage::Assigned;
-  std::uint64_t gen = 0;        // shard generation that stores this assignment
-  std::uint64_t fence = 0;      // absence counts only in reports that carry at least this token
-  std::uint64_t after_seq = 0;  // and only beyond this sequence number, for launches in a report's answer
-  double since = 0, lapse_at = 0;
+  std::uint64_t generation = 0;     // shard generation that stores this assignment
+  std::uint64_t minimum_token = 0;  // absence counts only in reports that carry at least this token
+  std::uint64_t after_seq = 0;      // and only beyond this sequence number, for launches in a report's answer
+  double since = 0, reservation_expires_at = 0;
   double running_at = -1;  // when it was first seen to run; -1: not yet
   bool stop = false;
   double grace_s = 0;
 };
 
 /// Some tasks of a job that are stored together, from its key in Job::shards on.
-struct Shard {
+struct TaskRecord {
   int count = 0;
-  std::uint64_t version = 0;        // stamp of its record in the second form, 0: none
-  std::uint64_t first_version = 0;  // and in the first form
-  std::uint64_t gen = 0, written_gen = 0;
-  std::uint64_t urgent_gen = 0;  // last generation that a launch waits for
+  std::uint64_t revision = 0;               // stamp of its record in the second form, 0: none
+  std::uint64_t first_format_revision = 0;  // and in the first form
+  std::uint64_t generation = 0, persisted_generation = 0;
+  std::uint64_t urgent_generation = 0;  // last generation that a launch waits for
   bool in_flight = false;
   int after = -1;  // split: written only once the shard that starts there is stored
 };
@@ -74,26 +74,27 @@
 
 struct Job {
   JobSpec spec;
-  std::uint64_t version = 0;  // of its record in the state service
-  std::uint64_t order = 0;    // acceptance order
+  std::uint64_t revision = 0;  // of its record in the state service
+  std::uint64_t order = 0;     // acceptance order
   bool cancelled = false, finalizing = false, draining = false;
   /// It came within its team's guarantee and has not yet been started and left alone as a whole: it waits for
   /// no other team (DEPLOY). Not stored: after a change of leader it counts as any other.
   enum class Promise { Unknown, Given, None } promise = Promise::Unknown;
-  bool orphaned = false;  // a job that it needs was cancelled: its own end is still to be stored
-  std::unordered_set<std::string> unmet;  // jobs it awaits whose `done` is not known to be stored
+  bool dependency_cancelled = false;  // a job that it needs was cancelled: its own end is still to be stored
+  std::unordered_set<std::string>
+      unmet_dependencies;  // jobs it awaits whose `done` is not known to be stored
   /// Its own or the highest of what needs it; and when it has to be over for the tightest deadline of these.
   Priority priority = Priority::Low;
   double due_at = kNever, ready_at = 0;  // ready_at: when the last job it awaits was done
   int cut = 0;                           // tasks in a record before any split; 0: no record yet
-  bool ready() const { return unmet.empty() && !orphaned && !cancelled; }
-  bool over() const { return cancelled || orphaned || done == spec.tasks; }
+  bool ready() const { return unmet_dependencies.empty() && !dependency_cancelled && !cancelled; }
+  bool over() const { return cancelled || dependency_cancelled || done == spec.tasks; }
   std::vector<TaskPhase> phase;
   int done = 0, queued = 0, cursor = 0;
   bool bad = false;  // fails wherever it starts, as far as can be told
-  double not_before = 0, accepted_at = 0, room_made_at = -1e9, reclaimed_at = -1e9;
+  double not_before = 0, accepted_at = 0, preempted_at = -1e9, reclaimed_at = -1e9;
   std::map<int, ActiveTask> active;
-  std::map<int, Shard> shards;
+  std::map<int, TaskRecord> task_records;
   std::set<std::string> failed_on;  // machines that do not count as faulty by others
   std::string why, why_told;
   JobIndex::Indexed indexed;
@@ -103,66 +104,66 @@
   std::string name, address, type, zone;
   bool spot = false;
   Resources size, free;
-  std::uint64_t session = 0, seq = 0, token_seen = 0, token = 0;
-  std::uint64_t wanted = 0;    // token that it has to have seen before anything is placed there
-  std::uint64_t launched = 0;  // token of the last orders with launches
-  double last_heard = -1e9, last_answered = -1e9, fenced_at = -1e9, last_launch = -1e9;
-  double kept_until = -1e9;  // a keeper (see keeper.h) may have answered it until then
-  double gone_at = -1;       // time the cloud takes it, -1: unknown
-  double rented_at = -1e9;   // when asked for or first seen
+  std::uint64_t worker_epoch = 0, seq = 0, observed_token = 0, fencing_token = 0;
+  std::uint64_t wanted = 0;             // token that it has to have seen before anything is placed there
+  std::uint64_t last_launch_token = 0;  // token of the last orders with launches
+  double last_heard = -1e9, last_answered = -1e9, fencing_token_raised_at = -1e9, last_launch = -1e9;
+  double renewed_by_proxy_until = -1e9;  // a keeper (see keeper.h) may have answered it until then
+  double gone_at = -1;                   // time the cloud takes it, -1: unknown
+  double provisioned_at = -1e9;          // when asked for or first seen
   double idle_since = -1e9;
-  double suspect_until = -1e9, full_until = -1e9, probe_at = -1e9;
-  bool up = false, doomed = false, direct = true, orders_in_flight = false, sick = false;
+  double cordoned_until = -1e9, no_capacity_until = -1e9, next_probe_at = -1e9;
+  bool up = false, decommissioning = false, direct = true, dispatch_in_flight = false, faulty = false;
   /// Jobs that failed here since it last completed anything.
-  struct Blamed {
+  struct JobFailures {
     int times = 0;
     bool well = false;  // the job has ended since, as one that does well
   };
-  std::map<std::string, Blamed> blamed;
-  double blamed_since = -1;
+  std::map<std::string, JobFailures> failures;
+  double failures_since = -1;
   int heat = 0;
   double fetch_s = 0;  // of the image of the job that pick() last looked at it for
   double slack_slope = 0, heat_slope = 0, seen_slack = 1, seen_heat = 0, seen_at = -1e9;
   std::set<std::pair<std::string, int>> tasks;
   std::deque<std::string> images;  // most recent first
   std::map<std::string, double> image_gb;
-  std::string room_for;  // a more urgent job for which work is being stopped here
-  double room_until = -1e9;
+  std::string nominated_job;  // a more urgent job for which work is being stopped here
+  double nominated_until = -1e9;
   std::vector<std::pair<std::string, int>> outbox;  // launches whose assignment is stored
-  bool wants_orders = false;                        // a stop should not wait for the next report
+  bool needs_dispatch = false;                      // a stop should not wait for the next report
   std::array<int, 4> stoppable{};  // tasks of arrays and services not yet stopped, by priority
   int stopping = 0;                // tasks that are
-  RoomIndex::Filed filed;
+  CapacityIndex::IndexEntry index_entry;
 };
 
-struct Orders {
-  std::uint64_t token = 0, session = 0;
-  std::vector<Command> commands;
+struct CommandBatch {
+  std::uint64_t fencing_token = 0, worker_epoch = 0;
+  std::vector<TaskCommand> commands;
   std::vector<std::pair<std::string, int>> launches;
   std::vector<std::uint64_t> attempts;
 };
 
-struct ShardWrite {
+struct TaskRecordWrite {
   std::string job, key;
   int from = 0;
-  bool second_form = false;
-  std::uint64_t version = 0, gen = 0;
+  bool uses_v2_records = false;
+  std::uint64_t revision = 0, generation = 0;
   /// Launches wait for it, so it must not be stored once the job has an end.
   bool launches = false;
   nlohmann::json value;
 };
 
-class Cluster {
+class Scheduler {
  public:
-  Cluster(ClusterConfig config, std::uint64_t term, double now, std::uint64_t seed);
+  Scheduler(SchedulerConfig config, std::uint64_t term, double now, std::uint64_t seed);
 
   // --- loading and the job list ---
   void set_catalog(const std::vector<MachineType>& types);
-  void put_job(const JobSpec& spec, std::uint64_t version, bool cancelled, double now, double age_s = 0);
+  void put_job(const JobSpec& spec, std::uint64_t revision, bool cancelled, double now, double age_s = 0);
   enum class Loaded { Yes, Garbage, Unknown };
   /// A record of tasks, those of the second form in key order and before the first form's. Garbage: it says
   /// nothing any more. Unknown: a newer version wrote it.
-  Loaded load_record(const std::string& key, const nlohmann::json& value, std::uint64_t version);
+  Loaded load_record(const std::string& key, const nlohmann::json& value, std::uint64_t revision);
   /// All records have been given.
   void loaded();
   void forget_job(const std::string& id);
@@ -174,54 +175,56 @@
   /// Awaited jobs of which nothing is known, to be looked up in the store.
   const std::set<std::string>& unknown() const { return unknown_; }
   /// Whether any job awaits others.
-  bool awaiting() const { return !dependents_.empty(); }
+  bool has_dependencies() const { return !dependents_.empty(); }
   /// Jobs that need a cancelled one and whose end is not stored yet.
-  std::vector<std::string> orphans() const;
+  std::vector<std::string> dependents_of_cancelled() const;
 
   // --- workers ---
-  enum class Channel { Report, Orders };
-  struct ReportResult {
+  enum class Channel { Heartbeat, CommandBatch };
+  struct HeartbeatResult {
     bool superseded = false;  // the worker obeys a higher term than ours
-    std::vector<Command> commands;
-    std::uint64_t token = 0;
+    std::vector<TaskCommand> commands;
+    std::uint64_t fencing_token = 0;
   };
-  ReportResult on_report(const Report& report, Channel channel, double now);
-  /// The commands a report's answer carries: what on_report gave plus launches for machines we cannot reach.
+  HeartbeatResult on_heartbeat(const Heartbeat& heartbeat, Channel channel, double now);
+  /// The commands a report's answer carries: what on_heartbeat gave plus launches for machines we cannot
+  /// reach.
   void answered(const std::string& machine, double now);
   /// Its reports come a way on which we cannot send it orders: launches go with the answers for a while.
-  void beyond_reach(const std::string& machine, double now);
-  bool has_orders(const Machine& m) const;
+  void set_unreachable(const std::string& machine, double now);
+  bool has_commands(const Machine& m) const;
   /// Machines that commands can be sent to now; only those that something has changed for are looked at.
-  std::vector<std::string> with_orders();
-  Orders take_orders(const std::string& machine, double now);
-  enum class OrdersOutcome { Executed, Refused, Unsent, Unanswered };
-  void orders_done(const std::string& machine, const Orders& orders, OrdersOutcome outcome, double now);
+  std::vector<std::string> machines_with_commands();
+  CommandBatch take_commands(const std::string& machine, double now);
+  enum class DispatchOutcome { Executed, Refused, Unsent, Unanswered };
+  void dispatch_done(const std::string& machine, const CommandBatch& command_batch, DispatchOutcome outcome,
+                     double now);
 
   // --- time and placement ---
   void tick(double now);
   /// The process stood still until now: machines were not silent, we did not listen.
-  void stood_still(double now);
+  void process_stalled(double now);
   /// Machines with tasks whose leases have run out, unless a keeper has answered them: to be asked before the
   /// tasks count as gone.
-  std::vector<std::string> lapsed(double now) const;
-  void kept(const std::string& machine, double until);
+  std::vector<std::string> machines_with_expired_leases(double now) const;
+  void renewed_by_proxy(const std::string& machine, double until);
   /// Whether some machine has been silent for longer than its reports explain: a keeper may be answering it.
   bool any_silent() const { return any_silent_; }
-  void lease_over(const std::string& machine, double now);
-  void plan(double now);
+  void lease_expired(const std::string& machine, double now);
+  void schedule(double now);
 
   // --- the store ---
   /// From now on records are written in the second form: every controller reads it.
-  void use_second_form() { second_form_ = true; }
-  bool second_form() const { return second_form_; }
+  void use_v2_records() { uses_v2_records_ = true; }
+  bool uses_v2_records() const { return uses_v2_records_; }
   /// A record was refused as too large although it kept to the limits that we know of.
   void records_refused();
   /// What launches wait for comes first; the rest is written while there are changes to spare, or once it has
   /// waited for a while.
-  std::vector<ShardWrite> next_writes(int most, bool spare, double now);
-  void written(const std::vector<ShardWrite>& batch, std::uint64_t revision, double now);
-  void write_failed(const std::vector<ShardWrite>& batch);
-  void record_version(const ShardWrite& write, std::uint64_t version);
+  std::vector<TaskRecordWrite> next_writes(int most, bool spare, double now);
+  void written(const std::vector<TaskRecordWrite>& batch, std::uint64_t revision, double now);
+  void write_failed(const std::vector<TaskRecordWrite>& batch);
+  void set_record_revision(const TaskRecordWrite& write, std::uint64_t revision);
   /// The keys of a job's records, for their removal.
   std::vector<std::string> record_keys(const Job& job) const;
   /// Records that others have replaced.
@@ -230,12 +233,12 @@
   std::vector<std::string> finished_jobs() const;
 
   // --- machines ---
-  void rented(const std::string& name, const std::string& type, const std::string& zone, bool spot,
-              double now);
+  void provisioned(const std::string& name, const std::string& type, const std::string& zone, bool spot,
+                   double now);
   void listed(const std::vector<ListedMachine>& machines, double now);
   void deleted(const std::vector<std::string>& names, double now);
-  void doom(const std::string& machine, double now);
-  std::vector<std::string> doomed() const;
+  void decommission(const std::string& machine, double now);
+  std::vector<std::string> decommissioning() const;
 
   Job* job(const std::string& id);
   const std::map<std::string, Machine>& machines() const { return machines_; }
@@ -243,9 +246,9 @@
   const std::unordered_map<std::string, Job>& jobs() const { return jobs_; }
   const std::vector<MachineType>& catalog() const { return types_; }
   const MachineType* type(const std::string& name) const;
-  const ClusterConfig& config() const { return config_; }
+  const SchedulerConfig& config() const { return config_; }
   /// s since there was last any unfinished job.
-  double lull(double now) const { return jobs_.empty() ? now - last_job_at_ : 0; }
+  double idle_for(double now) const { return jobs_.empty() ? now - last_job_at_ : 0; }
   /// s between jobs as they have come of late; 0 while too few have.
   double arrival_gap() const { return arrival_gap_; }
   Resources team_use(const std::string& team) const;
@@ -256,13 +259,13 @@
   int running(const Job& job) const;
   /// Jobs whose displayed state changed since the last call.
   std::unordered_set<std::string> take_changed() { return std::exchange(changed_, {}); }
-  bool want_plan() const { return want_plan_; }
+  bool wants_cycle() const { return wants_cycle_; }
   /// Jobs, kinds of room, machines and tasks looked at by passes so far: the work done, counted not timed.
   std::uint64_t steps() const { return steps_ + job_index_.steps(); }
   const JobIndex& job_index() const { return job_index_; }
-  const RoomIndex& room() const { return room_; }
+  const CapacityIndex& capacity_index() const { return capacity_index_; }
   /// What the index of room has to say of a machine.
-  RoomState room_state(const Machine& m, double now) const;
+  MachineCapacity machine_capacity(const Machine& m, double now) const;
   /// One line per event worth an operator's attention; the actor logs them.
   std::vector<std::string> take_notes() { return std::exchange(notes_, {}); }
   /// One line per placed gang, when the configuration asks for it.
@@ -272,12 +275,12 @@
   using TaskKey = std::pair<std::string, int>;
   void assign(Job& job, int index, Machine& m, std::uint64_t attempt, double now);
   void unassign(Job& job, int index, double now);
-  void exited(Job& job, int index, const TaskReport& report, Machine& m, double now);
+  void exited(Job& job, int index, const TaskStatus& heartbeat, Machine& m, double now);
   void task_done(Job& job, int index, double now);
   /// A gang of which some task is done: all are, wherever they still may be.
   bool complete(const Job& job) const;
   void gone(const TaskKey& key, const char* why, double now);
-  void all_gone(Machine& m, const char* why, double now, std::uint64_t before_session = ~0ull);
+  void lose_all_tasks(Machine& m, const char* why, double now, std::uint64_t before_epoch = ~0ull);
   void abort_gang(Job& job, double now);
   void stop_task(Job& job, int index, double grace_s);
   void drain(Machine& m, double now);
@@ -285,30 +288,32 @@
   void failed(Machine& m, Job& job, double now);
   void went_well(Machine& m, Job& job);
   /// Weighs what failed on it; a machine that counts as faulty is drained and returned.
-  void judge(Machine& m, double now);
-  double blame(const Machine& m, const std::string& without_job) const;
+  void judge_machine(Machine& m, double now);
+  double failure_weight(const Machine& m, const std::string& without_job) const;
   /// The job is over: what it says against machines stands, or falls with it.
-  void settle_blame(Job& job);
+  void settle_job_failures(Job& job);
   enum class Urgency { Launch, Rest };
   struct Dirty {
     std::string job;
     int from = 0;
     double since = 0;
   };
-  void dirty(Job& job, int index, Urgency urgency, double now);
-  std::pair<const int, Shard>& shard_of(Job& job, int index);
-  nlohmann::json first_form(const Job& job, int from, int count) const;
-  nlohmann::json second_form(const Job& job, int from, int count) const;
-  void split(Job& job, int from, Shard& shard);
-  std::deque<Dirty>& queue_of(const Shard& s) { return s.urgent_gen > s.written_gen ? urgent_ : rest_; }
+  void mark_dirty(Job& job, int index, Urgency urgency, double now);
+  std::pair<const int, TaskRecord>& record_of(Job& job, int index);
+  nlohmann::json first_format(const Job& job, int from, int count) const;
+  nlohmann::json uses_v2_records(const Job& job, int from, int count) const;
+  void split(Job& job, int from, TaskRecord& shard);
+  std::deque<Dirty>& queue_of(const TaskRecord& s) {
+    return s.urgent_generation > s.persisted_generation ? urgent_ : rest_;
+  }
   void load_task(Job& job, int index, ActiveTask a);
   void load_done(Job& job, int index);
-  void load_second(Job& job, int from, int count, const nlohmann::json& value, std::uint64_t version);
+  void load_second(Job& job, int from, int count, const nlohmann::json& value, std::uint64_t revision);
   void flush_loading();
   void await(Job& job);
   void met(Job& job, const std::string& awaited, double at);
-  void orphan_dependents(const std::string& id);
-  void no_longer_awaits(const std::string& id, const std::string& awaited);
+  void cancel_dependents(const std::string& id);
+  void dependency_met(const std::string& id, const std::string& awaited);
   static std::string waiting_for(const Job& job);
   void inherit(Job& job);
   double step_s(const Job& job) const;
@@ -319,9 +324,9 @@
   double utility(const Machine& m, double now) const;
   bool within_limit(const std::string& team, const Resources& more) const;
   double weight(const Job& job) const;
-  bool place_gang(Job& job, bool doubtful_too, double now);
+  bool place_gang(Job& job, bool include_suspect, double now);
   /// Keeps a zone's free machines for a gang that is due, where the rest it needs is about to be free.
-  void gather(const Job& job, double now);
+  void hold_zone_for_gang(const Job& job, double now);
   /// How long a job has until it misses its next start aim, and how many it has missed; none for one that has
   /// started.
   struct StartAim {
@@ -333,64 +338,68 @@
   bool overdue(const Job& job, double now) const;
   StartAim start_aim(const Job& job, double now) const;
   int place_tasks(Job& job, int budget, double now);
-  bool make_room(Job& job, double now);
+  bool preempt_for(Job& job, double now);
   /// Machines on which work could be stopped for a job, by zone if it keeps to one: a bounded number.
   std::map<std::string, std::vector<Machine*>> stop_candidates(const Job& job, double now);
   void preempt(const TaskKey& victim, const std::string& why);
   /// Stops what other teams run beyond their guarantees for a job within its team's, see reclaim.h.
   bool reclaim(Job& job, double now);
-  struct ReclaimCase;
-  ReclaimCase reclaim_case(const Job& job, double now);
-  void keep_reclaimed(const Job& job, const ReclaimCase& c, const std::vector<int>& chosen, double now);
+  struct QuotaReclaimCase;
+  QuotaReclaimCase reclaim_case(const Job& job, double now);
+  void keep_reclaimed(const Job& job, const QuotaReclaimCase& c, const std::vector<int>& chosen, double now);
   /// Until then the machine takes no other job's work.
-  void keep_for(Machine& m, const Job& job, double until, double now);
+  void nominate(Machine& m, const Job& job, double until, double now);
   void keep_promises(double now);
   bool saves_when_stopped(const JobSpec& spec) const;
   bool takes_work(const Machine& m) const;
   bool open_to(const Job& job, const Machine& m, double now) const;
   /// How long each waiting job will have waited, and whom the floor holds by that. In the order of the bids.
-  void look_at_floor(const std::vector<const Job*>& order, double now);
-  bool floored(const Job& job) const { return floor_.holds(job.spec.job_class, job.spec.team); }
+  void update_reserved_capacity(const std::vector<const Job*>& order, double now);
+  bool is_starving(const Job& job) const {
+    return reserved_capacity_.holds(job.spec.job_class, job.spec.team);
+  }
   /// Whether machines like that are kept for others than this job.
-  bool kept_out(const Job& job, const std::string& type, int shelf) const;
+  bool excluded_by_reservation(const Job& job, const std::string& type, int reservation_tier) const;
 
   /// Machines that a task fits on and that are alike to a placement: a level, less some of its machines, or a
   /// single one.
   struct Slot {
-    const RoomIndex::Pool* pool = nullptr;
-    const RoomIndex::Level* level = nullptr;
+    const CapacityIndex::Pool* pool = nullptr;
+    const CapacityIndex::CapacityBucket* level = nullptr;
     Machine* one = nullptr;
     std::vector<std::size_t> without;  // positions in the level, rising
     std::size_t count = 0;             // of machines
     int times = 0;                     // how often the task fits on each
   };
-  struct ZoneRoom {
+  struct ZoneCapacity {
     double slack = 0, heat = 0, fetch_s = 1e9;
     double machines = 0;
     int places = 0;
   };
-  std::vector<Slot> fitting(const Job& job, bool doubtful_too, double now, const std::string* zone = nullptr);
-  void level_slots(const Job& job, const RoomIndex::Pool& pool, const RoomIndex::Levels& levels,
-                   const std::map<const RoomIndex::Level*, std::vector<std::size_t>>& failed,
+  std::vector<Slot> fitting(const Job& job, bool include_suspect, double now,
+                            const std::string* zone = nullptr);
+  void level_slots(const Job& job, const CapacityIndex::Pool& pool,
+                   const CapacityIndex::CapacityBuckets& levels,
+                   const std::map<const CapacityIndex::CapacityBucket*, std::vector<std::size_t>>& failed,
                    double most_gpus, std::vector<Slot>& out);
-  std::map<std::string, ZoneRoom> room_by_zone(const JobSpec& spec, const std::vector<Slot>& slots,
-                                               double now) const;
-  std::vector<std::string> draw_zones(const JobSpec& spec, const std::map<std::string, ZoneRoom>& zones);
+  std::map<std::string, ZoneCapacity> free_capacity_by_zone(const JobSpec& spec,
+                                                            const std::vector<Slot>& slots, double now) const;
+  std::vector<std::string> draw_zones(const JobSpec& spec, const std::map<std::string, ZoneCapacity>& zones);
   /// Of 0 and up to `all`, at most `most`, drawn without any twice.
   std::vector<std::size_t> sample(std::size_t all, std::size_t most);
   Machine* pick(const JobSpec& spec, const std::vector<Slot>& slots, double now);
   /// To be called after every change of what the index knows of a machine.
-  void refile(Machine& m, double now);
+  void reindex(Machine& m, double now);
   /// A task of a machine counts among what may be stopped there, among what is stopping, or no longer.
   void count_task(Machine& m, const Job& job, const ActiveTask& a, int by);
   /// Room only shrinks within a pass: what found none leaves none for the like of it.
   bool known_not_to_fit(const Job& job, double now) const;
   void note_not_fitting(const Job& job, double now);
   /// From now on only what the machine reports under this token says that a task is not there.
-  std::uint64_t fence(Machine& m) { return m.token = m.wanted = next_number(); }
+  std::uint64_t raise_fencing_token(Machine& m) { return m.fencing_token = m.wanted = next_number(); }
   std::uint64_t next_number() { return (term_ << constants::kTermShift) | ++counter_; }
 
-  ClusterConfig config_;
+  SchedulerConfig config_;
   std::uint64_t term_, counter_ = 0;
   double started_;
   double listened_since_ = -1e9;  // silence before it is our own
@@ -398,17 +407,18 @@
   std::vector<MachineType> types_;
   std::unordered_map<std::string, Job> jobs_;
   std::map<std::string, Machine> machines_;
-  std::set<std::string> to_order_;  // may have orders; every change that can give a machine some puts it here
+  std::set<std::string>
+      dispatch_candidates_;  // may have orders; every change that can give a machine some puts it here
   std::map<std::string, double>
       cut_until_;                   // zone -> its silent machines are blamed on the network until then
   std::set<std::string> returned_;  // late reports and old lists still speak of them
   std::map<std::string, Resources> use_, stopping_use_;  // of teams; the second: on its way out
   std::unordered_map<std::string, Resources> class_use_;
   JobIndex job_index_;
-  RoomIndex room_;
+  CapacityIndex capacity_index_;
   std::map<std::string, Team> teams_;
   std::deque<Dirty> urgent_, rest_;  // shards to write, oldest first
-  bool second_form_ = false;
+  bool uses_v2_records_ = false;
   std::size_t record_room_;  // bytes
   std::vector<std::string> replaced_;
   /// Its end may be there to store, after those of all that came before; whether that is news.
@@ -436,11 +446,11 @@
   };
   void note_freed(const std::string& zone, const Resources& need, double now);
   std::map<std::string, Freed> freed_;
-  std::map<std::string, std::string> gathering_;  // of this pass: zone -> the job it is kept for
-  Floor floor_;
-  std::set<std::string> floor_types_;  // of machines that those it holds can use
-  std::vector<std::string> floor_told_;
-  bool want_plan_ = true, accelerators_wanted_ = false, any_silent_ = false;
+  std::map<std::string, std::string> held_zones_;  // of this pass: zone -> the job it is kept for
+  ReservedCapacity reserved_capacity_;
+  std::set<std::string> reserved_types_;  // of machines that those it holds can use
+  std::vector<std::string> logged_starving_;
+  bool wants_cycle_ = true, accelerators_wanted_ = false, any_silent_ = false;
   std::optional<Priority> accelerator_users_;
 };
 
--- a/src/book/cluster_store.cc
+++ b/src/scheduler/task_record_store.cc
@@ -10,8 +10,8 @@
 #include <algorithm>
 #include <charconv>
 
-#include "cluster.h"
 #include "constants.h"
+#include "scheduler.h"
 #include "store_keys.h"
 
 namespace corkmux {
@@ -63,41 +63,43 @@
   int first_ = -1, last_ = -2;
 };
 
-std::string first_key(const std::string& job, int n) { return kShards + job + "/" + std::to_string(n); }
+std::string first_key(const std::string& job, int n) {
+  return kTaskRecordsV1 + job + "/" + std::to_string(n);
+}
 // Padded, so that a job's records are listed in the order of their tasks.
 std::string second_key(const std::string& job, int from) {
-  return fmt::format("{}{}/{:06}", kRecords, job, from);
+  return fmt::format("{}{}/{:06}", kTaskRecordsV2, job, from);
 }
 
 }  // namespace
 
 // ---------------------------------------------------------------- shards
 
-std::pair<const int, Shard>& Cluster::shard_of(Job& job, int index) {
-  auto next = job.shards.upper_bound(index);
+std::pair<const int, TaskRecord>& Scheduler::record_of(Job& job, int index) {
+  auto next = job.task_records.upper_bound(index);
   int floor = 0;
-  if (next != job.shards.begin()) {
+  if (next != job.task_records.begin()) {
     auto& before = *std::prev(next);
     floor = before.first + before.second.count;
     if (index < floor) return before;
   }
-  if (!job.cut) job.cut = second_form_ ? c::kTasksPerRecord : config_.tasks_per_shard();
+  if (!job.cut) job.cut = uses_v2_records_ ? c::kTasksPerRecord : config_.tasks_per_v1_record();
   int from = std::max(floor, index / job.cut * job.cut);
   int end = std::min(job.spec.tasks, (index / job.cut + 1) * job.cut);
-  if (next != job.shards.end()) end = std::min(end, next->first);
-  auto& made = *job.shards.try_emplace(next, from);
+  if (next != job.task_records.end()) end = std::min(end, next->first);
+  auto& made = *job.task_records.try_emplace(next, from);
   made.second.count = end - from;
   return made;
 }
 
-void Cluster::dirty(Job& job, int index, Urgency urgency, double now) {
-  auto& [from, s] = shard_of(job, index);
-  bool known = s.gen != s.written_gen || s.in_flight;
+void Scheduler::mark_dirty(Job& job, int index, Urgency urgency, double now) {
+  auto& [from, s] = record_of(job, index);
+  bool known = s.generation != s.persisted_generation || s.in_flight;
   bool urgent = urgency == Urgency::Launch;
-  ++s.gen;
+  ++s.generation;
   if (urgent) {
-    bool first = s.urgent_gen <= s.written_gen;
-    s.urgent_gen = s.gen;
+    bool first = s.urgent_generation <= s.persisted_generation;
+    s.urgent_generation = s.generation;
     if (first && !s.in_flight) urgent_.push_back({job.spec.id, from, now});
   } else if (!known) {
     rest_.push_back({job.spec.id, from, now});
@@ -106,26 +108,26 @@
 
 /// The upper half becomes a record of its own. It is stored first: until then the stored record of both
 /// halves speaks for it, from then on only for what lies below.
-void Cluster::split(Job& job, int from, Shard& s) {
+void Scheduler::split(Job& job, int from, TaskRecord& s) {
   int lower = s.count / 2;
-  ++s.gen;
-  if (s.urgent_gen > s.written_gen) s.urgent_gen = s.gen;
-  Shard upper;
+  ++s.generation;
+  if (s.urgent_generation > s.persisted_generation) s.urgent_generation = s.generation;
+  TaskRecord upper;
   upper.count = s.count - lower;
-  upper.gen = s.gen;
-  upper.urgent_gen = s.urgent_gen;
+  upper.generation = s.generation;
+  upper.urgent_generation = s.urgent_generation;
   s.count = lower;
   s.after = from + lower;
-  job.shards[from + lower] = upper;
+  job.task_records[from + lower] = upper;
 }
 
-void Cluster::records_refused() {
+void Scheduler::records_refused() {
   record_room_ = std::max<std::size_t>(c::kSmallestRecord, record_room_ / 2);
 }
 
 // ---------------------------------------------------------------- writing
 
-Json Cluster::first_form(const Job& job, int from, int count) const {
+Json Scheduler::first_format(const Job& job, int from, int count) const {
   Json done = Json::array(), tasks = Json::object();
   int run = -1;
   for (int i = 0; i <= count; ++i) {
@@ -137,13 +139,13 @@
     }
   }
   for (auto it = job.active.lower_bound(from); it != job.active.end() && it->first < from + count; ++it)
-    tasks[std::to_string(it->first - from)] = {it->second.attempt, it->second.machine, it->second.session,
-                                               it->second.zone};
+    tasks[std::to_string(it->first - from)] = {it->second.attempt, it->second.machine,
+                                               it->second.worker_epoch, it->second.zone};
   return {{"d", std::move(done)}, {"t", std::move(tasks)}};
 }
 
 /// Tasks of one attempt on one machine stand together, so the size goes with the machines, not the tasks.
-Json Cluster::second_form(const Job& job, int from, int count) const {
+Json Scheduler::uses_v2_records(const Job& job, int from, int count) const {
   Runs done;
   for (int i = 0; i < count; ++i)
     if (job.phase[static_cast<std::size_t>(from + i)] == TaskPhase::Done) done.add(i);
@@ -153,9 +155,9 @@
     const ActiveTask& a = it->second;
     auto z = static_cast<std::size_t>(std::find(zones.begin(), zones.end(), a.zone) - zones.begin());
     if (z == zones.size()) zones.push_back(a.zone);
-    groups[{a.machine, a.session, z, a.attempt}].add(it->first - from);
+    groups[{a.machine, a.worker_epoch, z, a.attempt}].add(it->first - from);
   }
-  Json out = {{"f", c::kForm}, {"c", job.cut}, {"n", count}};
+  Json out = {{"f", c::kRecordFormat}, {"c", job.cut}, {"n", count}};
   if (auto text = done.text(); !text.empty()) out["d"] = std::move(text);
   if (groups.empty()) return out;
   Json tasks = Json::array();
@@ -166,8 +168,8 @@
   return out;
 }
 
-std::vector<ShardWrite> Cluster::next_writes(int most, bool spare, double now) {
-  std::vector<ShardWrite> out;
+std::vector<TaskRecordWrite> Scheduler::next_writes(int most, bool spare, double now) {
+  std::vector<TaskRecordWrite> out;
   auto take = [&](std::deque<Dirty>& queue, double not_after) {
     std::deque<Dirty> keep;
     while (!queue.empty() && static_cast<int>(out.size()) < most && queue.front().since <= not_after) {
@@ -175,23 +177,23 @@
       queue.pop_front();
       Job* job = this->job(entry.job);
       if (!job || job->finalizing) continue;
-      auto found = job->shards.find(entry.from);
-      if (found == job->shards.end()) continue;
-      Shard& s = found->second;
-      if (s.in_flight || s.written_gen == s.gen) continue;
+      auto found = job->task_records.find(entry.from);
+      if (found == job->task_records.end()) continue;
+      TaskRecord& s = found->second;
+      if (s.in_flight || s.persisted_generation == s.generation) continue;
       // A job that is over needs no more shards: its end is stored instead.
       if (job->over() && job->active.empty()) continue;
       if (s.after >= 0) {
-        if (!job->shards.at(s.after).version) {
+        if (!job->task_records.at(s.after).revision) {
           keep.push_back(std::move(entry));
           continue;
         }
         s.after = -1;
       }
-      ShardWrite w{entry.job, "", entry.from, second_form_, 0, 0, false, {}};
-      w.launches = s.urgent_gen > s.written_gen && !job->over();
-      if (second_form_) {
-        w.value = second_form(*job, entry.from, s.count);
+      TaskRecordWrite w{entry.job, "", entry.from, uses_v2_records_, 0, 0, false, {}};
+      w.launches = s.urgent_generation > s.persisted_generation && !job->over();
+      if (uses_v2_records_) {
+        w.value = uses_v2_records(*job, entry.from, s.count);
         if (s.count > 1 && w.value.dump().size() > record_room_) {
           split(*job, entry.from, s);
           queue.push_front(entry);
@@ -199,13 +201,13 @@
           continue;
         }
         w.key = second_key(entry.job, entry.from);
-        w.version = s.version;
+        w.revision = s.revision;
       } else {
-        w.value = first_form(*job, entry.from, s.count);
+        w.value = first_format(*job, entry.from, s.count);
         w.key = first_key(entry.job, entry.from / job->cut);
-        w.version = s.first_version;
+        w.revision = s.first_format_revision;
       }
-      w.gen = s.gen;
+      w.generation = s.generation;
       s.in_flight = true;
       out.push_back(std::move(w));
     }
@@ -216,33 +218,33 @@
   return out;
 }
 
-void Cluster::written(const std::vector<ShardWrite>& batch, std::uint64_t revision, double now) {
+void Scheduler::written(const std::vector<TaskRecordWrite>& batch, std::uint64_t revision, double now) {
   for (const auto& w : batch) {
     Job* job = this->job(w.job);
     if (!job) continue;
-    auto found = job->shards.find(w.from);
-    if (found == job->shards.end()) continue;
-    Shard& s = found->second;
+    auto found = job->task_records.find(w.from);
+    if (found == job->task_records.end()) continue;
+    TaskRecord& s = found->second;
     s.in_flight = false;
-    (w.second_form ? s.version : s.first_version) = revision;
-    s.written_gen = w.gen;
-    if (w.second_form && s.first_version) {
+    (w.uses_v2_records ? s.revision : s.first_format_revision) = revision;
+    s.persisted_generation = w.generation;
+    if (w.uses_v2_records && s.first_format_revision) {
       replaced_.push_back(first_key(w.job, w.from / job->cut));
-      s.first_version = 0;
+      s.first_format_revision = 0;
     }
-    if (s.gen != s.written_gen) queue_of(s).push_back({w.job, w.from, now});
+    if (s.generation != s.persisted_generation) queue_of(s).push_back({w.job, w.from, now});
     std::vector<int> lost;
     for (auto it = job->active.lower_bound(w.from); it != job->active.end() && it->first < w.from + s.count;
          ++it) {
       ActiveTask& a = it->second;
-      if (a.stage != Stage::Assigned || a.gen > w.gen) continue;
+      if (a.stage != Stage::Assigned || a.generation > w.generation) continue;
       Machine* m = machine(a.machine);
-      if (!m || m->doomed || a.session != m->session || a.stop)
+      if (!m || m->decommissioning || a.worker_epoch != m->worker_epoch || a.stop)
         lost.push_back(it->first);
       else {
         if (std::find(m->outbox.begin(), m->outbox.end(), TaskKey{w.job, it->first}) == m->outbox.end())
           m->outbox.push_back({w.job, it->first});
-        to_order_.insert(m->name);
+        dispatch_candidates_.insert(m->name);
       }
     }
     for (int index : lost) unassign(*job, index, now);
@@ -250,34 +252,34 @@
   }
 }
 
-void Cluster::write_failed(const std::vector<ShardWrite>& batch) {
+void Scheduler::write_failed(const std::vector<TaskRecordWrite>& batch) {
   for (const auto& w : batch)
     if (Job* job = this->job(w.job)) {
-      auto found = job->shards.find(w.from);
-      if (found == job->shards.end()) continue;
-      Shard& s = found->second;
+      auto found = job->task_records.find(w.from);
+      if (found == job->task_records.end()) continue;
+      TaskRecord& s = found->second;
       s.in_flight = false;
       queue_of(s).push_front({w.job, w.from, 0});
     }
 }
 
-void Cluster::record_version(const ShardWrite& w, std::uint64_t version) {
+void Scheduler::set_record_revision(const TaskRecordWrite& w, std::uint64_t revision) {
   Job* job = this->job(w.job);
   if (!job) return;
-  if (auto found = job->shards.find(w.from); found != job->shards.end())
-    (w.second_form ? found->second.version : found->second.first_version) = version;
+  if (auto found = job->task_records.find(w.from); found != job->task_records.end())
+    (w.uses_v2_records ? found->second.revision : found->second.first_format_revision) = revision;
 }
 
-std::vector<std::string> Cluster::record_keys(const Job& job) const {
+std::vector<std::string> Scheduler::record_keys(const Job& job) const {
   std::vector<std::string> out;
-  for (const auto& [from, s] : job.shards) {
-    if (s.version) out.push_back(second_key(job.spec.id, from));
-    if (s.first_version) out.push_back(first_key(job.spec.id, from / job.cut));
+  for (const auto& [from, s] : job.task_records) {
+    if (s.revision) out.push_back(second_key(job.spec.id, from));
+    if (s.first_format_revision) out.push_back(first_key(job.spec.id, from / job.cut));
   }
   return out;
 }
 
-std::vector<std::string> Cluster::finished_jobs() const {
+std::vector<std::string> Scheduler::finished_jobs() const {
   // In the order in which they came. Guards against an end that is last again and again while changes are
   // few.
   std::vector<std::pair<std::uint64_t, std::string>> found;
@@ -287,7 +289,7 @@
     const Job& job = it->second;
     if (job.finalizing || !job.active.empty() || !job.over()) continue;
     bool in_flight = false;
-    for (const auto& [n, s] : job.shards) in_flight |= s.in_flight;
+    for (const auto& [n, s] : job.task_records) in_flight |= s.in_flight;
     if (!in_flight) found.emplace_back(order, id);
   }
   std::sort(found.begin(), found.end());
@@ -298,7 +300,7 @@
 
 // ---------------------------------------------------------------- loading
 
-void Cluster::load_done(Job& job, int index) {
+void Scheduler::load_done(Job& job, int index) {
   if (index < 0 || index >= job.spec.tasks || job.phase[static_cast<std::size_t>(index)] != TaskPhase::Queued)
     return;
   job.phase[static_cast<std::size_t>(index)] = TaskPhase::Done;
@@ -306,21 +308,21 @@
   ++job.done;
 }
 
-void Cluster::load_task(Job& job, int index, ActiveTask a) {
+void Scheduler::load_task(Job& job, int index, ActiveTask a) {
   if (index < 0 || index >= job.spec.tasks || job.phase[static_cast<std::size_t>(index)] != TaskPhase::Queued)
     return;
   a.stage = Stage::Recovered;
   a.since = started_;
-  a.lapse_at = started_ + c::kReservation * 4;
+  a.reservation_expires_at = started_ + c::kReservationTimeout * 4;
   auto [m, fresh] = machines_.try_emplace(a.machine);
   if (fresh) {
     m->second.name = a.machine;
-    fence(m->second);
-    m->second.rented_at = started_;
+    raise_fencing_token(m->second);
+    m->second.provisioned_at = started_;
   }
   // Guards against a second start: a launch of the former holder may still arrive, so only a report that
   // already carries our token can show that the task is absent.
-  a.fence = m->second.token;
+  a.minimum_token = m->second.fencing_token;
   m->second.tasks.insert({job.spec.id, index});
   m->second.free -= job.spec.need;
   count_task(m->second, job, a, 1);
@@ -332,11 +334,11 @@
   if (job.cancelled) stop_task(job, index, 0);
 }
 
-void Cluster::load_second(Job& job, int from, int count, const Json& value, std::uint64_t version) {
+void Scheduler::load_second(Job& job, int from, int count, const Json& value, std::uint64_t revision) {
   job.cut = std::max(1, value.value("c", job.cut));
-  Shard& s = job.shards[from];
+  TaskRecord& s = job.task_records[from];
   s.count = count;
-  s.version = version;
+  s.revision = revision;
   auto each = [&](const std::string& runs, auto fn) {
     for (auto [a, b] : Runs::parse(runs))
       for (int i = a; i <= b && i < count; ++i) fn(from + i);
@@ -347,7 +349,7 @@
     for (const auto& group : *t) {
       ActiveTask a;
       a.machine = group.at(0);
-      a.session = group.at(1);
+      a.worker_epoch = group.at(1);
       a.zone = zones.at(group.at(2));
       a.attempt = group.at(3);
       each(group.at(4), [&](int i) { load_task(job, i, a); });
@@ -355,7 +357,7 @@
 }
 
 /// A record speaks for its tasks up to where the job's next one begins: see split().
-void Cluster::flush_loading() {
+void Scheduler::flush_loading() {
   Job* job = this->job(loading_job_);
   for (auto it = loading_.begin(); job && it != loading_.end(); ++it) {
     int end = std::min(job->spec.tasks, it->first + it->second.first.value("n", 0));
@@ -366,32 +368,32 @@
   loading_job_.clear();
 }
 
-Cluster::Loaded Cluster::load_record(const std::string& key, const Json& value, std::uint64_t version) {
-  bool second = key.compare(0, kRecords.size(), kRecords) == 0;
+Scheduler::Loaded Scheduler::load_record(const std::string& key, const Json& value, std::uint64_t revision) {
+  bool second = key.compare(0, kTaskRecordsV2.size(), kTaskRecordsV2) == 0;
   auto slash = key.rfind('/');
-  auto start = second ? kRecords.size() : kShards.size();
+  auto start = second ? kTaskRecordsV2.size() : kTaskRecordsV1.size();
   if (slash == std::string::npos || slash < start) return Loaded::Garbage;
   std::string id = key.substr(start, slash - start);
   int n = std::atoi(key.c_str() + slash + 1);
   if (second) {
     // Only controllers that read the second form are left, or there were none.
-    use_second_form();
-    if (value.value("f", 0) > c::kForm) return Loaded::Unknown;
+    use_v2_records();
+    if (value.value("f", 0) > c::kRecordFormat) return Loaded::Unknown;
     if (id != loading_job_) flush_loading();
     if (!job(id)) return Loaded::Garbage;
     loading_job_ = id;
-    loading_[n] = {value, version};
+    loading_[n] = {value, revision};
     return Loaded::Yes;
   }
   flush_loading();
   Job* job = this->job(id);
   if (!job || n < 0) return Loaded::Garbage;
-  if (!job->cut) job->cut = config_.tasks_per_shard();
+  if (!job->cut) job->cut = config_.tasks_per_v1_record();
   int base = n * job->cut;
   if (base >= job->spec.tasks) return Loaded::Garbage;
-  auto& [from, s] = shard_of(*job, base);
-  if (from != base || s.version) return Loaded::Garbage;
-  s.first_version = version;
+  auto& [from, s] = record_of(*job, base);
+  if (from != base || s.revision) return Loaded::Garbage;
+  s.first_format_revision = revision;
   int end = base + s.count;
   if (auto d = value.find("d"); d != value.end() && d->is_array())
     for (const auto& range : *d)
@@ -403,22 +405,23 @@
       ActiveTask a;
       a.attempt = record.at(0);
       a.machine = record.at(1);
-      a.session = record.at(2);
+      a.worker_epoch = record.at(2);
       a.zone = record.at(3);
       load_task(*job, index, std::move(a));
     }
   return Loaded::Yes;
 }
 
-void Cluster::loaded() {
+void Scheduler::loaded() {
   flush_loading();
   for (auto& [id, job] : jobs_) {
     for (int i = 0; complete(job) && i < job.spec.tasks; ++i) load_done(job, i);
     job_index_.update(job);
     if (job.over()) ends(id);
     // A task that was ever assigned is proof that all the job awaits was done; the moment is not known.
-    if (job.shards.empty()) continue;
-    for (const auto& awaited : std::unordered_set<std::string>(job.unmet)) met(job, awaited, job.accepted_at);
+    if (job.task_records.empty()) continue;
+    for (const auto& awaited : std::unordered_set<std::string>(job.unmet_dependencies))
+      met(job, awaited, job.accepted_at);
   }
 }
 
--- a/src/world/cloud.cc
+++ b/src/simulation/cloud.cc
@@ -2,20 +2,20 @@
 
 #include <algorithm>
 
-#include "world_constants.h"
+#include "simulation_constants.h"
 
-namespace corkmux::world {
+namespace corkmux::simulation {
 namespace {
 MachineType small_type() { return {"g8", {16, 0, 64}, 50, 1.0, 1.0, 0.5, 1, {"a", "b"}}; }
 }  // namespace
 
 Cloud::Cloud(Loop& loop, std::vector<MachineType> types, std::vector<Capacity> capacity, double list_lag_s,
-             Hooks hooks, const std::string& listen)
+             Callbacks hooks, const std::string& listen)
     : loop_(loop),
       types_(std::move(types)),
       capacity_(std::move(capacity)),
       list_lag_s_(list_lag_s),
-      hooks_(std::move(hooks)),
+      callbacks_(std::move(hooks)),
       rng_(fresh_seed()),
       server_(loop, listen, kCloudConnections, [this](Id id, http::Request r) { serve(id, std::move(r)); }) {}
 Cloud::Cloud(Loop& loop) : Cloud(loop, {small_type()}, {}, 0, {}) {}
@@ -48,9 +48,9 @@
 
 void Cloud::answer(Id id, int status, const Json& body) {
   http::Response response{status, codec::pack(body), 0, false};
-  if (!loop_.driver()) return server_.respond(id, response);
-  loop_.driver()->start(kCloudAnswer,
-                        [this, id, response = std::move(response)] { server_.respond(id, response); });
+  if (!loop_.runtime()) return server_.respond(id, response);
+  loop_.runtime()->start(kCloudAnswer,
+                         [this, id, response = std::move(response)] { server_.respond(id, response); });
 }
 
 void Cloud::serve(Id id, http::Request r) {
@@ -66,7 +66,7 @@
       if (it == machines_.end() || it->second.gone > 0) continue;
       bool was_up = it->second.up > 0 && it->second.died <= 0;
       it->second.gone = steady_now();
-      if (was_up && hooks_.gone) hooks_.gone(it->first);
+      if (was_up && callbacks_.gone) callbacks_.gone(it->first);
     }
     return answer(id, 200, Json::object());
   }
@@ -96,7 +96,7 @@
     boots_.back()->once(m.facts.type.boot_s * boot(rng_), [this, &m] {
       if (m.gone > 0) return;
       m.up = steady_now();
-      if (hooks_.up) hooks_.up(m.facts);
+      if (callbacks_.up) callbacks_.up(m.facts);
     });
   }
   asked_[ask] = {{"hosts", hosts}};
@@ -119,7 +119,7 @@
     bool failed = m.died > 0 && m.died + kDeadListed <= then;
     const char* phase = failed ? "failed" : m.up > 0 && m.up <= then ? "running" : "starting";
     hosts.push_back({{"ref", it->first},
-                     {"address", hooks_.address ? hooks_.address(it->first) : ""},
+                     {"address", callbacks_.address ? callbacks_.address(it->first) : ""},
                      {"build", m.facts.type.name},
                      {"room", m.facts.zone},
                      {"lendable", m.facts.spot},
@@ -129,4 +129,4 @@
   answer(id, 200, {{"hosts", hosts}, {"truncated", more}});
 }
 
-}  // namespace corkmux::world
+}  // namespace corkmux::simulation
--- a/src/world/cloud.h
+++ b/src/simulation/cloud.h
@@ -10,7 +10,7 @@
 #include "state_service.h"
 #include "worker.h"
 
-namespace corkmux::world {
+namespace corkmux::simulation {
 
 struct Capacity {
   std::string type, zone;
@@ -21,13 +21,13 @@
 class Cloud {
  public:
   /// `up` is told of each machine that has booted, `gone` of each that was deleted while it was up.
-  struct Hooks {
+  struct Callbacks {
     std::function<void(const MachineFacts&)> up;
     std::function<void(const std::string& name)> gone;
     std::function<std::string(const std::string& name)> address;
   };
   Cloud(Loop& loop, std::vector<MachineType> types, std::vector<Capacity> capacity, double list_lag_s,
-        Hooks hooks, const std::string& listen = "127.0.0.1:0");
+        Callbacks hooks, const std::string& listen = "127.0.0.1:0");
   /// A cloud without machines to rent, as most tests need it.
   explicit Cloud(Loop& loop);
   std::string address() const { return "127.0.0.1:" + std::to_string(server_.port()); }
@@ -57,7 +57,7 @@
   std::vector<MachineType> types_;
   std::vector<Capacity> capacity_;
   double list_lag_s_;
-  Hooks hooks_;
+  Callbacks callbacks_;
   std::mt19937_64 rng_;
   int named_ = 0;
   std::map<std::string, Machine> machines_;
@@ -66,4 +66,4 @@
   http::Server server_;
 };
 
-}  // namespace corkmux::world
+}  // namespace corkmux::simulation
