--- a/tests/placement_test.cc
+++ b/tests/placement_test.cc
@@ -4,35 +4,35 @@
 
 #include <random>
 
-#include "cluster.h"
+#include "scheduler.h"
 
 namespace corkmux {
 namespace {
 
-struct World {
+struct ClusterSimulation {
   std::mt19937 rng;
-  ClusterConfig config;
-  std::unique_ptr<Cluster> cluster;
-  explicit World(unsigned seed) : rng(seed) {
+  SchedulerConfig config;
+  std::unique_ptr<Scheduler> scheduler;
+  explicit ClusterSimulation(unsigned seed) : rng(seed) {
     config.zones = {"a", "b"};
     config.teams = {{"x", 40, 90, 0, 0}, {"y", 40, 200, 8, 12}};
-    cluster = std::make_unique<Cluster>(config, 1, 0, seed);
-    cluster->set_catalog({{"plain", {16, 0, 64}, 50, 1, 1, 1, 10, {"a", "b"}},
-                          {"gpu", {16, 4, 64}, 50, 1, 5, 2, 10, {"a", "b"}}});
+    scheduler = std::make_unique<Scheduler>(config, 1, 0, seed);
+    scheduler->set_catalog({{"plain", {16, 0, 64}, 50, 1, 1, 1, 10, {"a", "b"}},
+                            {"gpu", {16, 4, 64}, 50, 1, 5, 2, 10, {"a", "b"}}});
     int n = 4 + static_cast<int>(rng() % 8);
     for (int i = 0; i < n; ++i) {
-      Report r;
+      Heartbeat r;
       r.machine = "n-" + std::to_string(i);
       r.address = "x";
       r.type = rng() % 2 ? "plain" : "gpu";
       r.zone = rng() % 2 ? "a" : "b";
       r.spot = rng() % 4 == 0;
-      r.session = 1;
+      r.worker_epoch = 1;
       r.seq = 1;
-      auto first = cluster->on_report(r, Cluster::Channel::Report, 0);
+      auto first = scheduler->on_heartbeat(r, Scheduler::Channel::Heartbeat, 0);
       r.seq = 2;
-      r.token = first.token;
-      cluster->on_report(r, Cluster::Channel::Report, 0);
+      r.fencing_token = first.fencing_token;
+      scheduler->on_heartbeat(r, Scheduler::Channel::Heartbeat, 0);
     }
   }
   JobSpec job(int n) {
@@ -65,16 +65,17 @@
 TEST(Placement, IsAllowedWithinLimitsAndLeavesNothingThatFits) {
   int starts = 0, waits = 0;
   for (unsigned seed = 1; seed <= 300; ++seed) {
-    World w(seed);
+    ClusterSimulation w(seed);
     int jobs = 3 + static_cast<int>(w.rng() % 12);
-    for (int i = 0; i < jobs; ++i) w.cluster->put_job(w.job(i), static_cast<std::uint64_t>(i + 1), false, 0);
-    for (int pass = 0; pass < 5; ++pass) w.cluster->plan(0);
+    for (int i = 0; i < jobs; ++i)
+      w.scheduler->put_job(w.job(i), static_cast<std::uint64_t>(i + 1), false, 0);
+    for (int pass = 0; pass < 5; ++pass) w.scheduler->schedule(0);
 
     std::map<std::string, Resources> used, team;
-    for (const auto& [id, job] : w.cluster->jobs()) {
+    for (const auto& [id, job] : w.scheduler->jobs()) {
       std::map<std::string, int> zones;
       for (const auto& [i, a] : job.active) {
-        const Machine& m = *w.cluster->machine(a.machine);
+        const Machine& m = *w.scheduler->machine(a.machine);
         ASSERT_TRUE(plainly_allowed(job.spec, m)) << seed;
         used[m.name] += job.spec.need;
         team[job.spec.team] += job.spec.need;
@@ -94,30 +95,30 @@
         ASSERT_LE(attempts.size(), 1u) << seed;
       }
     }
-    for (const auto& [name, u] : used) ASSERT_TRUE(u.fits(w.cluster->machine(name)->size)) << seed;
+    for (const auto& [name, u] : used) ASSERT_TRUE(u.fits(w.scheduler->machine(name)->size)) << seed;
     ASSERT_LE(team["x"].cpus, 90) << seed;
     ASSERT_LE(team["y"].cpus, 200) << seed;
     ASSERT_LE(team["y"].gpus, 12) << seed;
 
-    for (const auto& [id, job] : w.cluster->jobs()) {
+    for (const auto& [id, job] : w.scheduler->jobs()) {
       if (!job.queued || job.spec.kind == JobKind::Gang || job.spec.spread || job.spec.one_zone) continue;
       // Kept free on purpose: room under a limit for a more urgent job of the team, room made for one on
       // machines, and accelerators for work that needs them.
       bool more_urgent = false;
-      for (const auto& [other_id, other] : w.cluster->jobs())
+      for (const auto& [other_id, other] : w.scheduler->jobs())
         more_urgent |= other.queued > 0 && other.spec.priority > job.spec.priority;
       if (more_urgent) continue;
       Resources t = team[job.spec.team];
       t += job.spec.need;
       if (t.cpus > (job.spec.team == "x" ? 90 : 200) || (job.spec.team == "y" && t.gpus > 12)) continue;
-      for (const auto& [name, m] : w.cluster->machines()) {
+      for (const auto& [name, m] : w.scheduler->machines()) {
         if (m.size.gpus > 0 && job.spec.need.gpus <= 0) continue;
         Resources room = m.size;
         room -= used[name];
         ASSERT_FALSE(plainly_allowed(job.spec, m) && job.spec.need.fits(room))
             << seed << " " << id << " on " << name;
       }
-      EXPECT_FALSE(w.cluster->reason(job).empty());
+      EXPECT_FALSE(w.scheduler->reason(job).empty());
       ++waits;
     }
   }
@@ -126,54 +127,54 @@
 }
 
 TEST(Placement, TheHigherPriorityTimesSizeWinsTheLastMachine) {
-  ClusterConfig config;
+  SchedulerConfig config;
   config.teams = {{"x", 0, 0, 0, 0}};
-  Cluster cluster(config, 1, 0, 3);
-  cluster.set_catalog({{"plain", {16, 0, 64}, 50, 1, 1, 1, 10, {"a"}}});
-  Report r;
-  r.machine = "n-1", r.address = "x", r.type = "plain", r.zone = "a", r.session = 1, r.seq = 1;
-  auto first = cluster.on_report(r, Cluster::Channel::Report, 0);
+  Scheduler scheduler(config, 1, 0, 3);
+  scheduler.set_catalog({{"plain", {16, 0, 64}, 50, 1, 1, 1, 10, {"a"}}});
+  Heartbeat r;
+  r.machine = "n-1", r.address = "x", r.type = "plain", r.zone = "a", r.worker_epoch = 1, r.seq = 1;
+  auto first = scheduler.on_heartbeat(r, Scheduler::Channel::Heartbeat, 0);
   // Nothing is placed on a machine that has not yet obeyed our token.
   JobSpec s;
   s.team = "x", s.kind = JobKind::Array, s.need = {16, 0, 1}, s.image = "i";
   s.id = "run-low", s.priority = Priority::Low;
-  cluster.put_job(s, 1, false, 0);
+  scheduler.put_job(s, 1, false, 0);
   s.id = "run-high", s.priority = Priority::High;
-  cluster.put_job(s, 2, false, 0);
-  cluster.plan(0);
-  EXPECT_TRUE(cluster.job("run-high")->active.empty());
-  r.seq = 2, r.token = first.token;
-  cluster.on_report(r, Cluster::Channel::Report, 0);
-  cluster.plan(0);
-  EXPECT_EQ(cluster.job("run-high")->active.size(), 1u);
-  EXPECT_TRUE(cluster.job("run-low")->active.empty());
+  scheduler.put_job(s, 2, false, 0);
+  scheduler.schedule(0);
+  EXPECT_TRUE(scheduler.job("run-high")->active.empty());
+  r.seq = 2, r.fencing_token = first.fencing_token;
+  scheduler.on_heartbeat(r, Scheduler::Channel::Heartbeat, 0);
+  scheduler.schedule(0);
+  EXPECT_EQ(scheduler.job("run-high")->active.size(), 1u);
+  EXPECT_TRUE(scheduler.job("run-low")->active.empty());
 }
 
 // Guards against a queue in which work that is late anyway makes the rest late too: of bids of equal weight,
 // the one that can still meet its start aim goes first, then the one with the least left to start. A gang
 // bids on each machine with its member's size, so it does not outweigh a single task of its class.
 TEST(Placement, OfEqualBidsTheOneThatCanStillBeInTimeGoesFirst) {
-  ClusterConfig config;
+  SchedulerConfig config;
   config.teams = {{"x", 0, 0, 0, 0}};
   config.start_within = {{"urgent", {10, 30}}};
   auto started = [&](double first_age, int first_tasks, double second_age, int second_tasks) {
-    Cluster cluster(config, 1, 0, 3);
-    cluster.set_catalog({{"plain", {16, 0, 64}, 50, 1, 1, 1, 10, {"a"}}});
+    Scheduler scheduler(config, 1, 0, 3);
+    scheduler.set_catalog({{"plain", {16, 0, 64}, 50, 1, 1, 1, 10, {"a"}}});
     for (int i = 0; i < 2; ++i) {
-      Report r;
+      Heartbeat r;
       r.machine = "n-" + std::to_string(i), r.address = "x", r.type = "plain", r.zone = "a";
-      r.session = 1, r.seq = 1;
-      r.token = cluster.on_report(r, Cluster::Channel::Report, 0).token, r.seq = 2;
-      cluster.on_report(r, Cluster::Channel::Report, 0);
+      r.worker_epoch = 1, r.seq = 1;
+      r.fencing_token = scheduler.on_heartbeat(r, Scheduler::Channel::Heartbeat, 0).fencing_token, r.seq = 2;
+      scheduler.on_heartbeat(r, Scheduler::Channel::Heartbeat, 0);
     }
     JobSpec s;
     s.team = "x", s.job_class = "urgent", s.kind = JobKind::Gang, s.need = {16, 0, 1}, s.image = "i";
     s.id = "run-first", s.tasks = first_tasks;
-    cluster.put_job(s, 1, false, 0, first_age);
+    scheduler.put_job(s, 1, false, 0, first_age);
     s.id = "run-second", s.tasks = second_tasks;
-    cluster.put_job(s, 2, false, 0, second_age);
-    cluster.plan(0);
-    return cluster.job("run-first")->active.empty() ? "second" : "first";
+    scheduler.put_job(s, 2, false, 0, second_age);
+    scheduler.schedule(0);
+    return scheduler.job("run-first")->active.empty() ? "second" : "first";
   };
   EXPECT_STREQ(started(0, 2, 0, 2), "first");     // equal in all: in the order of acceptance
   EXPECT_STREQ(started(20, 2, 0, 2), "second");   // the first has missed its tighter aim
@@ -186,69 +187,71 @@
 // Guards against work that waits for ever though a machine has room and its team is under its limit: room is
 // kept for more urgent work of the team for a while only, since that may never fit.
 TEST(Placement, RoomUnderATeamsLimitIsKeptForAWhileOnly) {
-  World w(1);
+  ClusterSimulation w(1);
   for (int i = 0; i < 20; ++i) {
-    Report r;
+    Heartbeat r;
     r.machine = "m-" + std::to_string(i), r.address = "x", r.type = "plain", r.zone = "a";
-    r.session = r.seq = 1;
-    r.token = w.cluster->on_report(r, Cluster::Channel::Report, 0).token;
+    r.worker_epoch = r.seq = 1;
+    r.fencing_token = w.scheduler->on_heartbeat(r, Scheduler::Channel::Heartbeat, 0).fencing_token;
     r.seq = 2;
-    w.cluster->on_report(r, Cluster::Channel::Report, 0);
+    w.scheduler->on_heartbeat(r, Scheduler::Channel::Heartbeat, 0);
   }
   auto put = [&](const char* id, JobKind kind, Priority priority, int tasks, double cpus) {
     JobSpec s;
     s.id = id, s.team = "x", s.image = "i", s.kind = kind, s.priority = priority, s.tasks = tasks;
     s.need = {cpus, 0, 1};
-    w.cluster->put_job(s, w.rng(), false, 0);
+    w.scheduler->put_job(s, w.rng(), false, 0);
   };
   put("run-runs", JobKind::Gang, Priority::High, 4, 16);  // 64 of the team's 90
-  w.cluster->plan(0);
-  ASSERT_EQ(w.cluster->job("run-runs")->active.size(), 4u);
+  w.scheduler->schedule(0);
+  ASSERT_EQ(w.scheduler->job("run-runs")->active.size(), 4u);
   put("run-waits", JobKind::Gang, Priority::High, 2, 16);
   put("run-small", JobKind::Array, Priority::Low, 3, 4);
   for (double now : {1.0, 45.0, 74.0}) {
-    for (int i = 0; i < 20; ++i) w.cluster->machine("m-" + std::to_string(i))->last_heard = now;
-    w.cluster->plan(now);
-    EXPECT_TRUE(w.cluster->job("run-small")->active.empty()) << now;
+    for (int i = 0; i < 20; ++i) w.scheduler->machine("m-" + std::to_string(i))->last_heard = now;
+    w.scheduler->schedule(now);
+    EXPECT_TRUE(w.scheduler->job("run-small")->active.empty()) << now;
   }
-  for (int i = 0; i < 20; ++i) w.cluster->machine("m-" + std::to_string(i))->last_heard = 76;
-  w.cluster->plan(76);
-  EXPECT_EQ(w.cluster->job("run-small")->active.size(), 1u);  // one task at a time
+  for (int i = 0; i < 20; ++i) w.scheduler->machine("m-" + std::to_string(i))->last_heard = 76;
+  w.scheduler->schedule(76);
+  EXPECT_EQ(w.scheduler->job("run-small")->active.size(), 1u);  // one task at a time
 }
 
 // The operators' mark: half of a class's largest jobs begin within four minutes. Of equals the one with the
 // least left goes first, so the largest would wait as long as smaller ones come; the first task of each does
 // not.
 TEST(Placement, OfALargeArrayThatHasWaitedForLongOneTaskGoesBeforeSmallerOnes) {
-  ClusterConfig config;
+  SchedulerConfig config;
   config.zones = {"a"}, config.teams = {{"x", 0, 0, 0, 0}};
-  Cluster cluster(config, 1, 0, 1);
-  cluster.set_catalog({{"plain", {16, 0, 64}, 50, 1, 1, 1, 10, {"a"}}});
+  Scheduler scheduler(config, 1, 0, 1);
+  scheduler.set_catalog({{"plain", {16, 0, 64}, 50, 1, 1, 1, 10, {"a"}}});
   auto hear = [&](int n, std::uint64_t seq, double now) {
     for (int i = 0; i < n; ++i) {
-      Report r;
-      r.machine = "n-" + std::to_string(i), r.address = "x", r.type = "plain", r.zone = "a", r.session = 1;
-      r.seq = seq, r.token = cluster.machine(r.machine) ? cluster.machine(r.machine)->token : 0;
-      cluster.on_report(r, Cluster::Channel::Report, now);
+      Heartbeat r;
+      r.machine = "n-" + std::to_string(i), r.address = "x", r.type = "plain", r.zone = "a",
+      r.worker_epoch = 1;
+      r.seq = seq,
+      r.fencing_token = scheduler.machine(r.machine) ? scheduler.machine(r.machine)->fencing_token : 0;
+      scheduler.on_heartbeat(r, Scheduler::Channel::Heartbeat, now);
     }
   };
-  auto put = [&](const std::string& id, int tasks, double now, std::uint64_t stamp) {
+  auto put = [&](const std::string& id, int tasks, double now, std::uint64_t revision) {
     JobSpec s;
     s.id = id, s.team = "x", s.image = "i", s.tasks = tasks, s.need = {16, 0, 1}, s.estimate_s = 10;
-    cluster.put_job(s, stamp, false, now);
+    scheduler.put_job(s, revision, false, now);
   };
   put("run-large", 50, 0, 1);
   for (int i = 0; i < 9; ++i)
     put("run-small-" + std::to_string(i), 2, 100, static_cast<std::uint64_t>(i + 2));
   hear(4, 1, 100), hear(4, 2, 100);
-  cluster.plan(100);
-  EXPECT_EQ(cluster.job("run-large")->active.size(), 0u);
+  scheduler.schedule(100);
+  EXPECT_EQ(scheduler.job("run-large")->active.size(), 0u);
   hear(6, 3, 121), hear(6, 4, 121);
-  cluster.plan(121);
+  scheduler.schedule(121);
   // One task of it, and the rest of the room for those with less left.
-  EXPECT_EQ(cluster.job("run-large")->active.size(), 1u);
+  EXPECT_EQ(scheduler.job("run-large")->active.size(), 1u);
   std::size_t small = 0;
-  for (const auto& [id, job] : cluster.jobs()) small += id != "run-large" ? job.active.size() : 0;
+  for (const auto& [id, job] : scheduler.jobs()) small += id != "run-large" ? job.active.size() : 0;
   EXPECT_EQ(small, 5u);
 }
 
--- a/tests/preemption_test.cc
+++ b/tests/preemption_test.cc
@@ -3,27 +3,27 @@
 
 #include <algorithm>
 
-#include "cluster.h"
+#include "scheduler.h"
 
 namespace corkmux {
 namespace {
 
 struct Fleet {
-  ClusterConfig config;
-  std::unique_ptr<Cluster> cluster;
-  std::map<std::string, Report> machines;
+  SchedulerConfig config;
+  std::unique_ptr<Scheduler> scheduler;
+  std::map<std::string, Heartbeat> machines;
   std::uint64_t revision = 100;
   int stops = 0, launches = 0;
 
   explicit Fleet(std::vector<Team> teams, int count) {
     config.teams = std::move(teams);
     config.report_s = 1;
-    cluster = std::make_unique<Cluster>(config, 1, 0, 5);
-    cluster->set_catalog({{"plain", {16, 0, 64}, 50, 1, 1, 1, 10, {"a"}}});
+    scheduler = std::make_unique<Scheduler>(config, 1, 0, 5);
+    scheduler->set_catalog({{"plain", {16, 0, 64}, 50, 1, 1, 1, 10, {"a"}}});
     for (int i = 0; i < count; ++i) {
-      Report r;
+      Heartbeat r;
       r.machine = "n-" + std::to_string(i);
-      r.address = "x", r.type = "plain", r.zone = "a", r.session = 1;
+      r.address = "x", r.type = "plain", r.zone = "a", r.worker_epoch = 1;
       machines[r.machine] = r;
     }
     settle(0);
@@ -39,34 +39,34 @@
   /// One round: store writes succeed, orders are executed, every task runs at once, stopped tasks exit at
   /// once.
   void settle(double now) {
-    cluster->tick(now);
-    cluster->plan(now);
-    auto batch = cluster->next_writes(50, true, 0);
-    if (!batch.empty()) cluster->written(batch, ++revision, now);
+    scheduler->tick(now);
+    scheduler->schedule(now);
+    auto batch = scheduler->next_writes(50, true, 0);
+    if (!batch.empty()) scheduler->written(batch, ++revision, now);
     for (auto& [name, r] : machines) {
-      if (Machine* m = cluster->machine(name); m && cluster->has_orders(*m)) {
-        auto orders = cluster->take_orders(name, now);
-        r.token = std::max(r.token, orders.token);
-        for (const auto& c : orders.commands) obey(r, c);
-        cluster->orders_done(name, orders, Cluster::OrdersOutcome::Executed, now);
+      if (Machine* m = scheduler->machine(name); m && scheduler->has_commands(*m)) {
+        auto command_batch = scheduler->take_commands(name, now);
+        r.fencing_token = std::max(r.fencing_token, command_batch.fencing_token);
+        for (const auto& c : command_batch.commands) obey(r, c);
+        scheduler->dispatch_done(name, command_batch, Scheduler::DispatchOutcome::Executed, now);
       }
       ++r.seq;
-      auto result = cluster->on_report(r, Cluster::Channel::Report, now);
-      r.token = std::max(r.token, result.token);
+      auto result = scheduler->on_heartbeat(r, Scheduler::Channel::Heartbeat, now);
+      r.fencing_token = std::max(r.fencing_token, result.fencing_token);
       for (const auto& c : result.commands) obey(r, c);
-      cluster->answered(name, now);
+      scheduler->answered(name, now);
     }
   }
-  void obey(Report& r, const Command& c) {
+  void obey(Heartbeat& r, const TaskCommand& c) {
     auto it = std::find_if(r.tasks.begin(), r.tasks.end(),
-                           [&](const TaskReport& t) { return t.job == c.job && t.index == c.index; });
-    if (c.op == Command::Op::Start) {
-      r.tasks.push_back({c.job, c.index, c.attempt, TaskReportState::Running, ExitReason::None, false});
+                           [&](const TaskStatus& t) { return t.job == c.job && t.index == c.index; });
+    if (c.op == TaskCommand::Op::Start) {
+      r.tasks.push_back({c.job, c.index, c.attempt, TaskState::Running, ExitReason::None, false});
       ++launches;
-    } else if (it != r.tasks.end() && c.op == Command::Op::Stop && it->state != TaskReportState::Exited) {
-      it->state = TaskReportState::Exited, it->why = ExitReason::Stopped;
+    } else if (it != r.tasks.end() && c.op == TaskCommand::Op::Stop && it->state != TaskState::Exited) {
+      it->state = TaskState::Exited, it->why = ExitReason::Stopped;
       ++stops;
-    } else if (it != r.tasks.end() && c.op == Command::Op::Forget) {
+    } else if (it != r.tasks.end() && c.op == TaskCommand::Op::Forget) {
       r.tasks.erase(it);
     }
   }
@@ -74,37 +74,37 @@
 
 TEST(Preemption, TheTeamsLimitMakesWayForItsUrgentGangOnce) {
   Fleet f({{"x", 64, 64, 0, 0}}, 8);
-  f.cluster->put_job(f.job("run-array", "x", Priority::Normal, 40, 4), 1, false, 1);
+  f.scheduler->put_job(f.job("run-array", "x", Priority::Normal, 40, 4), 1, false, 1);
   double now = 1;
   for (; now < 3; now += 0.05) f.settle(now);
-  EXPECT_EQ(f.cluster->job("run-array")->active.size(), 16u);
-  f.cluster->put_job(f.job("run-gang", "x", Priority::High, 2, 15, JobKind::Gang), 2, false, now);
+  EXPECT_EQ(f.scheduler->job("run-array")->active.size(), 16u);
+  f.scheduler->put_job(f.job("run-gang", "x", Priority::High, 2, 15, JobKind::Gang), 2, false, now);
   for (double end = now + 10; now < end; now += 0.05) f.settle(now);
-  EXPECT_EQ(f.cluster->job("run-gang")->active.size(), 2u);
+  EXPECT_EQ(f.scheduler->job("run-gang")->active.size(), 2u);
   EXPECT_EQ(f.stops, 8) << "32 of 64 CPUs are needed, no more, and once only";
 }
 
 TEST(Preemption, WorkWithinAGuaranteeIsNotStoppedForWorkBeyondAnother) {
   Fleet f({{"x", 32, 0, 0, 0}, {"y", 0, 0, 0, 0}}, 2);
-  f.cluster->put_job(f.job("run-array", "x", Priority::Normal, 8, 4), 1, false, 1);
+  f.scheduler->put_job(f.job("run-array", "x", Priority::Normal, 8, 4), 1, false, 1);
   double now = 1;
   for (; now < 3; now += 0.05) f.settle(now);
-  f.cluster->put_job(f.job("run-gang", "y", Priority::High, 1, 15, JobKind::Gang), 2, false, now);
+  f.scheduler->put_job(f.job("run-gang", "y", Priority::High, 1, 15, JobKind::Gang), 2, false, now);
   for (double end = now + 5; now < end; now += 0.05) f.settle(now);
   EXPECT_EQ(f.stops, 0);
-  EXPECT_EQ(f.cluster->job("run-array")->active.size(), 8u);
+  EXPECT_EQ(f.scheduler->job("run-array")->active.size(), 8u);
 }
 
 TEST(Preemption, LowerPriorityMakesRoomOnMachines) {
   Fleet f({{"x", 0, 0, 0, 0}, {"y", 0, 0, 0, 0}}, 2);
-  f.cluster->put_job(f.job("run-array", "x", Priority::Low, 20, 4), 1, false, 1);
+  f.scheduler->put_job(f.job("run-array", "x", Priority::Low, 20, 4), 1, false, 1);
   double now = 1;
   for (; now < 3; now += 0.05) f.settle(now);
-  f.cluster->put_job(f.job("run-gang", "y", Priority::High, 1, 15, JobKind::Gang), 2, false, now);
+  f.scheduler->put_job(f.job("run-gang", "y", Priority::High, 1, 15, JobKind::Gang), 2, false, now);
   for (double end = now + 5; now < end; now += 0.05) f.settle(now);
-  EXPECT_EQ(f.cluster->job("run-gang")->active.size(), 1u);
+  EXPECT_EQ(f.scheduler->job("run-gang")->active.size(), 1u);
   EXPECT_EQ(f.stops, 4);
-  EXPECT_EQ(f.cluster->job("run-array")->active.size(), 4u);
+  EXPECT_EQ(f.scheduler->job("run-array")->active.size(), 4u);
 }
 
 }  // namespace
--- a/tests/reclaim_test.cc
+++ b/tests/quota_reclaim_test.cc
@@ -1,6 +1,6 @@
 // What is stopped so that a team gets its guarantee, against an exhaustive search on small cases; and that
 // two teams cannot take turns.
-#include "reclaim.h"
+#include "quota_reclaim.h"
 
 #include <gtest/gtest.h>
 
@@ -8,12 +8,12 @@
 #include <random>
 #include <tuple>
 
-#include "cluster.h"
+#include "scheduler.h"
 
 namespace corkmux {
 namespace {
 
-bool holds(const ReclaimInput& in, const std::vector<int>& stopped) {
+bool holds(const QuotaReclaimInput& in, const std::vector<int>& stopped) {
   auto places = in.places;
   auto left = in.beyond;
   for (int i : stopped) {
@@ -31,15 +31,15 @@
   return std::any_of(fits.begin(), fits.end(), [&](const auto& f) { return f.second >= in.tasks; });
 }
 
-double lost(const ReclaimInput& in, const std::vector<int>& stopped) {
+double lost(const QuotaReclaimInput& in, const std::vector<int>& stopped) {
   double sum = 0;
   for (int i : stopped) sum += in.units[static_cast<std::size_t>(i)].lost;
   return sum;
 }
 
-ReclaimInput random_case(std::mt19937& rng, bool tight_budget) {
+QuotaReclaimInput random_case(std::mt19937& rng, bool tight_budget) {
   auto up_to = [&](int n) { return static_cast<int>(rng() % static_cast<unsigned>(n)); };
-  ReclaimInput in;
+  QuotaReclaimInput in;
   in.need = {2.0 + 2 * up_to(3), up_to(3) == 0 ? 1.0 : 0.0, 1};
   in.tasks = 1 + up_to(4);
   in.one_zone = up_to(2) == 0;
@@ -47,7 +47,8 @@
     in.places.push_back({{1.0 * up_to(3), 1.0 * up_to(2), 4}, up_to(2), up_to(6) > 0});
   int units = 1 + up_to(9);
   for (int u = 0; u < units; ++u) {
-    ReclaimInput::Unit unit{up_to(2), 1.0 + up_to(100), {1.0 + up_to(4), 1.0 * up_to(2), 1}, {}};
+    QuotaReclaimInput::PreemptionUnit unit{
+        up_to(2), 1.0 + up_to(100), {1.0 + up_to(4), 1.0 * up_to(2), 1}, {}};
     for (int m = up_to(4) == 0 ? 3 : 1; m > 0; --m) unit.members.push_back(up_to(5));
     in.units.push_back(unit);
   }
@@ -105,24 +106,24 @@
 }
 
 struct Site {
-  std::unique_ptr<Cluster> cluster;
-  std::map<std::string, Report> machines;
+  std::unique_ptr<Scheduler> scheduler;
+  std::map<std::string, Heartbeat> machines;
   std::uint64_t revision = 100;
   int stops = 0;
   double now = 0, run_s = 1e9;
   std::map<std::tuple<std::string, int, std::uint64_t>, double> started;
 
   explicit Site(int count) {
-    ClusterConfig config;
+    SchedulerConfig config;
     config.start_within = {{"urgent", {5, 20}}};
     config.teams = {{"a", 32, 1000, 0, 0}, {"b", 32, 1000, 0, 0}};
     config.report_s = 1, config.guarantee_within = 4;
-    cluster = std::make_unique<Cluster>(config, 1, 0, 5);
-    cluster->set_catalog({{"plain", {16, 0, 64}, 50, 1, 1, 1, 10, {"z"}}});
+    scheduler = std::make_unique<Scheduler>(config, 1, 0, 5);
+    scheduler->set_catalog({{"plain", {16, 0, 64}, 50, 1, 1, 1, 10, {"z"}}});
     for (int i = 0; i < count; ++i) {
-      Report& r = machines["n-" + std::to_string(i)];
+      Heartbeat& r = machines["n-" + std::to_string(i)];
       r.machine = "n-" + std::to_string(i);
-      r.address = "x", r.type = "plain", r.zone = "z", r.session = 1;
+      r.address = "x", r.type = "plain", r.zone = "z", r.worker_epoch = 1;
     }
     run(1);
   }
@@ -131,48 +132,48 @@
     s.id = id, s.team = team, s.priority = priority, s.tasks = tasks, s.kind = kind;
     s.job_class = "urgent", s.one_zone = kind == JobKind::Gang;
     s.need = {8, 0, 1}, s.image = "i", s.checkpoint_s = 20, s.save_s = 1;
-    cluster->put_job(s, ++revision, false, now);
+    scheduler->put_job(s, ++revision, false, now);
   }
   void run(double seconds) {
     for (double end = now + seconds; now < end; now += 0.25) {
-      cluster->tick(now);
-      cluster->plan(now);
-      auto batch = cluster->next_writes(50, true, now);
-      if (!batch.empty()) cluster->written(batch, ++revision, now);
+      scheduler->tick(now);
+      scheduler->schedule(now);
+      auto batch = scheduler->next_writes(50, true, now);
+      if (!batch.empty()) scheduler->written(batch, ++revision, now);
       for (auto& [name, r] : machines) {
-        if (Machine* m = cluster->machine(name); m && cluster->has_orders(*m)) {
-          auto orders = cluster->take_orders(name, now);
-          r.token = std::max(r.token, orders.token);
-          for (const auto& c : orders.commands) obey(r, c);
-          cluster->orders_done(name, orders, Cluster::OrdersOutcome::Executed, now);
+        if (Machine* m = scheduler->machine(name); m && scheduler->has_commands(*m)) {
+          auto command_batch = scheduler->take_commands(name, now);
+          r.fencing_token = std::max(r.fencing_token, command_batch.fencing_token);
+          for (const auto& c : command_batch.commands) obey(r, c);
+          scheduler->dispatch_done(name, command_batch, Scheduler::DispatchOutcome::Executed, now);
         }
         for (auto& t : r.tasks)
-          if (t.state == TaskReportState::Running &&
+          if (t.state == TaskState::Running &&
               now - started[{t.job, t.index, t.attempt}] >
                   run_s * (0.5 + std::hash<std::string>{}(t.job) % 100 / 100.0))
-            t.state = TaskReportState::Exited, t.why = ExitReason::Done;
+            t.state = TaskState::Exited, t.why = ExitReason::Done;
         ++r.seq;
-        auto result = cluster->on_report(r, Cluster::Channel::Report, now);
-        r.token = std::max(r.token, result.token);
+        auto result = scheduler->on_heartbeat(r, Scheduler::Channel::Heartbeat, now);
+        r.fencing_token = std::max(r.fencing_token, result.fencing_token);
         for (const auto& c : result.commands) obey(r, c);
-        cluster->answered(name, now);
+        scheduler->answered(name, now);
       }
     }
   }
-  void obey(Report& r, const Command& c) {
-    if (c.op == Command::Op::Start) started[{c.job, c.index, c.attempt}] = now;
-    if (c.op == Command::Op::Start)
-      r.tasks.push_back({c.job, c.index, c.attempt, TaskReportState::Running, ExitReason::None, false});
+  void obey(Heartbeat& r, const TaskCommand& c) {
+    if (c.op == TaskCommand::Op::Start) started[{c.job, c.index, c.attempt}] = now;
+    if (c.op == TaskCommand::Op::Start)
+      r.tasks.push_back({c.job, c.index, c.attempt, TaskState::Running, ExitReason::None, false});
     for (auto& t : r.tasks)
-      if (c.op == Command::Op::Stop && t.job == c.job && t.index == c.index && t.attempt == c.attempt &&
-          t.state != TaskReportState::Exited)
-        t.state = TaskReportState::Exited, t.why = ExitReason::Stopped, t.saved = c.grace_s > 0, ++stops;
-    if (c.op == Command::Op::Forget)
+      if (c.op == TaskCommand::Op::Stop && t.job == c.job && t.index == c.index && t.attempt == c.attempt &&
+          t.state != TaskState::Exited)
+        t.state = TaskState::Exited, t.why = ExitReason::Stopped, t.saved = c.grace_s > 0, ++stops;
+    if (c.op == TaskCommand::Op::Forget)
       std::erase_if(r.tasks, [&](const auto& t) {
         return t.job == c.job && t.index == c.index && t.attempt == c.attempt;
       });
   }
-  int running(const std::string& id) { return cluster->running(*cluster->job(id)); }
+  int running(const std::string& id) { return scheduler->running(*scheduler->job(id)); }
 };
 
 // Four machines, eight places of which each team is guaranteed four: `b` runs seven in gangs, of higher
@@ -237,10 +238,10 @@
   int n = 0;
   auto small_work = [&](double seconds) {
     for (double end = site.now + seconds; site.now < end;) {
-      while (site.cluster->jobs().size() < 60)  // more than there is room for, at every moment
+      while (site.scheduler->jobs().size() < 60)  // more than there is room for, at every moment
         site.submit("s-" + std::to_string(n++), "b", Priority::High, 1, JobKind::Gang);
       site.run(0.25);
-      for (const auto& id : site.cluster->finished_jobs()) site.cluster->forget_job(id);
+      for (const auto& id : site.scheduler->finished_jobs()) site.scheduler->forget_job(id);
     }
   };
   small_work(8);
@@ -248,8 +249,8 @@
   small_work(15);
   EXPECT_EQ(site.running("gang"), 0);
   small_work(6);
-  EXPECT_TRUE(!site.cluster->job("gang") || site.cluster->job("gang")->active.size() == 12 ||
-              site.cluster->job("gang")->done == 12);
+  EXPECT_TRUE(!site.scheduler->job("gang") || site.scheduler->job("gang")->active.size() == 12 ||
+              site.scheduler->job("gang")->done == 12);
 }
 
 }  // namespace
--- a/tests/known_red.py
+++ b/tests/run_tests.py
@@ -1,7 +1,7 @@
 #!/usr/bin/env python3
 """Runs all tests and holds their results against KNOWN-RED.txt at the repository's root.
 
-    tests/known_red.py BUILD [JOBS]
+    tests/run_tests.py BUILD [JOBS]
 
 A line of KNOWN-RED.txt is `test | cause | issue`; blank lines and lines that begin with # say nothing. At most three tests
 may stand there: those that fail for a fault that is known and not mended yet. Exit status 0: every other test has passed.
--- a/tests/known_red_test.py
+++ b/tests/run_tests_test.py
@@ -1,15 +1,15 @@
 """What the list of known failures lets pass and what it does not, with made-up results."""
 import unittest
 
-import known_red
+import run_tests
 
 ONE = "a.B | cause | 37\n"
 GOOD = {"a.B": "failed", "c.D": "passed"}
 
 
-class KnownRed(unittest.TestCase):
+class RunTests(unittest.TestCase):
     def judge(self, text, results, good, *said):
-        is_good, lines = known_red.judged(text, results)
+        is_good, lines = run_tests.judged(text, results)
         self.assertEqual(is_good, good, lines)
         for part in said:
             self.assertTrue(any(part in line for line in lines), (part, lines))
@@ -46,7 +46,7 @@
     def test_what_ctest_writes(self):
         junit = ('<testsuite><testcase name="a" status="run"/><testcase name="b" status="fail"/>'
                  '<testcase name="c" status="notrun"/><testcase name="d" status="disabled"/></testsuite>')
-        self.assertEqual(known_red.results_in(junit),
+        self.assertEqual(run_tests.results_in(junit),
                          {"a": "passed", "b": "failed", "c": "not run", "d": "not run"})
 
 
--- a/tests/scale_run_test.cc
+++ b/tests/scale_test_run_test.cc
@@ -7,12 +7,12 @@
 #include <cstdlib>
 #include <fstream>
 
+#include "event_merger.h"
 #include "job_source.h"
-#include "ordered_record.h"
-#include "scale_plan.h"
+#include "scale_test_plan.h"
 #include "toml_reader.h"
 
-namespace corkmux::scale {
+namespace corkmux::scale_test {
 namespace {
 
 std::string small_text() { return slurp(std::string(SCALE_PLANS) + "/small.toml"); }
@@ -32,7 +32,7 @@
   return "";
 }
 
-TEST(ScalePlan, SaysWhichFieldIsWrong) {
+TEST(ScaleTestPlan, SaysWhichFieldIsWrong) {
   EXPECT_EQ(error_of(small_text()), "");
   EXPECT_EQ(error_of(replaced(small_text(), "workers = 122", "workers = 2.5")),
             "plan.toml: workers: not a count");
@@ -43,7 +43,7 @@
             "plan.toml: worker_times.report_s: out of range");
 }
 
-TEST(ScalePlan, ZonesShareAllWorkers) {
+TEST(ScaleTestPlan, ZonesShareAllWorkers) {
   auto plan = parse_scale_plan(small_text(), "plan.toml");
   int workers = 0;
   double accelerators = 0;
@@ -55,7 +55,7 @@
   EXPECT_EQ(accelerators, plan.accelerators);
 }
 
-TEST(ScalePlan, RefusesWhatTheMachineCannotCarry) {
+TEST(ScaleTestPlan, RefusesWhatTheMachineCannotCarry) {
   auto plan = parse_scale_plan(small_text(), "plan.toml");
   EXPECT_EQ(refusal(plan), "");
   plan.workers = 3'000'000;
@@ -68,7 +68,7 @@
   EXPECT_NE(refusal(plan).find("CPUs"), std::string::npos);
 }
 
-TEST(ScalePlan, ControllersTakeItsSettings) {
+TEST(ScaleTestPlan, ControllersTakeItsSettings) {
   auto plan = parse_scale_plan(small_text(), "plan.toml");
   auto settings =
       parse_settings(controller_settings(plan, 1, {"127.0.1.1:1", "127.0.1.2:2"},
@@ -100,10 +100,10 @@
 
 class Ordered : public ::testing::Test {
  protected:
-  Ordered() : yard_(loop_, 5, nobody_), record_({{"team-001", 0, 0, 0, 0}}, 30, 2, listener_) {
-    world::Work work;
+  Ordered() : registry_(loop_, 5, nobody_), record_({{"team-001", 0, 0, 0, 0}}, 30, 2, listener_) {
+    simulation::Work work;
     work.spec.id = "run-000001", work.spec.team = "team-001", work.spec.tasks = 1;
-    yard_.add(std::move(work));
+    registry_.add(std::move(work));
     MachineType type;
     type.name = "plain", type.size = {32, 0, 128};
     machines_ = {{"n-1", {"n-1", type, "zone-1"}}, {"n-2", {"n-2", type, "zone-2"}}};
@@ -112,15 +112,15 @@
     return {kind, at, machine, "run-000001", 0, 1, "halted", 0};
   }
   void tell(int host, double until, std::vector<MachineEvent> events) {
-    record_.add({host, until, std::move(events), Json::object(), 1, 1}, machines_, yard_);
+    record_.add({host, until, std::move(events), Json::object(), 1, 1}, machines_, registry_);
     record_.apply();
   }
   Loop loop_;
-  world::Witness nobody_;
-  world::Yard yard_;
-  OrderedRecord::Listener listener_;
-  OrderedRecord record_;
-  std::map<std::string, world::MachineFacts> machines_;
+  simulation::MachineObserver nobody_;
+  simulation::JobRegistry registry_;
+  EventMerger::Listener listener_;
+  EventMerger record_;
+  std::map<std::string, simulation::MachineFacts> machines_;
 };
 
 TEST_F(Ordered, AMoveHeardInTheWrongOrderIsNoSecondRun) {
@@ -148,9 +148,9 @@
   EXPECT_EQ(record_.checker().starts(), 1);
 }
 
-struct CountsStarts : world::Witness {
+struct CountsStarts : simulation::MachineObserver {
   int starts = 0;
-  void on(const std::string&, const std::string&, const std::string&, bool, const world::Work&, int,
+  void on(const std::string&, const std::string&, const std::string&, bool, const simulation::Work&, int,
           std::uint64_t) override {
     ++starts;
   }
@@ -159,29 +159,31 @@
 /// A run whose machines took orders after their end looked as if tasks had run twice.
 TEST(HollowWorker, TakesNoOrdersAfterItsEnd) {
   Loop loop;
-  CountsStarts witness;
-  world::Yard yard(loop, 5, witness);
-  world::Work work;
+  CountsStarts observer;
+  simulation::JobRegistry registry(loop, 5, observer);
+  simulation::Work work;
   work.spec.id = "run-000001", work.spec.tasks = 2, work.spec.image_gb = 0;
-  yard.add(std::move(work));
+  registry.add(std::move(work));
   MachineType type;
   type.name = "plain", type.size = {32, 0, 128};
-  world::Worker worker(loop, {"n-1", type, "zone-1"}, {}, {{"c1", "127.0.0.1:1"}}, yard, "127.0.0.1:0");
+  simulation::Worker worker(loop, {"n-1", type, "zone-1"}, {}, {{"c1", "127.0.0.1:1"}}, registry,
+                            "127.0.0.1:0");
   auto launch = [&](int index) {
     http::Client client(loop, worker.address(), 1, 1);
     bool over = false;
-    auto orders = codec::commands_to_wire(9, {{Command::Op::Start, "run-000001", index, 1, 0}}, 1);
-    client.request("POST", codec::kOrdersPath, codec::pack(orders), 0.3, [&](http::Result) { over = true; });
+    auto command_batch = codec::commands_to_wire(9, {{TaskCommand::Op::Start, "run-000001", index, 1, 0}}, 1);
+    client.request("POST", codec::kCommandsPath, codec::pack(command_batch), 0.3,
+                   [&](http::Result) { over = true; });
     while (!over) loop.run_once();
     bool waited = false;
     loop.call_later(0.2, [&] { waited = true; });
     while (!waited) loop.run_once();
   };
   launch(0);
-  EXPECT_EQ(witness.starts, 1);
+  EXPECT_EQ(observer.starts, 1);
   worker.die("died");
   launch(1);
-  EXPECT_EQ(witness.starts, 1);
+  EXPECT_EQ(observer.starts, 1);
 }
 
 int run_program(const std::string& arguments, std::string* output) {
@@ -217,4 +219,4 @@
 }
 
 }  // namespace
-}  // namespace corkmux::scale
+}  // namespace corkmux::scale_test
--- a/tests/book_model.h
+++ b/tests/scheduler_model.h
@@ -7,15 +7,15 @@
 #include <random>
 #include <set>
 
-#include "cluster.h"
+#include "scheduler.h"
 
 namespace corkmux {
 
 struct Model {
-  ClusterConfig config;
-  std::unique_ptr<Cluster> cluster;
+  SchedulerConfig config;
+  std::unique_ptr<Scheduler> scheduler;
   struct Host {
-    Report report;
+    Heartbeat heartbeat;
     bool faulty = false;
     std::map<std::pair<std::string, int>, double> ends;
   };
@@ -23,7 +23,7 @@
   std::map<std::string, double> broken;  // job -> when its user cancels it
   std::set<std::string> held_bad;        // good jobs that were
   std::mt19937 rng;
-  std::uint64_t stamp = 100;
+  std::uint64_t revision = 100;
   int starts = 0, of_broken = 0, good = 0;
   double run_s = 10;
   std::map<std::string, int> came, ended;  // jobs of a class
@@ -32,19 +32,19 @@
     config.teams = {{"x", 0, 0, 0, 0}};
     config.zones = {"a"};
     config.report_s = 1;
-    cluster = std::make_unique<Cluster>(config, 1, 0, seed);
-    cluster->set_catalog({{"plain", {32, 0, 128}, 60, 1, 1, 1, 10, {"a"}}});
+    scheduler = std::make_unique<Scheduler>(config, 1, 0, seed);
+    scheduler->set_catalog({{"plain", {32, 0, 128}, 60, 1, 1, 1, 10, {"a"}}});
     for (int i = 0; i < 100; ++i) {
-      Report r;
+      Heartbeat r;
       r.machine = "n-" + std::to_string(100 + i), r.address = "x", r.type = "plain", r.zone = "a";
-      r.session = 1;
+      r.worker_epoch = 1;
       hosts[r.machine] = {r, std::uniform_real_distribution<double>(0, 1)(rng) < faulty, {}};
     }
   }
   /// A drawn job; `broken_share` of them fail wherever they start.
   void submit_any(double now, double broken_share) {
     JobSpec s;
-    s.id = "run-" + std::to_string(++stamp), s.team = "x", s.job_class = "k", s.image = "i";
+    s.id = "run-" + std::to_string(++revision), s.team = "x", s.job_class = "k", s.image = "i";
     s.kind = rng() % 3 ? JobKind::Array : JobKind::Gang;
     s.tasks = s.kind == JobKind::Gang ? 1 + static_cast<int>(rng() % 16) : 1 + static_cast<int>(rng() % 40);
     s.need = {4, 0, 8}, s.estimate_s = 10;
@@ -55,71 +55,69 @@
     put(s, now);
   }
   void put(const JobSpec& s, double now) {
-    cluster->put_job(s, stamp, false, now);
+    scheduler->put_job(s, revision, false, now);
     ++came[s.job_class];
   }
-  void obey(Host& h, const Command& c, double now) {
-    auto it = std::find_if(h.report.tasks.begin(), h.report.tasks.end(),
-                           [&](const TaskReport& t) { return t.job == c.job && t.index == c.index; });
-    if (c.op == Command::Op::Start) {
+  void obey(Host& h, const TaskCommand& c, double now) {
+    auto it = std::find_if(h.heartbeat.tasks.begin(), h.heartbeat.tasks.end(),
+                           [&](const TaskStatus& t) { return t.job == c.job && t.index == c.index; });
+    if (c.op == TaskCommand::Op::Start) {
       ++starts;
       of_broken += broken.count(c.job) > 0;
-      h.report.tasks.push_back(
-          {c.job, c.index, c.attempt, TaskReportState::Running, ExitReason::None, false});
+      h.heartbeat.tasks.push_back({c.job, c.index, c.attempt, TaskState::Running, ExitReason::None, false});
       bool fails = h.faulty || broken.count(c.job);
       h.ends[{c.job, c.index}] = now + (fails ? 2 : run_s);
-    } else if (it != h.report.tasks.end() && c.op == Command::Op::Stop) {
-      if (it->state != TaskReportState::Exited)
-        it->state = TaskReportState::Exited, it->why = ExitReason::Stopped;
-    } else if (it != h.report.tasks.end() && c.op == Command::Op::Forget) {
+    } else if (it != h.heartbeat.tasks.end() && c.op == TaskCommand::Op::Stop) {
+      if (it->state != TaskState::Exited) it->state = TaskState::Exited, it->why = ExitReason::Stopped;
+    } else if (it != h.heartbeat.tasks.end() && c.op == TaskCommand::Op::Forget) {
       h.ends.erase({c.job, c.index});
-      h.report.tasks.erase(it);
+      h.heartbeat.tasks.erase(it);
     }
   }
   void round(double now) {
     for (auto& [id, at] : broken)
-      if (Job* job = cluster->job(id); job && now >= at && !job->cancelled)
-        cluster->put_job(JobSpec(job->spec), ++stamp, true, now);
-    cluster->tick(now);
-    cluster->plan(now);
-    for (auto batch = cluster->next_writes(50, true, now); !batch.empty();
-         batch = cluster->next_writes(50, true, now))
-      cluster->written(batch, ++stamp, now);
-    for (const auto& id : cluster->finished_jobs()) {
-      const Job& job = *cluster->job(id);
+      if (Job* job = scheduler->job(id); job && now >= at && !job->cancelled)
+        scheduler->put_job(JobSpec(job->spec), ++revision, true, now);
+    scheduler->tick(now);
+    scheduler->schedule(now);
+    for (auto batch = scheduler->next_writes(50, true, now); !batch.empty();
+         batch = scheduler->next_writes(50, true, now))
+      scheduler->written(batch, ++revision, now);
+    for (const auto& id : scheduler->finished_jobs()) {
+      const Job& job = *scheduler->job(id);
       ended[job.spec.job_class] += !job.cancelled;
-      cluster->forget_job(id);
+      scheduler->forget_job(id);
     }
     std::vector<std::string> returned;
-    for (const auto& name : cluster->doomed()) returned.push_back(name);
-    cluster->deleted(returned, now);
+    for (const auto& name : scheduler->decommissioning()) returned.push_back(name);
+    scheduler->deleted(returned, now);
     for (auto& [name, h] : hosts) {
-      Machine* m = cluster->machine(name);
+      Machine* m = scheduler->machine(name);
       if (now > 1 && !m) continue;
-      for (auto& t : h.report.tasks)
+      for (auto& t : h.heartbeat.tasks)
         if (auto e = h.ends.find({t.job, t.index});
-            t.state == TaskReportState::Running && e != h.ends.end() && now >= e->second)
-          t.state = TaskReportState::Exited,
+            t.state == TaskState::Running && e != h.ends.end() && now >= e->second)
+          t.state = TaskState::Exited,
           t.why = h.faulty || broken.count(t.job) ? ExitReason::Error : ExitReason::Done;
-      if (m && cluster->has_orders(*m)) {
-        auto orders = cluster->take_orders(name, now);
-        h.report.token = std::max(h.report.token, orders.token);
-        for (const auto& c : orders.commands) obey(h, c, now);
-        cluster->orders_done(name, orders, Cluster::OrdersOutcome::Executed, now);
+      if (m && scheduler->has_commands(*m)) {
+        auto command_batch = scheduler->take_commands(name, now);
+        h.heartbeat.fencing_token = std::max(h.heartbeat.fencing_token, command_batch.fencing_token);
+        for (const auto& c : command_batch.commands) obey(h, c, now);
+        scheduler->dispatch_done(name, command_batch, Scheduler::DispatchOutcome::Executed, now);
       }
-      ++h.report.seq;
-      auto result = cluster->on_report(h.report, Cluster::Channel::Report, now);
-      h.report.token = std::max(h.report.token, result.token);
+      ++h.heartbeat.seq;
+      auto result = scheduler->on_heartbeat(h.heartbeat, Scheduler::Channel::Heartbeat, now);
+      h.heartbeat.fencing_token = std::max(h.heartbeat.fencing_token, result.fencing_token);
       for (const auto& c : result.commands) obey(h, c, now);
-      cluster->answered(name, now);
+      scheduler->answered(name, now);
     }
-    for (const auto& [id, job] : cluster->jobs())
+    for (const auto& [id, job] : scheduler->jobs())
       if (job.bad && !broken.count(id)) held_bad.insert(id);
   }
   int lost(bool faulty) const {
     int n = 0;
     for (const auto& [name, h] : hosts)
-      n += h.faulty == faulty && !const_cast<Cluster&>(*cluster).machine(name);
+      n += h.faulty == faulty && !const_cast<Scheduler&>(*scheduler).machine(name);
     return n;
   }
   /// Three times as much urgent work as the machines hold for 500 s, and beside it some that is not urgent.
@@ -127,7 +125,7 @@
     run_s = 40;
     auto job = [&](const char* job_class, Priority priority, int tasks) {
       JobSpec s;
-      s.id = "run-" + std::to_string(++stamp), s.team = "x", s.job_class = job_class, s.image = "i";
+      s.id = "run-" + std::to_string(++revision), s.team = "x", s.job_class = job_class, s.image = "i";
       s.priority = priority, s.tasks = tasks, s.need = {15, 0, 8}, s.estimate_s = 40;
       return s;
     };
--- a/tests/scale_test.cc
+++ b/tests/scheduling_cost_test.cc
@@ -4,52 +4,52 @@
 
 #include <iostream>
 
-#include "cluster.h"
+#include "scheduler.h"
 
 namespace corkmux {
 namespace {
 
 struct Grown {
-  ClusterConfig config;
-  std::unique_ptr<Cluster> cluster;
+  SchedulerConfig config;
+  std::unique_ptr<Scheduler> scheduler;
   int machines;
-  std::uint64_t stamp = 0;
+  std::uint64_t revision = 0;
   explicit Grown(int n) : machines(n) {
     config.zones = {"a", "b"};
     config.teams = {{"x", 1000, 0, 0, 0}, {"y", 0, 0, 0, 0}};
-    cluster = std::make_unique<Cluster>(config, 1, 0, 5);
-    cluster->set_catalog({{"plain", {32, 0, 128}, 60, 0.5, 2, 1, 15, {"a", "b"}},
-                          {"gpu", {32, 4, 128}, 150, 1, 14, 4, 60, {"a", "b"}}});
+    scheduler = std::make_unique<Scheduler>(config, 1, 0, 5);
+    scheduler->set_catalog({{"plain", {32, 0, 128}, 60, 0.5, 2, 1, 15, {"a", "b"}},
+                            {"gpu", {32, 4, 128}, 150, 1, 14, 4, 60, {"a", "b"}}});
     for (int i = 0; i < n; ++i) {
-      Report r;
+      Heartbeat r;
       r.machine = "n-" + std::to_string(i), r.address = "x", r.type = i % 5 < 3 ? "plain" : "gpu";
-      r.zone = i % 2 ? "a" : "b", r.session = 1, r.seq = 1;
-      r.token = cluster->on_report(r, Cluster::Channel::Report, 0).token, r.seq = 2;
-      cluster->on_report(r, Cluster::Channel::Report, 0);
+      r.zone = i % 2 ? "a" : "b", r.worker_epoch = 1, r.seq = 1;
+      r.fencing_token = scheduler->on_heartbeat(r, Scheduler::Channel::Heartbeat, 0).fencing_token, r.seq = 2;
+      scheduler->on_heartbeat(r, Scheduler::Channel::Heartbeat, 0);
     }
   }
   void add(JobKind kind, Priority priority, int tasks, double gpus, Resources need = {15, 0, 51}) {
     JobSpec s;
-    s.id = "run-" + std::to_string(++stamp), s.team = gpus > 0 ? "y" : "x", s.kind = kind,
+    s.id = "run-" + std::to_string(++revision), s.team = gpus > 0 ? "y" : "x", s.kind = kind,
     s.priority = priority;
     s.tasks = tasks, s.need = gpus > 0 ? Resources{6, gpus, 24} : need;
-    s.one_zone = kind == JobKind::Gang, s.image = "i" + std::to_string(stamp % 20), s.image_gb = 3;
-    cluster->put_job(s, stamp, false, 0);
+    s.one_zone = kind == JobKind::Gang, s.image = "i" + std::to_string(revision % 20), s.image_gb = 3;
+    scheduler->put_job(s, revision, false, 0);
   }
   /// Work of one pass.
   std::uint64_t pass(double now) {
-    auto before = cluster->steps();
-    cluster->plan(now);
+    auto before = scheduler->steps();
+    scheduler->schedule(now);
     for (;;) {
-      auto batch = cluster->next_writes(12, true, 0);
+      auto batch = scheduler->next_writes(12, true, 0);
       if (batch.empty()) break;
-      cluster->written(batch, ++stamp, now);
+      scheduler->written(batch, ++revision, now);
     }
-    return cluster->steps() - before;
+    return scheduler->steps() - before;
   }
   std::size_t started() const {
     std::size_t n = 0;
-    for (const auto& [id, job] : cluster->jobs()) n += job.active.size();
+    for (const auto& [id, job] : scheduler->jobs()) n += job.active.size();
     return n;
   }
 };
@@ -62,7 +62,7 @@
   for (int i = 0; i < 60; ++i) site.pass(0.1 * i);
   EXPECT_GT(site.started(), 1000u);
   std::size_t waiting = 0;
-  for (const auto& [id, job] : site.cluster->jobs()) waiting += job.queued > 0;
+  for (const auto& [id, job] : site.scheduler->jobs()) waiting += job.queued > 0;
   ASSERT_GT(waiting, 100u);
   // One look at all machines for each gang size that does not fit, doubtful machines included.
   EXPECT_LE(site.pass(7), 600u * 2 * 16);
@@ -77,9 +77,9 @@
     Grown site(n);
     double now = 0;
     auto run = [&] {
-      for (const auto& name : site.cluster->with_orders()) {
-        auto orders = site.cluster->take_orders(name, now);
-        site.cluster->orders_done(name, orders, Cluster::OrdersOutcome::Executed, now);
+      for (const auto& name : site.scheduler->machines_with_commands()) {
+        auto command_batch = site.scheduler->take_commands(name, now);
+        site.scheduler->dispatch_done(name, command_batch, Scheduler::DispatchOutcome::Executed, now);
       }
     };
     site.add(JobKind::Array, Priority::Low, n / 3, 0);
@@ -104,7 +104,7 @@
     site.add(JobKind::Gang, Priority::High, 16, 0);
     stopping[n] = site.pass(now);
     std::size_t stopped = 0;
-    for (const auto& [id, job] : site.cluster->jobs())
+    for (const auto& [id, job] : site.scheduler->jobs())
       for (const auto& [i, a] : job.active) stopped += a.stop;
     // At some of its places there may be room as it is.
     EXPECT_LE(stopped, 16u) << n;
@@ -127,14 +127,14 @@
   auto tasks = site.started();
   ASSERT_GT(tasks, 700u);
   // What has only been assigned is not stopped: the launches go out first.
-  for (const auto& name : site.cluster->with_orders()) {
-    auto orders = site.cluster->take_orders(name, 6);
-    site.cluster->orders_done(name, orders, Cluster::OrdersOutcome::Executed, 6);
+  for (const auto& name : site.scheduler->machines_with_commands()) {
+    auto command_batch = site.scheduler->take_commands(name, 6);
+    site.scheduler->dispatch_done(name, command_batch, Scheduler::DispatchOutcome::Executed, 6);
   }
   site.add(JobKind::Gang, Priority::High, 16, 0);
   auto steps = site.pass(7);
   std::size_t stopped = 0;
-  for (const auto& [id, job] : site.cluster->jobs())
+  for (const auto& [id, job] : site.scheduler->jobs())
     for (const auto& [i, a] : job.active) stopped += a.stop;
   EXPECT_EQ(stopped, 16u);
   // Three looks at the machines (gang, doubtful ones, the arrays that wait) and two at each task.
@@ -144,11 +144,11 @@
 // What a report changes is looked at, not all machines.
 TEST(Scale, OrdersAreLookedForOnlyWhereSomethingChanged) {
   Grown site(600);
-  site.cluster->with_orders();
-  EXPECT_TRUE(site.cluster->with_orders().empty());
+  site.scheduler->machines_with_commands();
+  EXPECT_TRUE(site.scheduler->machines_with_commands().empty());
   site.add(JobKind::Array, Priority::Normal, 1, 0);
   site.pass(0);
-  EXPECT_EQ(site.cluster->with_orders().size(), 1u);
+  EXPECT_EQ(site.scheduler->machines_with_commands().size(), 1u);
 }
 
 // PROTOCOL's largest job: 100,000 tasks, in records that fit, started within a few passes as far as room
@@ -157,10 +157,10 @@
   Grown site(600);
   site.add(JobKind::Array, Priority::Normal, 100000, 0);
   for (int i = 0; i < 60; ++i) {
-    site.cluster->plan(0.1 * i);
-    auto batch = site.cluster->next_writes(1000, true, 0);
+    site.scheduler->schedule(0.1 * i);
+    auto batch = site.scheduler->next_writes(1000, true, 0);
     for (const auto& w : batch) EXPECT_LE(w.value.dump().size(), 16u * 1024);
-    site.cluster->written(batch, ++site.stamp, 0.1 * i);
+    site.scheduler->written(batch, ++site.revision, 0.1 * i);
   }
   EXPECT_GT(site.started(), 700u);
 }
--- a/tests/ending_test.cc
+++ b/tests/shutdown_test.cc
@@ -8,8 +8,8 @@
 #include <filesystem>
 #include <fstream>
 
+#include "loopback_cluster.h"
 #include "platform_settings.h"
-#include "site.h"
 
 namespace corkmux {
 namespace {
@@ -33,7 +33,7 @@
   auto values = state.values();
   EXPECT_TRUE(!values.count("leader") || values["leader"]["label"] == "two");
   EXPECT_FALSE(controllers["one"]->leading());
-  // Its own grant would have blocked a successor for kGrantLife.
+  // Its own grant would have blocked a successor for kLeaderLeaseDuration.
   ASSERT_TRUE(wait_for([&] { return leader() == "two"; }));
   stop_controller("one");
   EXPECT_TRUE(wait_for([&] { return phase("two", "run-1") == "done"; }));
--- a/tests/world_test.cc
+++ b/tests/simulation_test.cc
@@ -1,7 +1,5 @@
 // Whole clusters in stepped time: days of our own at two sizes, whatever chance brings, and what the checker
 // must find.
-#include "world.h"
-
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 #include <spdlog/spdlog.h>
@@ -11,15 +9,17 @@
 #include <functional>
 #include <iostream>
 
-namespace corkmux::world {
+#include "cluster_simulation.h"
+
+namespace corkmux::simulation {
 namespace {
 
-std::string file(const std::string& name) { return std::string(WORLDS) + "/" + name + ".toml"; }
+std::string file(const std::string& name) { return std::string(SIMULATIONS) + "/" + name + ".toml"; }
 
-std::string told(const World& world) {
+std::string told(const ClusterSimulation& simulation) {
   std::string out;
-  for (const auto& e : world.events()) out += e + "\n";
-  for (const auto& p : world.problems()) out += "WRONG: " + p + "\n";
+  for (const auto& e : simulation.events()) out += e + "\n";
+  for (const auto& p : simulation.problems()) out += "WRONG: " + p + "\n";
   return out;
 }
 
@@ -31,13 +31,13 @@
 TEST_P(Days, HoldAllRulesAndServeEveryClassAndTeam) {
   auto [size, day] = GetParam();
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
-    World world(load_plan(file(size), day), seed);
-    world.run();
-    EXPECT_TRUE(world.good()) << size << "/" << day << " seed " << seed << "\n" << told(world);
-    EXPECT_GT(world.checker().starts(), 200);
+    ClusterSimulation simulation(load_plan(file(size), day), seed);
+    simulation.run();
+    EXPECT_TRUE(simulation.good()) << size << "/" << day << " seed " << seed << "\n" << told(simulation);
+    EXPECT_GT(simulation.checker().starts(), 200);
     // Whatever fails, nine questions in ten are answered in time; in storms of them nineteen in twenty.
-    EXPECT_GE(world.checker().polls_answered(),
-              (day == "asked-and-silent" ? 0.95 : 0.9) * world.checker().polls())
+    EXPECT_GE(simulation.checker().polls_answered(),
+              (day == "asked-and-silent" ? 0.95 : 0.9) * simulation.checker().polls())
         << size << "/" << day << " seed " << seed;
   }
 }
@@ -53,9 +53,9 @@
                                          "mass-deaths", "asked-and-silent", "back-at-once", "orders-again")),
     day_name);
 
-// Two troubles at once (docs/meetings.md): long tasks, many cancels. `gap`: s of the world in which the
-// meeting is held to happen, and how many users at least have to be told of a cancel of running tasks in it,
-// over all seeds.
+// Two troubles at once (docs/combined-faults.md): long tasks, many cancels. `gap`: s of the world in which
+// the meeting is held to happen, and how many users at least have to be told of a cancel of running tasks in
+// it, over all seeds.
 struct Meeting {
   const char* day;
   double from, to;
@@ -67,11 +67,11 @@
   spdlog::set_level(spdlog::level::off);
   int told_in_gap = 0;
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
-    World world(load_plan(file("long"), GetParam().day), seed);
-    world.run();
-    EXPECT_TRUE(world.good()) << GetParam().day << " seed " << seed << "\n" << told(world);
-    EXPECT_GT(world.checker().starts(), 100);
-    told_in_gap += world.checker().cancels_told(GetParam().from, GetParam().to);
+    ClusterSimulation simulation(load_plan(file("long"), GetParam().day), seed);
+    simulation.run();
+    EXPECT_TRUE(simulation.good()) << GetParam().day << " seed " << seed << "\n" << told(simulation);
+    EXPECT_GT(simulation.checker().starts(), 100);
+    told_in_gap += simulation.checker().cancels_told(GetParam().from, GetParam().to);
   }
   RecordProperty("told", told_in_gap);
   EXPECT_GE(told_in_gap, GetParam().told);
@@ -95,12 +95,12 @@
 struct Brought {
   const char* day;
   int least;
-  std::function<int(World&)> count;
+  std::function<int(ClusterSimulation&)> count;
 };
 void PrintTo(const Brought& b, std::ostream* out) { *out << b.day; }
 /// Seconds of tasks that were lost for that reason.
 auto lost_to(const char* why) {
-  return [why](World& w) {
+  return [why](ClusterSimulation& w) {
     auto lost = w.checker().lost_seconds().find(why);
     return lost == w.checker().lost_seconds().end() ? 0 : static_cast<int>(lost->second);
   };
@@ -110,11 +110,11 @@
   spdlog::set_level(spdlog::level::off);
   int brought = 0;
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
-    World world(load_plan(file("meetings"), GetParam().day), seed);
-    world.run();
-    EXPECT_TRUE(world.good()) << GetParam().day << " seed " << seed << "\n" << told(world);
-    EXPECT_GT(world.checker().starts(), 500);
-    brought += GetParam().count(world);
+    ClusterSimulation simulation(load_plan(file("meetings"), GetParam().day), seed);
+    simulation.run();
+    EXPECT_TRUE(simulation.good()) << GetParam().day << " seed " << seed << "\n" << told(simulation);
+    EXPECT_GT(simulation.checker().starts(), 500);
+    brought += GetParam().count(simulation);
   }
   RecordProperty("brought", brought);
   EXPECT_GE(brought, GetParam().least);
@@ -123,23 +123,30 @@
     Worlds, LettersMeetings,
     ::testing::Values(
         Brought{"asked-at-once", 60000,
-                [](World& w) { return w.checker().odd_refused() < 50 ? 0 : w.checker().looks(); }},
+                [](ClusterSimulation& w) {
+                  return w.checker().invalid_refused() < 50 ? 0 : w.checker().looks();
+                }},
         Brought{"answers-lost", 6000,
-                [](World& w) { return static_cast<int>(w.clockwork().answers_lost()); }},
-        Brought{"at-the-limit", 200, [](World& w) { return w.met().called_off_at_most; }},
-        Brought{"up-at-once", 30, [](World& w) { return w.met().young_starts; }},
-        Brought{"old-report-next", 8000, [](World& w) { return static_cast<int>(w.met().copies); }},
-        Brought{"one-task-jobs", 1500, [](World& w) { return w.checker().by_class().at("sheet").cancelled; }},
+                [](ClusterSimulation& w) { return static_cast<int>(w.simulator().answers_lost()); }},
+        Brought{"at-the-limit", 200, [](ClusterSimulation& w) { return w.met().called_off_at_most; }},
+        Brought{"up-at-once", 30, [](ClusterSimulation& w) { return w.met().young_starts; }},
+        Brought{"old-report-next", 8000,
+                [](ClusterSimulation& w) { return static_cast<int>(w.met().copies); }},
+        Brought{"one-task-jobs", 1500,
+                [](ClusterSimulation& w) { return w.checker().by_class().at("sheet").cancelled; }},
         // And what else the page names.
         Brought{"zone-bound-losses", 100, lost_to("died")},
-        Brought{"held-back", 300, [](World& w) { return static_cast<int>(w.clockwork().held_back()); }},
+        Brought{"held-back", 300,
+                [](ClusterSimulation& w) { return static_cast<int>(w.simulator().held_back()); }},
         Brought{"all-away", 100, lost_to("lease")}, Brought{"mute", 100, lost_to("lease")},
-        Brought{"ten-leaders", 90, [](World& w) { return w.terms(); }},
-        Brought{"slow-links", 200, [](World& w) { return w.checker().cancels_told(55, 135); }},
-        Brought{
-            "zone-away", 60,
-            [](World& w) { return w.checker().cancels_told(70, 100) + w.checker().cancels_told(130, 155); }},
-        Brought{"refused-at-the-cancel", 50, [](World& w) { return w.checker().cancels_told(80, 81.5); }}),
+        Brought{"ten-leaders", 90, [](ClusterSimulation& w) { return w.terms(); }},
+        Brought{"slow-links", 200, [](ClusterSimulation& w) { return w.checker().cancels_told(55, 135); }},
+        Brought{"zone-away", 60,
+                [](ClusterSimulation& w) {
+                  return w.checker().cancels_told(70, 100) + w.checker().cancels_told(130, 155);
+                }},
+        Brought{"refused-at-the-cancel", 50,
+                [](ClusterSimulation& w) { return w.checker().cancels_told(80, 81.5); }}),
     [](const auto& info) {
       std::string name = info.param.day;
       std::replace(name.begin(), name.end(), '-', '_');
@@ -155,28 +162,28 @@
     auto plan = load_plan(file("meetings"), "at-the-handover");
     for (auto& f : plan.faults)
       if (f.kind == "cancel_now") f.at_s += 0.4 * step;
-    World world(plan, static_cast<std::uint64_t>(step + 1));
-    world.run();
-    EXPECT_TRUE(world.good()) << "moved by " << 0.4 * step << " s\n" << told(world);
-    for (double at : {80.0, 120.0, 160.0}) told_in_gap += world.checker().cancels_told(at, at + 4.5);
+    ClusterSimulation simulation(plan, static_cast<std::uint64_t>(step + 1));
+    simulation.run();
+    EXPECT_TRUE(simulation.good()) << "moved by " << 0.4 * step << " s\n" << told(simulation);
+    for (double at : {80.0, 120.0, 160.0}) told_in_gap += simulation.checker().cancels_told(at, at + 4.5);
   }
   RecordProperty("told", told_in_gap);
   EXPECT_GE(told_in_gap, 200);
 }
 
-TEST(World, TheSameSeedGivesTheSameHistory) {
+TEST(ClusterSimulation, TheSameSeedGivesTheSameHistory) {
   spdlog::set_level(spdlog::level::off);
   auto play = [](std::uint64_t seed) {
-    World world(load_plan(file("forty"), "restarts"), seed);
-    world.run();
-    return world.account().dump();
+    ClusterSimulation simulation(load_plan(file("forty"), "restarts"), seed);
+    simulation.run();
+    return simulation.account().dump();
   };
   auto first = play(5);
   EXPECT_EQ(first, play(5));
   EXPECT_NE(first, play(6));
 }
 
-TEST(World, ATroubleThatIsNoneIsSaidWithItsPlace) {
+TEST(ClusterSimulation, ATroubleThatIsNoneIsSaidWithItsPlace) {
   auto good = [] {
     std::ifstream in(file("long"));
     return std::string(std::istreambuf_iterator<char>(in), {});
@@ -206,9 +213,9 @@
   auto fails = [&](const std::vector<Fault>& some) {
     Plan p = plan;
     p.faults = some;
-    World world(p, seed);
-    world.run();
-    return !world.good();
+    ClusterSimulation simulation(p, seed);
+    simulation.run();
+    return !simulation.good();
   };
   for (bool shorter = true; shorter;) {
     shorter = false;
@@ -223,7 +230,7 @@
 }
 
 /// Outside CI: CORKMUX_WORLDS=FIRST-LAST plays those seeds; what fails is shrunk and kept as a file.
-TEST(World, WhateverChanceBrings) {
+TEST(ClusterSimulation, WhateverChanceBrings) {
   spdlog::set_level(spdlog::level::off);
   unsigned long first = 1, last = 12;
   const char* range = std::getenv("CORKMUX_WORLDS");
@@ -233,18 +240,18 @@
   Plan plan = load_plan(file("forty"), "calm");
   for (auto seed = first; seed <= last; ++seed) {
     plan.faults = draw_faults(plan, 1 + static_cast<int>(seed % 7), seed);
-    World world(plan, seed);
-    world.run();
-    if (world.good()) continue;
+    ClusterSimulation simulation(plan, seed);
+    simulation.run();
+    if (simulation.good()) continue;
     auto least = shortest(plan, seed, plan.faults);
     auto kept = "failed-world-" + std::to_string(seed) + ".toml";
     std::ofstream out(kept);
-    out << "# forty, seed " << seed << "; for a [[day]] of tests/worlds/forty.toml\nfaults = [\n";
+    out << "# forty, seed " << seed << "; for a [[day]] of tests/simulations/forty.toml\nfaults = [\n";
     for (const auto& f : least) out << "  " << fault_to_toml(f) << ",\n";
     out << "]\n";
-    ADD_FAILURE() << "seed " << seed << ", kept in " << kept << "\n" << told(world);
+    ADD_FAILURE() << "seed " << seed << ", kept in " << kept << "\n" << told(simulation);
   }
 }
 
 }  // namespace
-}  // namespace corkmux::world
+}  // namespace corkmux::simulation
--- a/tests/mail_test.cc
+++ b/tests/store_relay_test.cc
@@ -1,6 +1,6 @@
 // Mail between controllers that only the state service joins: everything arrives once, bounded in size and
 // rate, and what cannot be sent is given up at once.
-#include "mail.h"
+#include "store_relay.h"
 
 #include <gtest/gtest.h>
 
@@ -13,22 +13,22 @@
 
 struct MailTest : ::testing::Test {
   Loop loop;
-  world::State state{loop};
+  simulation::State state{loop};
   StateClient client{loop, state.address()};
   std::vector<Json> delivered;
-  std::unique_ptr<Mail> near, far;
+  std::unique_ptr<StoreRelay> near, far;
   std::string answer_with;
   void SetUp() override {
     Settings s;
     s.value_kb = 8, s.state_write_rps = 500, s.next = {500, 8, 12};
-    auto echo = [this](std::string body, Mail::Reply reply) {
+    auto echo = [this](std::string body, StoreRelay::Reply reply) {
       delivered.push_back(*codec::unpack(body));
       reply(200, answer_with.empty() ? body : answer_with);
     };
     s.label = "near";
-    near = std::make_unique<Mail>(loop, s, client, echo);
+    near = std::make_unique<StoreRelay>(loop, s, client, echo);
     s.label = "far";
-    far = std::make_unique<Mail>(loop, s, client, echo);
+    far = std::make_unique<StoreRelay>(loop, s, client, echo);
   }
   static Json report(int i) { return {{"host", "n-" + std::to_string(i)}, {"parts", std::string(300, 'x')}}; }
   void run_until(const std::function<bool()>& condition) {
@@ -73,12 +73,12 @@
         {{"part", "run-000412/" + std::to_string(i)}, {"try", 4194320}, {"phase", "running"}});
   full["parts"].push_back(
       {{"part", "run-000399/7"}, {"try", 5}, {"phase", "ended"}, {"cause", "halted"}, {"kept", true}});
-  Json orders = {{"baton", 4194346},
-                 {"orders",
-                  {{{"verb", "launch"}, {"part", "run-000412/9"}, {"try", 7}},
-                   {{"verb", "halt"}, {"part", "run-000412/1"}, {"try", 4194320}, {"mercyS", 10}},
-                   {{"verb", "clear"}, {"part", "run-000399/7"}, {"try", 5}}}}};
-  answer_with = codec::pack(orders);
+  Json command_batch = {{"baton", 4194346},
+                        {"orders",
+                         {{{"verb", "launch"}, {"part", "run-000412/9"}, {"try", 7}},
+                          {{"verb", "halt"}, {"part", "run-000412/1"}, {"try", 4194320}, {"mercyS", 10}},
+                          {{"verb", "clear"}, {"part", "run-000399/7"}, {"try", 5}}}}};
+  answer_with = codec::pack(command_batch);
   // The first may be sent before it is known who reads the brief form.
   for (int n = 0; n < 3; ++n) {
     Json answer;
@@ -88,21 +88,21 @@
       told = true;
     });
     run_until([&] { return told; });
-    EXPECT_EQ(answer, orders);
+    EXPECT_EQ(answer, command_batch);
     ASSERT_EQ(delivered.size(), n + 1u);
-    auto sent = codec::parse_report(full), got = codec::parse_report(delivered.back());
+    auto sent = codec::parse_heartbeat(full), got = codec::parse_heartbeat(delivered.back());
     ASSERT_TRUE(sent && got);
     EXPECT_EQ(got->machine, sent->machine);
     EXPECT_EQ(got->address, sent->address);
-    EXPECT_EQ(got->token, sent->token);
+    EXPECT_EQ(got->fencing_token, sent->fencing_token);
     EXPECT_EQ(got->notice_s, sent->notice_s);
     ASSERT_EQ(got->tasks.size(), sent->tasks.size());
     int saved = 0, running = 0;
-    for (const auto& t : got->tasks) saved += t.saved, running += t.state == TaskReportState::Running;
+    for (const auto& t : got->tasks) saved += t.saved, running += t.state == TaskState::Running;
     EXPECT_EQ(saved, 1);
     EXPECT_EQ(running, 8);
   }
-  EXPECT_LT(codec::brief_report(full).dump().size() * 2, full.dump().size());
+  EXPECT_LT(codec::compact_heartbeat(full).dump().size() * 2, full.dump().size());
 }
 
 // A controller that does not lead takes no reports from others, whoever they thought it was.
--- a/tests/term_test.cc
+++ b/tests/term_test.cc
@@ -3,12 +3,12 @@
 #include <gtest/gtest.h>
 
 #include "cloud.h"
-#include "cloud_fleet.h"
-#include "job_feed.h"
-#include "keeper_record.h"
-#include "lease_watch.h"
-#include "loader.h"
+#include "job_watcher.h"
+#include "lease_expiry_monitor.h"
+#include "lease_proxy_record.h"
+#include "machine_provisioner.h"
 #include "outage_log.h"
+#include "state_loader.h"
 #include "state_service.h"
 #include "store_writer.h"
 
@@ -19,31 +19,31 @@
 
 struct TermTest : ::testing::Test {
   Loop loop;
-  world::State state{loop};
-  world::Cloud cloud{loop};
+  simulation::State state{loop};
+  simulation::Cloud cloud{loop};
   StateClient client{loop, state.address()};
   http::Client cloud_client{loop, cloud.address(), 2, 8};
   Settings settings;
   Term term;
-  std::unique_ptr<Cluster> book;
+  std::unique_ptr<Scheduler> scheduler;
   std::vector<std::string> vanished;
-  TermHooks hooks{[] {}, [](const char*) {}, [](const char*) {}};
+  TermCallbacks hooks{[] {}, [](const char*) {}, [](const char*) {}};
 
   void SetUp() override {
     settings.report_s = 3, settings.lease_s = 20, settings.cancel_s = 40, settings.value_kb = 16;
     settings.txn_ops = 12, settings.state_write_rps = 100, settings.next = {100, 16, 12};
-    ClusterConfig config;
+    SchedulerConfig config;
     config.report_s = 3, config.lease_s = 20, config.cancel_s = 40;
     config.zones = {"a"};
     config.teams = {{"x", 1000, 1000, 0, 0}};
     term.number = 1, term.since = steady_now();
     term.confirmed(term.since);
-    book = std::make_unique<Cluster>(config, 1, term.since, 1);
-    book->set_catalog({{"m", {16, 0, 64}, 50, 1, 1, 0.5, 1, {"a"}}});
+    scheduler = std::make_unique<Scheduler>(config, 1, term.since, 1);
+    scheduler->set_catalog({{"m", {16, 0, 64}, 50, 1, 1, 0.5, 1, {"a"}}});
   }
-  std::unique_ptr<JobFeed> feed() {
-    return std::make_unique<JobFeed>(loop, client, term, *book, hooks,
-                                     [this](const std::string& id) { vanished.push_back(id); });
+  std::unique_ptr<JobWatcher> feed() {
+    return std::make_unique<JobWatcher>(loop, client, term, *scheduler, hooks,
+                                        [this](const std::string& id) { vanished.push_back(id); });
   }
   bool wait_for(std::function<bool()> condition, double at_most = 20) {
     double until = steady_now() + at_most;
@@ -59,11 +59,11 @@
     return {{"j", codec::job_to_wire(spec)}, {"c", 0}, {"t", wall_now()}};
   }
   static std::string id(int n) { return "run-" + std::to_string(1000 + n); }
-  Report report_of(const std::string& machine, std::uint64_t seq) {
-    Report r;
+  Heartbeat report_of(const std::string& machine, std::uint64_t seq) {
+    Heartbeat r;
     r.machine = machine, r.address = "127.0.0.1:1", r.type = "m", r.zone = "a";
-    r.session = 1, r.seq = seq,
-    r.token = (std::uint64_t{1} << 20) + 1000;  // of the term, beyond what the book has given
+    r.worker_epoch = 1, r.seq = seq,
+    r.fencing_token = (std::uint64_t{1} << 20) + 1000;  // of the term, beyond what the book has given
     return r;
   }
 };
@@ -81,17 +81,17 @@
     bool loaded = false;
     jobs->load([&] { loaded = true; });
     ASSERT_TRUE(wait_for([&] { return loaded; }));
-    EXPECT_EQ(book->jobs().size(), 25u);
+    EXPECT_EQ(scheduler->jobs().size(), 25u);
     state.remove("a/" + id(3));
     for (int i = 25; i < 60; ++i) state.put("a/" + id(i), record(id(i)));
     state.forget_history();
     jobs->follow();
-    ASSERT_TRUE(wait_for([&] { return book->jobs().size() == 60 && !vanished.empty(); }))
-        << book->jobs().size();
+    ASSERT_TRUE(wait_for([&] { return scheduler->jobs().size() == 60 && !vanished.empty(); }))
+        << scheduler->jobs().size();
     EXPECT_EQ(vanished, std::vector<std::string>{id(3)});
     // And it follows from there on.
     state.put("a/" + id(60), record(id(60)));
-    EXPECT_TRUE(wait_for([&] { return book->job(id(60)) != nullptr; }));
+    EXPECT_TRUE(wait_for([&] { return scheduler->job(id(60)) != nullptr; }));
     EXPECT_EQ(vanished.size(), 1u);
     term.end();
     term = Term{};
@@ -103,7 +103,7 @@
 // Guards against a start after a confirmed cancel: another controller has stored the end, and this leader has
 // not heard of it when it assigns a task. Ends beside a long record, which stays as it is, count as well.
 TEST_F(TermTest, NothingIsAssignedOnceAnEndIsStoredElsewhere) {
-  book->use_second_form();
+  scheduler->use_v2_records();
   for (bool beside : {false, true}) {
     auto gone = id(beside ? 1 : 2), stays = id(beside ? 3 : 4);
     for (const auto& job : {gone, stays}) state.put("a/" + job, record(job));
@@ -115,23 +115,23 @@
     cancelled["c"] = 1;
     if (!beside) state.put("a/" + gone, cancelled);
     state.put("f/" + gone, {{"p", "cancelled"}, {"n", 0}});
-    term.stamp = 0;  // nobody holds the leader's record here
+    term.revision = 0;  // nobody holds the leader's record here
     double now = steady_now();
-    book->on_report(report_of("n-1", beside ? 2 : 1), Cluster::Channel::Report, now);
-    book->plan(now);
-    ASSERT_EQ(book->job(gone)->active.size(), 1u);
+    scheduler->on_heartbeat(report_of("n-1", beside ? 2 : 1), Scheduler::Channel::Heartbeat, now);
+    scheduler->schedule(now);
+    ASSERT_EQ(scheduler->job(gone)->active.size(), 1u);
     std::unique_ptr<StoreWriter> writer;
     hooks.changed = [&] {
       if (writer) writer->pump();
     };
-    writer = std::make_unique<StoreWriter>(loop, settings, client, term, *book, *jobs, hooks,
+    writer = std::make_unique<StoreWriter>(loop, settings, client, term, *scheduler, *jobs, hooks,
                                            [](const codec::JobView&) {});
     writer->pump();
-    ASSERT_TRUE(wait_for([&] { return !book->job(gone) || book->job(gone)->cancelled; }));
+    ASSERT_TRUE(wait_for([&] { return !scheduler->job(gone) || scheduler->job(gone)->cancelled; }));
     // The other is stored all the same, in a transaction of its own.
     ASSERT_TRUE(wait_for([&] { return state.values().count("t/" + stays + "/000000") > 0; }));
     EXPECT_EQ(state.values().count("t/" + gone + "/000000"), 0u);
-    EXPECT_TRUE(!book->job(gone) || book->job(gone)->active.empty());
+    EXPECT_TRUE(!scheduler->job(gone) || scheduler->job(gone)->active.empty());
     hooks.changed = [] {};
     wait_for([&] { return writer->idle(); });
   }
@@ -150,20 +150,20 @@
   // A stored task on the machine that the last keeper names; its lease ran out long ago as far as the leader
   // knows.
   double now = steady_now();
-  book->on_report(report_of("n-8", 1), Cluster::Channel::Report, now);
-  book->plan(now);
-  Job* job = book->job("run-1");
+  scheduler->on_heartbeat(report_of("n-8", 1), Scheduler::Channel::Heartbeat, now);
+  scheduler->schedule(now);
+  Job* job = scheduler->job("run-1");
   ASSERT_EQ(job->active.size(), 1u);
-  auto batch = book->next_writes(12, true, now);
-  book->written(batch, 77, now);
-  book->take_orders("n-8", now - 1000);
-  Machine* m = book->machine("n-8");
-  m->last_answered = m->last_launch = m->fenced_at = now - 1000;
-  ASSERT_EQ(book->lapsed(now).size(), 1u);
-  LeaseWatch watch(loop, settings, client, term, *book, hooks);
+  auto batch = scheduler->next_writes(12, true, now);
+  scheduler->written(batch, 77, now);
+  scheduler->take_commands("n-8", now - 1000);
+  Machine* m = scheduler->machine("n-8");
+  m->last_answered = m->last_launch = m->fencing_token_raised_at = now - 1000;
+  ASSERT_EQ(scheduler->machines_with_expired_leases(now).size(), 1u);
+  LeaseExpiryMonitor watch(loop, settings, client, term, *scheduler, hooks);
   watch.tick();
-  wait_for([&] { return m->kept_until > 0; }, 5);
-  EXPECT_GT(m->kept_until, now);
+  wait_for([&] { return m->renewed_by_proxy_until > 0; }, 5);
+  EXPECT_GT(m->renewed_by_proxy_until, now);
   EXPECT_EQ(job->active.size(), 1u);  // not counted as gone
   for (int i = 0; i < 9; ++i) state.remove("k/c" + std::to_string(i));
 }
@@ -173,23 +173,23 @@
 TEST_F(TermTest, AfterStandingStillNothingIsReturnedUntilTheTermIsConfirmed) {
   double now = steady_now();
   for (int i = 0; i < 10; ++i)
-    book->on_report(report_of("n-" + std::to_string(i), 1), Cluster::Channel::Report, now - 60);
+    scheduler->on_heartbeat(report_of("n-" + std::to_string(i), 1), Scheduler::Channel::Heartbeat, now - 60);
   auto heard = [&](double at) {
     for (int i = 0; i < 8; ++i)
-      book->on_report(report_of("n-" + std::to_string(i), 2), Cluster::Channel::Report, at);
+      scheduler->on_heartbeat(report_of("n-" + std::to_string(i), 2), Scheduler::Channel::Heartbeat, at);
   };
   // Eight speak at once, before the first tick; two of ten are too few silent ones to blame the network.
   heard(now);
-  book->stood_still(now);
-  book->tick(now);
-  EXPECT_TRUE(book->doomed().empty());
+  scheduler->process_stalled(now);
+  scheduler->tick(now);
+  EXPECT_TRUE(scheduler->decommissioning().empty());
   // Whatever was to be returned before stays until the term is confirmed.
-  book->doom("n-9", now);
+  scheduler->decommission("n-9", now);
   term.since = now - 100;
   term.contact = now - 33;
   term.woke_at = now;
-  CloudFleet fleet(loop, settings, {0.5, 600, 2, true}, cloud_client, term, *book, hooks,
-                   [](const std::string&) {});
+  MachineProvisioner fleet(loop, settings, {0.5, 600, 2, true}, cloud_client, term, *scheduler, hooks,
+                           [](const std::string&) {});
   fleet.start();
   wait_for([] { return false; }, 1.3);
   EXPECT_EQ(cloud.deletions, 0);
@@ -209,11 +209,11 @@
     SetUp();
     auto jobs = feed();
     bool loaded = false;
-    Loader loader(loop, client, term, *book, *jobs,
-                  {[&](std::vector<std::string>) { loaded = true; }, [](const std::string&) {}});
+    StateLoader loader(loop, client, term, *scheduler, *jobs,
+                       {[&](std::vector<std::string>) { loaded = true; }, [](const std::string&) {}});
     loader.start();
     ASSERT_TRUE(wait_for([&] { return loaded; }));
-    EXPECT_EQ(book->jobs().size(), 150u);
+    EXPECT_EQ(scheduler->jobs().size(), 150u);
     pages.push_back(state.pages_read - before);
   }
   EXPECT_EQ(pages[0], pages[1]);
