--- a/src/cmd/corkmux_main.cc
+++ b/src/cmd/corkmux_main.cc
@@ -8,7 +8,7 @@
 #include <nlohmann/json.hpp>
 
 #include "api.h"
-#include "constants.h"
+#include "cmd_constants.h"
 #include "controller.h"
 
 namespace {
--- a/src/controller/controller.cc
+++ b/src/controller/controller.cc
@@ -1,6 +1,7 @@
 #include "controller.h"
 
-#include "constants.h"
+#include "controller_constants.h"
+#include "leader_constants.h"
 
 namespace corkmux {
 
--- a/src/controller/fanin_coordinator.cc
+++ b/src/controller/fanin_coordinator.cc
@@ -5,7 +5,7 @@
 
 #include <algorithm>
 
-#include "constants.h"
+#include "controller_constants.h"
 
 namespace corkmux {
 namespace c = constants;
--- a/src/controller/gateway.cc
+++ b/src/controller/gateway.cc
@@ -5,8 +5,10 @@
 #include <algorithm>
 #include <set>
 
-#include "constants.h"
+#include "controller_constants.h"
+#include "leader_constants.h"
 #include "mutation.h"
+#include "scheduler_constants.h"
 #include "store_keys.h"
 
 namespace corkmux {
--- a/src/controller/gateway_workers.cc
+++ b/src/controller/gateway_workers.cc
@@ -2,7 +2,7 @@
 // reaches the leader.
 #include <algorithm>
 
-#include "constants.h"
+#include "controller_constants.h"
 #include "gateway.h"
 
 namespace corkmux {
--- a/src/controller/lease_proxy.cc
+++ b/src/controller/lease_proxy.cc
@@ -5,7 +5,10 @@
 #include <memory>
 
 #include "constants.h"
+#include "controller_constants.h"
+#include "leader_constants.h"
 #include "mutation.h"
+#include "state_store_constants.h"
 #include "store_keys.h"
 
 namespace corkmux {
--- a/src/controller/peer_exchange.cc
+++ b/src/controller/peer_exchange.cc
@@ -7,7 +7,7 @@
 #include <random>
 #include <type_traits>
 
-#include "constants.h"
+#include "controller_constants.h"
 #include "mutation.h"
 
 namespace corkmux {
--- a/src/controller/store_relay.cc
+++ b/src/controller/store_relay.cc
@@ -4,6 +4,8 @@
 #include <random>
 
 #include "constants.h"
+#include "controller_constants.h"
+#include "leader_constants.h"
 #include "mutation.h"
 #include "store_keys.h"
 
--- a/src/heartbeat_fanin/command_delivery.cc
+++ b/src/heartbeat_fanin/command_delivery.cc
@@ -1,6 +1,6 @@
 #include "command_delivery.h"
 
-#include "constants.h"
+#include "heartbeat_fanin_constants.h"
 
 namespace corkmux::fanin {
 namespace c = constants;
--- a/src/heartbeat_fanin/fanin_messages.cc
+++ b/src/heartbeat_fanin/fanin_messages.cc
@@ -1,6 +1,6 @@
 #include "fanin_messages.h"
 
-#include "constants.h"
+#include "wire_constants.h"
 
 namespace corkmux::fanin {
 namespace {
--- a/src/heartbeat_fanin/heartbeat_forwarder.cc
+++ b/src/heartbeat_fanin/heartbeat_forwarder.cc
@@ -3,6 +3,7 @@
 #include <algorithm>
 
 #include "constants.h"
+#include "heartbeat_fanin_constants.h"
 #include "mutation.h"
 
 namespace corkmux::fanin {
--- a/src/heartbeat_fanin/worker_connections.cc
+++ b/src/heartbeat_fanin/worker_connections.cc
@@ -1,6 +1,7 @@
 #include "worker_connections.h"
 
-#include "constants.h"
+#include "heartbeat_fanin_constants.h"
+#include "net_constants.h"
 
 namespace corkmux::fanin {
 
--- a/src/heartbeat_fanin/worker_sharding.cc
+++ b/src/heartbeat_fanin/worker_sharding.cc
@@ -1,12 +1,12 @@
 #include "worker_sharding.h"
 
+#include "heartbeat_fanin_constants.h"
+
 #define XXH_INLINE_ALL
 #include <xxhash.h>
 
 #include <algorithm>
 
-#include "constants.h"
-
 namespace corkmux::fanin {
 namespace {
 
--- a/src/kube/api.cc
+++ b/src/kube/api.cc
@@ -4,7 +4,8 @@
 
 #include <algorithm>
 
-#include "constants.h"
+#include "controller_constants.h"
+#include "kube_constants.h"
 #include "store_keys.h"
 
 namespace corkmux::kube {
--- a/src/kube/body.cc
+++ b/src/kube/body.cc
@@ -11,7 +11,7 @@
 #include <utility>
 #include <vector>
 
-#include "constants.h"
+#include "kube_constants.h"
 
 namespace corkmux::kube {
 namespace c = constants;
--- a/src/kube/feed.cc
+++ b/src/kube/feed.cc
@@ -3,6 +3,8 @@
 #include <algorithm>
 
 #include "constants.h"
+#include "kube_constants.h"
+#include "leader_constants.h"
 
 namespace corkmux::kube {
 namespace c = constants;
--- a/src/kube/objects.cc
+++ b/src/kube/objects.cc
@@ -5,8 +5,10 @@
 #include <ctime>
 #include <set>
 
-#include "constants.h"
+#include "controller_constants.h"
+#include "kube_constants.h"
 #include "quantity.h"
+#include "wire_constants.h"
 
 namespace corkmux::kube {
 namespace c = constants;
--- a/src/kube/tokens.cc
+++ b/src/kube/tokens.cc
@@ -7,7 +7,7 @@
 #include <set>
 #include <sstream>
 
-#include "constants.h"
+#include "kube_constants.h"
 #include "operator.pb.h"
 #include "settings.h"
 
--- a/src/leader/command_dispatcher.cc
+++ b/src/leader/command_dispatcher.cc
@@ -2,6 +2,8 @@
 
 #include "codec.h"
 #include "constants.h"
+#include "heartbeat_fanin_constants.h"
+#include "leader_constants.h"
 #include "mutation.h"
 
 namespace corkmux {
--- a/src/leader/election.cc
+++ b/src/leader/election.cc
@@ -1,7 +1,8 @@
 #include "election.h"
 
-#include "constants.h"
+#include "leader_constants.h"
 #include "mutation.h"
+#include "state_store_constants.h"
 #include "store_keys.h"
 
 namespace corkmux {
--- a/src/leader/job_watcher.cc
+++ b/src/leader/job_watcher.cc
@@ -6,6 +6,7 @@
 #include <memory>
 
 #include "constants.h"
+#include "leader_constants.h"
 #include "store_keys.h"
 
 namespace corkmux {
--- a/src/leader/leader.cc
+++ b/src/leader/leader.cc
@@ -5,6 +5,8 @@
 #include <algorithm>
 
 #include "constants.h"
+#include "heartbeat_fanin_constants.h"
+#include "leader_constants.h"
 #include "store_keys.h"
 
 namespace corkmux {
--- a/src/leader/lease_expiry_monitor.cc
+++ b/src/leader/lease_expiry_monitor.cc
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <memory>
 
-#include "constants.h"
+#include "leader_constants.h"
 #include "lease_proxy_record.h"
 #include "mutation.h"
 #include "store_keys.h"
--- a/src/leader/machine_provisioner.cc
+++ b/src/leader/machine_provisioner.cc
@@ -3,7 +3,8 @@
 #include <spdlog/spdlog.h>
 
 #include "codec.h"
-#include "constants.h"
+#include "leader_constants.h"
+#include "state_store_constants.h"
 
 namespace corkmux {
 namespace c = constants;
--- a/src/leader/record_format_negotiation.cc
+++ b/src/leader/record_format_negotiation.cc
@@ -3,6 +3,7 @@
 #include <memory>
 
 #include "constants.h"
+#include "leader_constants.h"
 #include "scheduler.h"
 #include "store_keys.h"
 
--- a/src/leader/store_writer.cc
+++ b/src/leader/store_writer.cc
@@ -6,6 +6,7 @@
 #include <set>
 
 #include "constants.h"
+#include "leader_constants.h"
 #include "mutation.h"
 #include "store_keys.h"
 
--- a/src/leader/term.h
+++ b/src/leader/term.h
@@ -7,7 +7,7 @@
 #include <memory>
 #include <utility>
 
-#include "constants.h"
+#include "leader_constants.h"
 
 namespace corkmux {
 
--- a/src/linearizable_reads/linearizable_reader.cc
+++ b/src/linearizable_reads/linearizable_reader.cc
@@ -4,6 +4,7 @@
 #include <utility>
 
 #include "constants.h"
+#include "linearizable_reads_constants.h"
 #include "mutation.h"
 #include "store_keys.h"
 
--- a/src/linearizable_reads/read_batcher.cc
+++ b/src/linearizable_reads/read_batcher.cc
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "constants.h"
+#include "linearizable_reads_constants.h"
 
 namespace corkmux {
 namespace c = constants;
--- a/src/net/http.cc
+++ b/src/net/http.cc
@@ -13,7 +13,7 @@
 #include <cstring>
 #include <stdexcept>
 
-#include "constants.h"
+#include "net_constants.h"
 
 namespace corkmux::http {
 namespace {
--- a/src/scale_test/scale_test_run.cc
+++ b/src/scale_test/scale_test_run.cc
@@ -11,7 +11,6 @@
 #include <numeric>
 #include <random>
 
-#include "constants.h"
 #include "scale_test_constants.h"
 #include "simulation_constants.h"
 
--- a/src/scheduler/dependency_graph.cc
+++ b/src/scheduler/dependency_graph.cc
@@ -2,8 +2,8 @@
 // those that need it. Graphs may be deep or wide, so nothing here recurses.
 #include <algorithm>
 
-#include "constants.h"
 #include "scheduler.h"
+#include "scheduler_constants.h"
 
 namespace corkmux {
 namespace c = constants;
--- a/src/scheduler/failure_attribution.cc
+++ b/src/scheduler/failure_attribution.cc
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <cmath>
 
-#include "constants.h"
+#include "scheduler_constants.h"
 
 namespace corkmux {
 namespace c = constants;
--- a/src/scheduler/heartbeat_reconciler.cc
+++ b/src/scheduler/heartbeat_reconciler.cc
@@ -4,6 +4,7 @@
 #include "constants.h"
 #include "mutation.h"
 #include "scheduler.h"
+#include "scheduler_constants.h"
 
 namespace corkmux {
 namespace c = constants;
--- a/src/scheduler/machine_failures.cc
+++ b/src/scheduler/machine_failures.cc
@@ -1,8 +1,8 @@
 // Failures in the book: machines that are faulty are returned, jobs that fail by themselves are tried again
 // with pauses, and neither is taken for the other.
-#include "constants.h"
 #include "failure_attribution.h"
 #include "scheduler.h"
+#include "scheduler_constants.h"
 
 namespace corkmux {
 namespace c = constants;
--- a/src/scheduler/placement.cc
+++ b/src/scheduler/placement.cc
@@ -9,6 +9,7 @@
 
 #include "constants.h"
 #include "scheduler.h"
+#include "scheduler_constants.h"
 
 namespace corkmux {
 namespace c = constants;
--- a/src/scheduler/preemption.cc
+++ b/src/scheduler/preemption.cc
@@ -4,9 +4,9 @@
 #include <optional>
 #include <queue>
 
-#include "constants.h"
 #include "quota_reclaim.h"
 #include "scheduler.h"
+#include "scheduler_constants.h"
 
 namespace corkmux {
 namespace c = constants;
--- a/src/scheduler/reserved_capacity.cc
+++ b/src/scheduler/reserved_capacity.cc
@@ -5,8 +5,8 @@
 #include <cstdint>
 #include <utility>
 
-#include "constants.h"
 #include "mutation.h"
+#include "scheduler_constants.h"
 
 namespace corkmux {
 namespace c = constants;
--- a/src/scheduler/scheduler.cc
+++ b/src/scheduler/scheduler.cc
@@ -5,6 +5,7 @@
 
 #include "constants.h"
 #include "mutation.h"
+#include "scheduler_constants.h"
 
 namespace corkmux {
 namespace c = constants;
--- a/src/scheduler/task_record_store.cc
+++ b/src/scheduler/task_record_store.cc
@@ -12,6 +12,7 @@
 
 #include "constants.h"
 #include "scheduler.h"
+#include "scheduler_constants.h"
 #include "store_keys.h"
 
 namespace corkmux {
--- a/src/state_store/catalog.cc
+++ b/src/state_store/catalog.cc
@@ -2,7 +2,7 @@
 
 #include <spdlog/spdlog.h>
 
-#include "constants.h"
+#include "state_store_constants.h"
 
 namespace corkmux {
 namespace c = constants;
--- a/src/state_store/outage_log.cc
+++ b/src/state_store/outage_log.cc
@@ -5,7 +5,7 @@
 
 #include <algorithm>
 
-#include "constants.h"
+#include "state_store_constants.h"
 
 namespace corkmux {
 namespace c = constants;
--- a/src/state_store/state_client.cc
+++ b/src/state_store/state_client.cc
@@ -1,6 +1,7 @@
 #include "state_client.h"
 
 #include "constants.h"
+#include "state_store_constants.h"
 #include "store_keys.h"
 
 namespace corkmux {
--- a/src/wire/codec.cc
+++ b/src/wire/codec.cc
@@ -3,7 +3,7 @@
 #include <cmath>
 #include <unordered_set>
 
-#include "constants.h"
+#include "wire_constants.h"
 
 namespace corkmux::codec {
 namespace {
--- a/tests/heartbeat_fanin_test.cc
+++ b/tests/heartbeat_fanin_test.cc
@@ -7,7 +7,7 @@
 #include <set>
 
 #include "command_delivery.h"
-#include "constants.h"
+#include "heartbeat_fanin_constants.h"
 #include "heartbeat_forwarder.h"
 #include "peer_exchange.h"
 #include "worker_sharding.h"
--- a/tests/http_test.cc
+++ b/tests/http_test.cc
@@ -2,7 +2,7 @@
 
 #include <gtest/gtest.h>
 
-#include "constants.h"
+#include "net_constants.h"
 
 namespace corkmux::http {
 namespace {
--- a/tests/linearizable_reads_test.cc
+++ b/tests/linearizable_reads_test.cc
@@ -5,8 +5,8 @@
 #include <random>
 #include <set>
 
-#include "constants.h"
 #include "linearizable_reader.h"
+#include "linearizable_reads_constants.h"
 #include "state_service.h"
 
 namespace corkmux {
--- a/tests/reserved_capacity_test.cc
+++ b/tests/reserved_capacity_test.cc
@@ -3,7 +3,7 @@
 
 #include <gtest/gtest.h>
 
-#include "constants.h"
+#include "scheduler_constants.h"
 #include "scheduler_model.h"
 
 namespace corkmux {
