--- a/tests/simulation_test.cc
+++ b/tests/simulation_test.cc
@@ -229,13 +229,13 @@
   return faults;
 }
 
-/// Outside CI: CORKMUX_WORLDS=FIRST-LAST plays those seeds; what fails is shrunk and kept as a file.
+/// Outside CI: CORKMUX_SIMULATIONS=FIRST-LAST plays those seeds; what fails is shrunk and kept as a file.
 TEST(ClusterSimulation, WhateverChanceBrings) {
   spdlog::set_level(spdlog::level::off);
   unsigned long first = 1, last = 12;
-  const char* range = std::getenv("CORKMUX_WORLDS");
+  const char* range = std::getenv("CORKMUX_SIMULATIONS");
   if (range) {
-    ASSERT_EQ(std::sscanf(range, "%lu-%lu", &first, &last), 2) << "CORKMUX_WORLDS=FIRST-LAST";
+    ASSERT_EQ(std::sscanf(range, "%lu-%lu", &first, &last), 2) << "CORKMUX_SIMULATIONS=FIRST-LAST";
   }
   Plan plan = load_plan(file("forty"), "calm");
   for (auto seed = first; seed <= last; ++seed) {
@@ -244,7 +244,7 @@
     simulation.run();
     if (simulation.good()) continue;
     auto least = shortest(plan, seed, plan.faults);
-    auto kept = "failed-world-" + std::to_string(seed) + ".toml";
+    auto kept = "failed-simulation-" + std::to_string(seed) + ".toml";
     std::ofstream out(kept);
     out << "# forty, seed " << seed << "; for a [[day]] of tests/simulations/forty.toml\nfaults = [\n";
     for (const auto& f : least) out << "  " << fault_to_toml(f) << ",\n";
