--- a/src/cmd/simulator_main.cc
+++ b/src/cmd/simulator_main.cc
@@ -1,5 +1,5 @@
-// Plays a world from its file and prints what happened. Exit status: 0 when every rule held and every class
-// and team was served, 1 when not, 2 when the file cannot be played.
+// Plays a simulated cluster from its file and prints what happened. Exit status: 0 when every rule held and
+// every class and team was served, 1 when not, 2 when the file cannot be played.
 #include <spdlog/sinks/stdout_sinks.h>
 #include <spdlog/spdlog.h>
 
@@ -14,10 +14,10 @@
   CLI::App app{"corkmux-simulator: plays a whole cluster, simulated, from one seed"};
   std::string file, scenario, json;
   std::uint64_t seed = 1;
-  app.add_option("file", file, "the world (TOML; docs/simulation.md)")->required();
-  app.add_option("--day", scenario, "which of its days; the first if not given");
+  app.add_option("file", file, "the plan (TOML; docs/simulation.md)")->required();
+  app.add_option("--day", scenario, "which of its scenarios; the first if not given");
   app.add_option("--seed", seed, "where chance begins");
-  app.add_option("--json", json, "also write the account there as JSON");
+  app.add_option("--json", json, "also write the report there as JSON");
   CLI11_PARSE(app, argc, argv);
 
   spdlog::set_default_logger(
--- a/src/scale_test/event_merger.h
+++ b/src/scale_test/event_merger.h
@@ -25,7 +25,7 @@
   };
   EventMerger(std::vector<Team> teams, double cancel_s, std::size_t hosts, Listener& listener);
 
-  /// A host's report: its events, and that it has told everything up to a moment.
+  /// A host's status: its events, and that it has told everything up to a moment.
   void add(const HostStatus& report, const std::map<std::string, simulation::MachineFacts>& machines,
            simulation::JobRegistry& jobs);
   /// A host that has ended is not waited for any more.
--- a/src/scale_test/hollow_worker_host.cc
+++ b/src/scale_test/hollow_worker_host.cc
@@ -10,7 +10,7 @@
 namespace corkmux::scale_test {
 namespace {
 
-constexpr int kMostFailures = 5;  // of reports in a row, after which the collector counts as gone
+constexpr int kMostFailures = 5;  // of status messages in a row, after which the collector counts as gone
 
 int number_of(const std::string& machine) { return std::stoi(machine.substr(2)); }
 
--- a/src/scale_test/hollow_worker_host.h
+++ b/src/scale_test/hollow_worker_host.h
@@ -1,6 +1,6 @@
-// A process that hosts hollow workers: each has real sockets on a loopback address of its own, real reports,
-// leases, tokens, orders and image times, but executes nothing. All workers of one zone share a process, so
-// that the members of a gang, which are placed in one zone, find one another in it.
+// A process that hosts hollow workers: each has real sockets on a loopback address of its own, real
+// heartbeats, leases, fencing tokens, commands and image times, but executes nothing. All workers of one zone
+// share a process, so that the members of a gang, which are placed in one zone, find one another in it.
 #pragma once
 #include <deque>
 #include <map>
@@ -46,7 +46,7 @@
   std::vector<MachineType> types_;
   std::map<std::string, std::unique_ptr<simulation::Worker>> workers_;
   std::deque<MachineEvent> events_;
-  int failures_ = 0;  // reports in a row that the collector did not take
+  int failures_ = 0;  // status messages in a row that the collector did not take
 };
 
 }  // namespace corkmux::scale_test
--- a/src/scale_test/machine_events.h
+++ b/src/scale_test/machine_events.h
@@ -47,7 +47,7 @@
 Json to_wire(const HostInstructions& instructions);
 HostInstructions parse_host_instructions(const Json& body, const std::vector<MachineType>& types);
 
-/// Traffic of this process, for a report.
+/// Traffic of this process, for a status message.
 Json traffic_to_wire();
 
 }  // namespace corkmux::scale_test
--- a/src/scale_test/scale_test_constants.h
+++ b/src/scale_test/scale_test_constants.h
@@ -4,7 +4,7 @@
 
 namespace corkmux::scale_test {
 
-inline constexpr int kSocketsPerWorker = 3;      // its listener, its report and the controllers' orders
+inline constexpr int kSocketsPerWorker = 3;      // its listener, its heartbeats and the controllers' commands
 inline constexpr int kSpareSockets = 200;        // of each process: files, pipes, users and services
 inline constexpr int kMostProcesses = 200;       // started by one run
 inline constexpr double kMostMemoryShare = 0.5;  // of the machine's memory, all processes together
--- a/src/scale_test/scale_test_plan.h
+++ b/src/scale_test/scale_test_plan.h
@@ -67,7 +67,7 @@
 /// Throws SettingsError, which names the file and the field.
 ScaleTestPlan parse_scale_plan(const std::string& text, const std::string& file);
 ScaleTestPlan load_scale_plan(const std::string& file);
-/// Why this machine cannot carry the run within its limits; empty if it can.
+/// Why this machine cannot take the run within its limits; empty if it can.
 std::string refusal(const ScaleTestPlan& plan);
 /// The settings file of one controller, in the platform's form.
 std::string controller_settings(const ScaleTestPlan& plan, std::size_t controller,
--- a/src/scale_test/state_host.cc
+++ b/src/scale_test/state_host.cc
@@ -6,7 +6,7 @@
 
 namespace corkmux::scale_test {
 namespace {
-constexpr int kMostFailures = 5;  // of reports in a row, after which the collector counts as gone
+constexpr int kMostFailures = 5;  // of status messages in a row, after which the collector counts as gone
 }
 
 codec::Json to_wire(const StateCounts& counts) {
--- a/src/simulation/cluster_simulation.cc
+++ b/src/simulation/cluster_simulation.cc
@@ -249,7 +249,7 @@
   arm(stream);
 }
 
-// ---------------------------------------------------------------- looks
+// ---------------------------------------------------------------- progress
 
 void ClusterSimulation::sample_progress() {
   simulator_.at(simulator_.now() + kProgressInterval, nullptr, [this] { sample_progress(); });
@@ -257,7 +257,7 @@
   checker_.sample_progress(fitting_jobs());
 }
 
-/// While reports are kept for the next leader they reach every controller as it begins.
+/// While heartbeats are held for the next leader they reach every controller as it begins.
 void ClusterSimulation::detect_new_leader() {
   if (simulator_.now() < for_next_until_)
     simulator_.at(simulator_.now() + kLeaderDetectionInterval, nullptr, [this] { detect_new_leader(); });
@@ -342,7 +342,7 @@
 struct Formatter : spdlog::formatter {
   void format(const spdlog::details::log_msg& m, spdlog::memory_buf_t& out) override {
     const auto* host = dynamic_cast<const Host*>(Runtime::in_use);
-    fmt::format_to(std::back_inserter(out), "{:8.3f} {:<8} {} {}\n", host ? host->world_time() : 0,
+    fmt::format_to(std::back_inserter(out), "{:8.3f} {:<8} {} {}\n", host ? host->simulated_time() : 0,
                    host ? host->name() : "", spdlog::level::to_short_c_str(m.level),
                    std::string_view(m.payload.data(), m.payload.size()));
   }
--- a/src/simulation/cluster_simulation.h
+++ b/src/simulation/cluster_simulation.h
@@ -1,5 +1,5 @@
 // A whole cluster in one process and in stepped time: real controllers, and around them machines, users, a
-// state service, a cloud and a network, from one seed. Plays a plan and gives the account of it.
+// state service, a cloud and a network, from one seed. Plays a plan and gives the report of it.
 #pragma once
 #include <spdlog/formatter.h>
 
@@ -21,7 +21,7 @@
  public:
   ClusterSimulation(SimulationPlan plan, std::uint64_t seed);
   ~ClusterSimulation();
-  /// Plays on until then, s of the world.
+  /// Plays on until then, s of simulated time.
   void run_until(double time);
   /// Plays the plan to its end.
   void run();
@@ -33,7 +33,7 @@
   /// The rules hold, and every class and team is served by at least the plan's share.
   bool good() const { return problems().empty(); }
   std::vector<std::string> problems() const;
-  /// What happened, a line each, told by time: troubles, terms, pauses.
+  /// What happened, a line each, in order of time: faults, terms, pauses.
   const std::vector<std::string>& events() const { return events_; }
   codec::Json report() const;
   /// The account for a reader, about twenty lines.
@@ -44,7 +44,7 @@
     int cancelled_on_unreachable = 0;  // with a task on a machine that is cut off or hangs,
     int cancelled_at_quota_limit = 0;  // and their team within a twentieth of a limit
     int young_starts = 0;              // starts on machines up for less than 3 s while writes lagged
-    std::size_t copies = 0;            // reports that reached all controllers as a new leader began
+    std::size_t copies = 0;            // heartbeats that reached all controllers as a new leader began
   };
   const Occurrences& occurrences() const { return occurrences_; }
   /// Leaders that began.
@@ -144,7 +144,7 @@
   Occurrences occurrences_;
 };
 
-/// Log lines with the world's time and the host that says them.
+/// Log lines with the simulated time and the host that writes them.
 std::unique_ptr<spdlog::formatter> log_formatter();
 
 }  // namespace corkmux::simulation
--- a/src/simulation/event_simulator.cc
+++ b/src/simulation/event_simulator.cc
@@ -15,7 +15,7 @@
     : simulation_(simulation), name_(std::move(name)), ip_(std::move(ip)), zone_(std::move(zone)) {
   rate_ = zone_.empty()
               ? 1
-              : 1 + simulation_.uniform(-kDrift, kDrift);  // what is regional keeps the world's time
+              : 1 + simulation_.uniform(-kDrift, kDrift);  // what is regional keeps the simulated time
   skew_ = simulation_.uniform(-simulation_.skew_s_, simulation_.skew_s_);
 }
 double Host::steady() const { return kEpoch + simulation_.now_ * rate_; }
@@ -38,7 +38,7 @@
 bool Host::send(const std::string& address, http::Request request, bool open, Done done) {
   return simulation_.carry(*this, address, std::move(request), open, std::move(done));
 }
-double Host::world_time() const { return simulation_.now(); }
+double Host::simulated_time() const { return simulation_.now(); }
 bool Host::stalled() const { return stalled_until_ > simulation_.now_; }
 void Host::stall(double until) { stalled_until_ = std::max(stalled_until_, until); }
 void Host::end(bool silent) {
--- a/src/simulation/event_simulator.h
+++ b/src/simulation/event_simulator.h
@@ -1,7 +1,7 @@
-// Stepped time: one queue of events for all hosts of a world, run in order of time, then of their making. The
-// same seed gives the same order. Hosts have clocks of their own, may stand still, end, or be without power;
-// what they say to each other goes through a network with delays and cuts. Knows nothing of what the hosts
-// are.
+// Stepped time: one queue of events for all hosts of a simulation, run in order of time, then of their
+// making. The same seed gives the same order. Hosts have clocks of their own, may stand still, end, or be
+// without power; what they say to each other goes through a network with delays and cuts. Knows nothing of
+// what the hosts are.
 #pragma once
 #include <cstdint>
 #include <deque>
@@ -28,7 +28,8 @@
 
 class EventSimulator;
 
-/// A process or machine at one address. Kept until the world ends, since late messages may still name it.
+/// A process or machine at one address. Kept until the simulation ends, since late messages may still name
+/// it.
 class Host : public Runtime, public http::Transport {
  public:
   Host(EventSimulator& simulation, std::string name, std::string ip, std::string zone);
@@ -43,7 +44,7 @@
   void unlisten(int port) override;
   bool send(const std::string& address, http::Request request, bool open, Done done) override;
 
-  /// It runs nothing until then, while its clocks run on. s of the world.
+  /// It runs nothing until then, while its clocks run on. s of simulated time.
   void stall(double until);
   bool stalled() const;
   /// It is no more: nothing of it runs. A process that ends refuses what comes; a machine without power is
@@ -53,14 +54,14 @@
   const std::string& name() const { return name_; }
   const std::string& zone() const { return zone_; }  // empty: regional
   const std::string& ip() const { return ip_; }
-  double world_time() const;  // s since the world began
-  std::string role;           // what cuts go by: "controller", "worker", "state", "cloud", "users"
+  double simulated_time() const;  // s since the simulation began
+  std::string role;               // what cuts go by: "controller", "worker", "state", "cloud", "users"
 
  private:
   friend class EventSimulator;
   EventSimulator& simulation_;
   std::string name_, ip_, zone_;
-  double rate_, skew_;  // steady s per s of the world; s of the time of day
+  double rate_, skew_;  // steady s per s of simulated time; s of the time of day
   double stalled_until_ = 0;
   bool alive_ = true, silent_ = false;
   int next_port_ = 20000;
@@ -74,7 +75,7 @@
   EventSimulator(const EventSimulator&) = delete;
   EventSimulator& operator=(const EventSimulator&) = delete;
 
-  double now() const { return now_; }  // s since the world began
+  double now() const { return now_; }  // s since the simulation began
   std::mt19937_64& rng() { return rng_; }
   double uniform(double from, double to) { return std::uniform_real_distribution<double>(from, to)(rng_); }
   std::size_t below(std::size_t n) { return std::uniform_int_distribution<std::size_t>(0, n - 1)(rng_); }
--- a/src/simulation/fault_injection.cc
+++ b/src/simulation/fault_injection.cc
@@ -1,4 +1,4 @@
-// The troubles of a world: how each kind that a plan names is brought about.
+// The faults of a simulation: how each kind that a plan names is injected.
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
@@ -67,7 +67,7 @@
   });
 }
 
-/// Users call off jobs that run; some of their machines hang.
+/// Users cancel jobs that run; some of their machines hang.
 void ClusterSimulation::cancel_running_jobs(const Fault& f) {
   auto running = checker_.running_jobs();
   std::vector<std::string> ids;
@@ -141,7 +141,7 @@
       [mute](const Host& a, const Host& b) { return b.role == "controller" && mute.count(&a) > 0; }, until);
 }
 
-/// Their reports arrive; what is said to them does not.
+/// Their heartbeats arrive; answers and commands to them are lost.
 void ClusterSimulation::lose_answers_to(const std::vector<std::string>& names, double until) {
   std::set<const Host*> deaf;
   for (const auto& name : names) deaf.insert(machines_.at(name).host);
--- a/src/simulation/invariant_checker.h
+++ b/src/simulation/invariant_checker.h
@@ -1,5 +1,5 @@
 // Holds PROTOCOL's rules against what machines did and users were told. It is told nothing of the
-// controllers' books. And the account: per class and team what was submitted, started, done; what was lost,
+// controllers' books. And the report: per class and team what was submitted, started, done; what was lost,
 // and why.
 #pragma once
 #include <map>
@@ -14,11 +14,11 @@
 
 class InvariantChecker : public MachineObserver, public UserObserver {
  public:
-  /// `now`: s of the world, whoever's clock runs as it likes.
+  /// `now`: s of simulated time, whoever's clock runs as it likes.
   InvariantChecker(std::vector<Team> teams, double cancel_s, std::function<double()> now)
       : teams_(std::move(teams)), cancel_s_(cancel_s), now_(std::move(now)) {}
 
-  /// From then on, s of the world, nothing is wrong any more.
+  /// From then on, s of simulated time, nothing is wrong any more.
   void calm_from(double at) { calm_from_ = at; }
 
   // --- machines ---
@@ -68,7 +68,7 @@
   /// Questions about jobs that were accepted, and those answered 200 in time.
   int polls() const { return polls_; }
   int polls_answered() const { return polls_answered_; }
-  /// Users told of a cancel between these moments, s of the world, while tasks of their jobs were on
+  /// Users told of a cancel between these moments, s of simulated time, while tasks of their jobs were on
   /// machines.
   int cancels_told(double from, double to) const;
   /// Answers to close questions, and refusals of what has to be refused.
--- a/src/simulation/job_registry.h
+++ b/src/simulation/job_registry.h
@@ -1,6 +1,6 @@
 // What exists outside all controllers and machines: the jobs' descriptions as their users uploaded them,
-// saved progress, and the gangs, whose tasks find one another by their attempt (PROTOCOL, 'Gangs'). And the
-// witness, who is told what machines did.
+// checkpoints, and the gangs, whose tasks find one another by their attempt (PROTOCOL, 'Gangs'). And the
+// observer, which is told what machines did.
 #pragma once
 #include <functional>
 #include <map>
@@ -80,7 +80,7 @@
   void join(Work& work, std::uint64_t attempt, int index, Worker* worker);
   /// The task has ended for that reason, or its machine has; before the start the others go on waiting.
   void gone(Work& work, std::uint64_t attempt, int index);
-  /// Its machine hangs: mates notice unless it wakes in time.
+  /// Its machine hangs: its gang notices unless it resumes in time.
   void hangs(Work& work, std::uint64_t attempt, int index);
   void stop(Work& work, std::uint64_t attempt, int index, double grace_s);
   /// What a run of so many seconds is worth when it ends without saving: whole checkpoints.
--- a/src/simulation/simulation_constants.h
+++ b/src/simulation/simulation_constants.h
@@ -1,4 +1,4 @@
-// Constants of the simulated surroundings, each with unit and reason. What a world's file says is not here.
+// Constants of the simulated surroundings, each with unit and reason. What a plan's file says is not here.
 #pragma once
 
 namespace corkmux::simulation {
@@ -18,7 +18,7 @@
 // --- state service ---
 inline constexpr std::size_t kHistory = 10000;    // changes kept (PROTOCOL)
 inline constexpr std::size_t kMostItems = 1000;   // a page (PROTOCOL)
-inline constexpr double kLeaseExpiryDelay = 0.1;  // s by which a grant may end late (PROTOCOL)
+inline constexpr double kLeaseExpiryDelay = 0.1;  // s by which a lease may end late (PROTOCOL)
 inline constexpr double kStateQuick = 0.004;      // s an answer takes, usually under 10 ms (PROTOCOL)
 inline constexpr double kStateSlowShare = 0.005;  // of answers that take longer
 inline constexpr double kStateSlow = 0.25;        // s; a few hundred ms (PROTOCOL)
@@ -32,13 +32,14 @@
 inline constexpr double kNeverUp = 0.01;   // of rented machines; "a few" (PROTOCOL)
 
 // --- workers ---
-inline constexpr double kMinHeartbeatInterval = 0.5;    // s between reports that changes cause (PROTOCOL)
-inline constexpr double kHeartbeatTimeout = 4;          // s (PROTOCOL)
-inline constexpr double kNextControllerDelay = 1;       // s until the next controller is tried (PROTOCOL)
-inline constexpr double kSpeedSpread = 0.1;             // by which machines of a type differ (PROTOCOL)
-inline constexpr double kFetchSpread = 0.3;             // by which fetches differ (PROTOCOL)
-inline constexpr double kPeerLossDetectionShare = 0.8;  // of gang_peer_s until gang mates notice a loss
-inline constexpr double kFaultyTaskDelay = 2;           // s until a task on a faulty machine fails
+inline constexpr double kMinHeartbeatInterval = 0.5;  // s between heartbeats that changes cause (PROTOCOL)
+inline constexpr double kHeartbeatTimeout = 4;        // s (PROTOCOL)
+inline constexpr double kNextControllerDelay = 1;     // s until the next controller is tried (PROTOCOL)
+inline constexpr double kSpeedSpread = 0.1;           // by which machines of a type differ (PROTOCOL)
+inline constexpr double kFetchSpread = 0.3;           // by which fetches differ (PROTOCOL)
+inline constexpr double kPeerLossDetectionShare =
+    0.8;  // of gang_peer_s until the other members of a gang notice a loss
+inline constexpr double kFaultyTaskDelay = 2;  // s until a task on a faulty machine fails
 
 inline constexpr double kLeaseExpirySlack = 0.05;  // s by which a hanging machine's tasks end after its lease
 
@@ -46,10 +47,10 @@
 inline constexpr double kMinDeliveryDelay = 2;       // s
 inline constexpr double kMaxWriteDelay = 12;         // s
 inline constexpr double kLateHeartbeatLeases = 1.5;  // leases
-inline constexpr std::size_t kHeldCopies = 400;      // of reports, kept for the next leader; some per machine
-inline constexpr double kCancelWindow = 0.2;         // s in which users call off what they call off now
+inline constexpr std::size_t kHeldCopies = 400;  // of heartbeats, held for the next leader; some per machine
+inline constexpr double kCancelWindow = 0.2;     // s in which users cancel what a fault has them cancel
 inline constexpr std::size_t kMaxHangingMachines = 8;    // machines that hang with it
-inline constexpr double kInvalidRequestInterval = 0.5;   // s between odd requests
+inline constexpr double kInvalidRequestInterval = 0.5;   // s between invalid requests
 inline constexpr int kConcurrentReadsPerController = 2;  // close questions at each controller
 inline constexpr double kConcurrentReadWindow = 0.02;    // s in which they come
 inline constexpr double kRecentBoot = 3;                 // s since it is up; a machine's first seconds
@@ -60,14 +61,14 @@
 inline constexpr double kReadyEvery = 1, kReadyWait = 1, kReadyPause = 3, kReadyPauseMost = 60;          // s
 inline constexpr double kRefusedPause = 3;   // s without new connections after three that failed
 inline constexpr double kSilentPolls = 90;   // s in which every poll for a job fails: forgotten
-inline constexpr double kSilentInCalm = 75;  // s, once all troubles are over, however others fare
+inline constexpr double kSilentInCalm = 75;  // s, once all faults are over, however others fare
 
 // --- checker ---
-inline constexpr double kProgressInterval = 0.25;  // s between looks whether work that fits waits
+inline constexpr double kProgressInterval = 0.25;  // s between checks whether work that fits waits
 inline constexpr double kLeaderDetectionInterval =
-    0.01;                                   // s between looks for a new leader while reports are kept for it
-inline constexpr double kLeftWaiting = 90;  // s that a job may wait in calm though a machine has room
-inline constexpr int kLargestCounted = 4;   // jobs of a class at least, for a share of them to say anything
+    0.01;  // s between checks for a new leader while heartbeats are held for it
+inline constexpr double kLeftWaiting = 90;    // s that a job may wait in calm though a machine has room
+inline constexpr int kLargestCounted = 4;     // jobs of a class at least, for a share of them to say anything
 inline constexpr double kLargestBegin = 240;  // s within which half of a class's largest jobs begin
 
 }  // namespace corkmux::simulation
--- a/src/simulation/simulation_plan.h
+++ b/src/simulation/simulation_plan.h
@@ -1,4 +1,4 @@
-// What a world is made of, and what goes wrong in it, as its TOML file says (docs/simulation.md).
+// What a simulation is made of, and what goes wrong in it, as its TOML file says (docs/simulation.md).
 #pragma once
 #include <cstdint>
 #include <string>
@@ -10,7 +10,7 @@
 
 namespace corkmux::simulation {
 
-/// One trouble. What a kind does not use stays as it is here.
+/// One fault. What a kind does not use stays as it is here.
 struct Fault {
   double at_s = 0, for_s = 0, every_s = 0;
   std::string kind, zone, mode = "hold", job_class, team;
@@ -23,7 +23,7 @@
   bool at_once = false, for_next = false;
 };
 const std::vector<std::string>& fault_kinds();
-/// The fields that such a trouble may have.
+/// The fields that such a fault may have.
 const std::vector<std::string>& fault_fields(const std::string& kind);
 
 /// Jobs of one class and team.
@@ -54,14 +54,14 @@
   std::vector<Fault> faults;
 };
 
-/// The file's world with the troubles of one of its days; the first when no name is given. Throws
+/// The file's cluster with the faults of one of its scenarios; the first when no name is given. Throws
 /// SettingsError.
 SimulationPlan parse_plan(const std::string& text, const std::string& file, const std::string& scenario = "");
 SimulationPlan load_plan(const std::string& file, const std::string& scenario = "");
 std::vector<std::string> scenario_names(const std::string& file);
-/// A line of the file for that trouble.
+/// A line of the file for that fault.
 std::string fault_to_toml(const Fault& fault);
-/// So many troubles drawn for that world, all over when its last third begins.
+/// So many faults drawn for that cluster, all over when its last third begins.
 std::vector<Fault> draw_faults(const SimulationPlan& plan, int count, std::uint64_t seed);
 
 }  // namespace corkmux::simulation
--- a/src/simulation/state_service.h
+++ b/src/simulation/state_service.h
@@ -1,4 +1,4 @@
-// The state service of PROTOCOL, in memory: keys, conditioned transactions, grants, watches with a bounded
+// The state service of PROTOCOL, in memory: keys, conditional transactions, leases, watches with a bounded
 // history, rates with bursts, limits that fall, outages; and answers that a test holds back. Runs on any
 // Loop.
 #pragma once
@@ -42,9 +42,9 @@
   /// A second address of the same service, so that one caller can be treated unlike the others.
   std::size_t add_door(const std::string& address);
   int door_port(std::size_t door) const { return doors_[door]->server.port(); }
-  /// Whoever comes through it gets 503; its grants run out and its open watches wait.
+  /// Whoever comes through it gets 503; its leases expire and its open watches wait.
   void refuse(std::size_t door, bool refused) { doors_[door]->refused = refused; }
-  /// Everybody gets 503. When it ends, every grant has its full time again.
+  /// Everybody gets 503. When it ends, every lease has its full time again.
   bool down = false;
   /// Neither executes nor answers anything.
   bool mute = false;
@@ -58,7 +58,7 @@
   int refused = 0;           // transactions beyond the limits
   int over_rate = 0;         // requests answered 429
   std::uint64_t served = 0;  // requests
-  /// Puts and removals that were carried out, by the part of the key before its first slash.
+  /// Puts and removals that were executed, by the part of the key before its first slash.
   std::map<std::string, std::uint64_t> changes_by_kind;
   /// Items that a page holds, whatever is asked for.
   std::size_t page_most = 1000;
--- a/src/simulation/users.h
+++ b/src/simulation/users.h
@@ -43,7 +43,7 @@
 
 class Users {
  public:
-  /// `now`: the clock of the witness, s.
+  /// `now`: the clock of the observer, s.
   Users(Loop& loop, const std::map<std::string, std::string>& controllers, UserObserver& observer,
         JobRegistry& registry, std::function<double()> now = steady_now);
   /// Submits it now; `cancel_after_s` from then: negative: never.
--- a/src/simulation/worker.cc
+++ b/src/simulation/worker.cc
@@ -149,7 +149,7 @@
   changed();
 }
 
-/// What its end means for the job's progress, its mates and the witness.
+/// What its end means for the job's progress, its gang and the observer.
 void Worker::leave(Task& t, const char* why) {
   Work& w = *t.work;
   auto n = static_cast<std::size_t>(t.index);
--- a/src/simulation/worker.h
+++ b/src/simulation/worker.h
@@ -1,5 +1,5 @@
-// One machine and its worker as PROTOCOL has them: reports to one controller at a time, tokens, sessions,
-// leases, the image cache, tasks that save, gangs, sickness and spot notices. Runs on any Loop.
+// One machine and its worker as PROTOCOL has them: heartbeats to one controller at a time, fencing tokens,
+// epochs, leases, the image cache, tasks that save, gangs, sickness and spot notices. Runs on any Loop.
 #pragma once
 #include <map>
 #include <memory>
@@ -26,11 +26,11 @@
 
 class Worker {
  public:
-  /// `controllers`: label and address of each. `listen`: where it takes orders.
+  /// `controllers`: label and address of each. `listen`: where it takes commands.
   Worker(Loop& loop, MachineFacts facts, WorkerTimes times, std::map<std::string, std::string> controllers,
          JobRegistry& registry, const std::string& listen);
   ~Worker();
-  /// Where it takes orders, host:port.
+  /// Where it takes commands, host:port.
   std::string address() const { return ip_ + ":" + std::to_string(server_.port()); }
   int tasks() const { return static_cast<int>(tasks_.size()); }
   int running() const;
@@ -41,9 +41,9 @@
   void set_faulty(bool faulty) { faulty_ = faulty; }
   /// The cloud takes it away then.
   void notice(double in_s);
-  /// Its machine stands still from now on; until it wakes, mates may notice.
+  /// Its machine stalls from now on; until it resumes, gang members may notice.
   void hang();
-  /// s of its clock: when its lease ends unless a report is answered.
+  /// s of its clock: when its lease ends unless a heartbeat is answered.
   double lease_end() const { return leased_from_ + times_.lease_s; }
   /// Ends its tasks if its lease is over; also of a machine that hangs (PROTOCOL: it may resume within its
   /// lease).
@@ -53,7 +53,7 @@
   void die(const std::string& why);
   std::uint64_t worker_epoch() const { return worker_epoch_; }
 
-  // For the yard: what becomes of a gang's task. Take effect when the machine is awake.
+  // For the job registry: what becomes of a gang's task. Take effect when the machine is awake.
   void gang_runs(const std::string& job, int index, std::uint64_t attempt);
   void gang_saves(const std::string& job, int index, std::uint64_t attempt);
   void gang_exits(const std::string& job, int index, std::uint64_t attempt, const char* cause, bool kept);
