--- a/src/cmd/corkmux_main.cc
+++ b/src/cmd/corkmux_main.cc
@@ -83,10 +83,10 @@
         loop.stop();
       });
     };
-    corkmux::Signal terminate(loop, SIGTERM, [&] { end(SIGTERM); });
-    corkmux::Signal interrupt(loop, SIGINT, [&] { end(SIGINT); });
-    corkmux::Signal traffic_wanted(loop, SIGUSR1, [] { log_traffic(); });
-    std::optional<corkmux::Signal> hangup;
+    corkmux::SignalWatcher terminate(loop, SIGTERM, [&] { end(SIGTERM); });
+    corkmux::SignalWatcher interrupt(loop, SIGINT, [&] { end(SIGINT); });
+    corkmux::SignalWatcher traffic_wanted(loop, SIGUSR1, [] { log_traffic(); });
+    std::optional<corkmux::SignalWatcher> hangup;
     if (choices.kubernetes)
       hangup.emplace(loop, SIGHUP, [&] {
         auto wrong = kubernetes ? kubernetes->reload_tokens() : "";
--- a/src/cmd/scale_test_main.cc
+++ b/src/cmd/scale_test_main.cc
@@ -98,8 +98,8 @@
   scale_test::ScaleTestRun run(loop, plan, {own.string(), controller},
                                std::filesystem::absolute(a.file).string(), overrides_of(a));
   int interrupted = 0;
-  Signal terminate(loop, SIGTERM, [&] { interrupted = SIGTERM, loop.stop(); });
-  Signal interrupt(loop, SIGINT, [&] { interrupted = SIGINT, loop.stop(); });
+  SignalWatcher terminate(loop, SIGTERM, [&] { interrupted = SIGTERM, loop.stop(); });
+  SignalWatcher interrupt(loop, SIGINT, [&] { interrupted = SIGINT, loop.stop(); });
   run.start([&] { loop.stop(); });
   loop.run();
   if (interrupted) {
--- /dev/null
+++ b/src/common/actor.h
@@ -0,0 +1,25 @@
+// The base of all actors. An actor owns its state; others only post messages to it, which run one at a time
+// on the loop.
+#pragma once
+#include <functional>
+#include <utility>
+
+#include "loop.h"
+
+namespace corkmux {
+
+template <typename Self>
+class Actor {
+ public:
+  explicit Actor(Loop& loop) : loop_(loop) {}
+  /// Posts a message. The actor has to outlive the loop's queue.
+  void tell(std::function<void(Self&)> message) {
+    loop_.post([this, message = std::move(message)] { message(static_cast<Self&>(*this)); });
+  }
+
+ protected:
+  ~Actor() = default;
+  Loop& loop_;
+};
+
+}  // namespace corkmux
--- /dev/null
+++ b/src/common/io_watcher.h
@@ -0,0 +1,46 @@
+// Calls back on the loop when a file descriptor can be read or written. Does not own the descriptor. Not
+// available in a simulation.
+#pragma once
+#include <ev.h>
+
+#include <functional>
+#include <utility>
+
+#include "loop.h"
+
+namespace corkmux {
+
+class IoWatcher {
+ public:
+  /// Receives the events that occurred, of EV_READ and EV_WRITE.
+  using Callback = std::function<void(int events)>;
+  IoWatcher(Loop& loop, int descriptor, Callback callback) : loop_(loop), callback_(std::move(callback)) {
+    ev_io_init(&io_, &IoWatcher::on_ready, descriptor, EV_NONE);
+    io_.data = this;
+  }
+  ~IoWatcher() { ev_io_stop(loop_.raw(), &io_); }
+  IoWatcher(const IoWatcher&) = delete;
+  IoWatcher& operator=(const IoWatcher&) = delete;
+  /// Sets which of EV_READ and EV_WRITE are waited for; 0: none.
+  void want(int events) {
+    if (events == events_) return;
+    events_ = events;
+    ev_io_stop(loop_.raw(), &io_);
+    if (!events) return;
+    ev_io_set(&io_, io_.fd, events);
+    ev_io_start(loop_.raw(), &io_);
+  }
+
+ private:
+  static void on_ready(struct ev_loop*, ev_io* io, int events) {
+    auto callback = static_cast<IoWatcher*>(io->data)->callback_;  // a copy: it may destroy this watcher
+    callback(events);
+  }
+
+  Loop& loop_;
+  ev_io io_{};
+  int events_ = 0;
+  Callback callback_;
+};
+
+}  // namespace corkmux
--- a/src/common/mutation.h
+++ b/src/common/mutation.h
@@ -1,5 +1,5 @@
-// Defects that tests plant, to show that a world finds them. In the program there are none:
-// mutation_enabled() is false while compiling, and what depends on it is not there.
+// Mutations: defects that tests switch on by name, to show that a simulation finds them. In the programs
+// mutation_enabled() is a constant false, and the code that depends on it is not compiled in.
 #pragma once
 #include <string>
 #include <string_view>
--- a/src/common/store_keys.h
+++ b/src/common/store_keys.h
@@ -1,20 +1,29 @@
-// The keys under which controllers keep their state in the state service.
+// The keys under which controllers keep their state in the state store. The spelling is stored data and never
+// changes.
 #pragma once
 #include <string>
 
 namespace corkmux {
 
-inline const std::string kLeaderKey = "leader", kTermKey = "term";
-inline const std::string kDependencyBarrierKey =
-    "settled";                                   // until when all that needs a cancelled job has its end
-inline const std::string kJobs = "a/";           // unfinished jobs, by id
-inline const std::string kTaskRecordsV1 = "s/";  // their tasks in the first form: s/<job>/<n>
-inline const std::string kTaskRecordsV2 = "t/";  // their tasks in the second form: t/<job>/<first task>
-inline const std::string kRecordFormats = "v/";  // what form each controller reads and writes: v/<controller>
-inline const std::string kFinals = "f/";         // how finished jobs ended, kept for good
-inline const std::string kStoreRelayPrefix = "m/";  // mail between controllers: m/<to>/<from>/<slot>
-inline const std::string kLeaseProxyPrefix = "k/";  // workers that a keeper answers, by controller
-inline const std::string kKubeObjects =
-    "n/";  // what was submitted as Kubernetes objects: n/<namespace>/<kind>/<name>
+inline const std::string kLeaderKey = "leader";
+inline const std::string kTermKey = "term";
+/// Until when all dependents of cancelled jobs have their end.
+inline const std::string kDependencyBarrierKey = "settled";
+/// Unfinished jobs: a/<job>
+inline const std::string kJobs = "a/";
+/// Their tasks in RecordFormat V1: s/<job>/<n>
+inline const std::string kTaskRecordsV1 = "s/";
+/// Their tasks in RecordFormat V2: t/<job>/<first task>
+inline const std::string kTaskRecordsV2 = "t/";
+/// The record formats that each controller reads and writes: v/<controller>
+inline const std::string kRecordFormats = "v/";
+/// How finished jobs ended, kept for good: f/<job>
+inline const std::string kFinals = "f/";
+/// Messages relayed between controllers: m/<to>/<from>/<slot>
+inline const std::string kStoreRelayPrefix = "m/";
+/// Workers whose leases a controller renews by proxy: k/<controller>
+inline const std::string kLeaseProxyPrefix = "k/";
+/// What was submitted as Kubernetes objects: n/<namespace>/<kind>/<name>
+inline const std::string kKubeObjects = "n/";
 
 }  // namespace corkmux
--- a/src/net/http.cc
+++ b/src/net/http.cc
@@ -298,7 +298,7 @@
   ConnectionId id;
   Fd fd;
   Parser parser;
-  std::unique_ptr<Io> io;
+  std::unique_ptr<IoWatcher> io;
   std::string out, waiting;
   std::size_t offset = 0, received = 0;  // bytes: sent of `out`; of the request that is being read
   TrafficCount* traffic = nullptr;       // of the request that is being served
@@ -337,7 +337,7 @@
   socklen_t size = sizeof addr;
   ::getsockname(listener_->get(), reinterpret_cast<sockaddr*>(&addr), &size);
   port_ = ntohs(addr.sin_port);
-  accept_io_ = std::make_unique<Io>(loop_, listener_->get(), [this](int) { accept_ready(); });
+  accept_io_ = std::make_unique<IoWatcher>(loop_, listener_->get(), [this](int) { accept_ready(); });
   accept_io_->want(EV_READ);
   sweeper_.every(constants::kIdleConnection / 4, [this] { sweep(); });
 }
@@ -376,7 +376,7 @@
     ::setsockopt(raw, IPPROTO_TCP, TCP_NODELAY, &yes, sizeof yes);
     auto id = next_++;
     auto c = std::make_unique<Connection>(id, raw);
-    c->io = std::make_unique<Io>(loop_, raw, [this, id](int events) { ready(id, events); });
+    c->io = std::make_unique<IoWatcher>(loop_, raw, [this, id](int events) { ready(id, events); });
     c->io->want(EV_READ);
     connections_.emplace(id, std::move(c));
   }
@@ -512,7 +512,7 @@
   explicit Connection(int raw) : fd(raw), parser(Parser::Mode::Response, constants::kMaxResponseBody) {}
   Fd fd;
   Parser parser;
-  std::unique_ptr<Io> io;
+  std::unique_ptr<IoWatcher> io;
   Pending pending;
   std::size_t offset = 0;
   bool connecting = true, reused = false, dead = false;
@@ -610,7 +610,7 @@
         continue;
       }
       Connection* ptr = c.get();
-      c->io = std::make_unique<Io>(loop_, raw, [this, ptr](int events) { ready(ptr, events); });
+      c->io = std::make_unique<IoWatcher>(loop_, raw, [this, ptr](int events) { ready(ptr, events); });
       c->pending = std::move(p);
       c->io->want(EV_READ | EV_WRITE);
       active_.push_front(std::move(c));
--- a/src/net/http.h
+++ b/src/net/http.h
@@ -116,7 +116,7 @@
   std::optional<Fd> listener_;
   bool closing_ = false;
   int port_ = 0;
-  std::unique_ptr<Io> accept_io_;
+  std::unique_ptr<IoWatcher> accept_io_;
   Timer sweeper_;
   ConnectionId next_ = 1;
   std::unordered_map<ConnectionId, std::unique_ptr<Connection>> connections_;
--- a/tests/kube_test.cc
+++ b/tests/kube_test.cc
@@ -297,7 +297,7 @@
   }
   http::Fd fd_;
   http::Parser parser_;
-  Io io_;
+  IoWatcher io_;
   bool done_ = false;
 };
 
@@ -552,7 +552,7 @@
   }
   http::Fd fd_;
   http::Parser parser_;
-  Io io_;
+  IoWatcher io_;
   bool over_ = false;
 };
 
