--- /dev/null
+++ b/src/scheduler/cluster_state.cc
@@ -0,0 +1,276 @@
+#include "cluster_state.h"
+
+#include <algorithm>
+
+#include "constants.h"
+#include "scheduler_constants.h"
+
+namespace corkmux {
+namespace c = constants;
+
+namespace {
+
+const Resources kNothing;
+
+template <class Uses>
+const Resources& find_use(const Uses& uses, const std::string& name) {
+  auto found = uses.find(name);
+  return found == uses.end() ? kNothing : found->second;
+}
+
+}  // namespace
+
+ClusterState::ClusterState(SchedulerConfig config, std::uint64_t term, double now)
+    : config_(std::move(config)), term_(term), started_at_(now), job_index_(config_.teams) {
+  for (const auto& team : config_.teams) teams_[team.name] = team;
+}
+
+const MachineType* ClusterState::type(const std::string& name) const {
+  for (const auto& type : types_)
+    if (type.name == name) return &type;
+  return nullptr;
+}
+
+// ---------------------------------------------------------------- jobs
+
+Job* ClusterState::job(const std::string& id) {
+  auto found = jobs_.find(id);
+  return found == jobs_.end() ? nullptr : &found->second;
+}
+
+const Job* ClusterState::job(const std::string& id) const {
+  auto found = jobs_.find(id);
+  return found == jobs_.end() ? nullptr : &found->second;
+}
+
+std::pair<Job&, bool> ClusterState::add_job(const std::string& id) {
+  auto [entry, fresh] = jobs_.try_emplace(id);
+  return {entry->second, fresh};
+}
+
+void ClusterState::remove_job(const std::string& id) {
+  auto found = jobs_.find(id);
+  if (found == jobs_.end()) return;
+  changed_.erase(id);
+  job_index_.remove(found->second);
+  jobs_.erase(found);
+}
+
+void ClusterState::set_priority(Job& job, Priority priority) {
+  if (priority == job.priority) return;
+  auto recount = [&](int by) {
+    for (const auto& [index, task] : job.active)
+      if (Machine* at = machine(task.machine)) count_task(*at, job, task, by);
+  };
+  recount(-1);
+  job.priority = priority;
+  recount(1);
+}
+
+// ---------------------------------------------------------------- machines
+
+Machine* ClusterState::machine(const std::string& name) {
+  auto found = machines_.find(name);
+  return found == machines_.end() ? nullptr : &found->second;
+}
+
+const Machine* ClusterState::machine(const std::string& name) const {
+  auto found = machines_.find(name);
+  return found == machines_.end() ? nullptr : &found->second;
+}
+
+std::pair<Machine&, bool> ClusterState::add_machine(const std::string& name, double now) {
+  auto [entry, fresh] = machines_.try_emplace(name);
+  Machine& machine = entry->second;
+  if (fresh) {
+    machine.name = name;
+    raise_fencing_token(machine);
+    machine.provisioned_at = now;
+  }
+  return {machine, fresh};
+}
+
+void ClusterState::remove_machine(const std::string& name) {
+  auto found = machines_.find(name);
+  if (found == machines_.end()) return;
+  capacity_index_.remove(found->second);
+  machines_.erase(found);
+}
+
+void ClusterState::remove_unknown_machines() {
+  std::erase_if(machines_, [](const auto& entry) {
+    const Machine& machine = entry.second;
+    return !machine.up && machine.type.empty() && machine.tasks.empty();
+  });
+}
+
+void ClusterState::reindex(Machine& machine, double now) {
+  capacity_index_.update(machine, machine_capacity(machine, now), machine.slack());
+}
+
+MachineCapacity ClusterState::machine_capacity(const Machine& machine, double now) const {
+  using Use = MachineCapacity::Use;
+  const double silent_at = machine.last_heard + c::kSilentReports * config_.report_s;
+  if (!takes_work(machine) || now >= silent_at) return {};
+  auto until = [&](Use use, double at) { return MachineCapacity{use, "", std::min(at, silent_at)}; };
+  if (now < machine.no_capacity_until) return until(Use::Out, machine.no_capacity_until);
+  if (now < machine.nominated_until) {
+    MachineCapacity kept = until(Use::Kept, machine.nominated_until);
+    kept.kept_for = machine.nominated_job;
+    return kept;
+  }
+  if (now < machine.cordoned_until) return until(Use::Suspect, machine.cordoned_until);
+  return until(Use::Ready, silent_at);
+}
+
+bool ClusterState::takes_work(const Machine& machine) const {
+  return machine.up && !machine.decommissioning && !machine.faulty && !machine.gone_at &&
+         machine.size.cpus > 0 && machine.observed_token >= first_number() &&
+         machine.observed_token >= machine.required_token;
+}
+
+bool ClusterState::usable(const Machine& machine, double now) const {
+  return takes_work(machine) && now >= machine.no_capacity_until &&
+         now < machine.last_heard + c::kSilentReports * config_.report_s;
+}
+
+bool ClusterState::silent(const Machine& machine, double now) const {
+  return now - machine.last_heard > c::kSilentReports * config_.report_s;
+}
+
+void ClusterState::clear_images(Machine& machine) {
+  capacity_index_.take_out(machine);
+  machine.images.clear();
+}
+
+void ClusterState::note_image(Machine& machine, const JobSpec& spec) {
+  if (!machine.images.empty() && machine.images.front() == spec.image) return;
+  if (std::erase(machine.images, spec.image)) {  // the same images, only in another order
+    machine.images.push_front(spec.image);
+    return;
+  }
+  capacity_index_.take_out(machine);
+  machine.images.push_front(spec.image);
+  machine.image_gb[spec.image] = spec.image_gb;
+  const MachineType* type = this->type(machine.type);
+  if (!type) return;
+  // The worker evicts the least recent ones once its cache is full.
+  double total_gb = 0;
+  for (std::size_t i = 0; i < machine.images.size(); ++i) {
+    total_gb += machine.image_gb[machine.images[i]];
+    if (total_gb <= type->cache_gb || i == 0) continue;
+    for (std::size_t evicted = i; evicted < machine.images.size(); ++evicted)
+      machine.image_gb.erase(machine.images[evicted]);
+    machine.images.resize(i);
+    return;
+  }
+}
+
+double ClusterState::fetch_time(const JobSpec& spec, const Machine& machine) const {
+  if (machine.holds_image(spec.image)) return 0;
+  const MachineType* type = this->type(machine.type);
+  return type ? spec.image_gb / type->fetch_gb_per_s : spec.image_gb;
+}
+
+// ---------------------------------------------------------------- tasks on machines, and what teams use
+
+void ClusterState::occupy(Job& job, int index, ActiveTask task, Machine& machine) {
+  machine.tasks.insert({job.spec.id, index});
+  machine.free -= job.spec.need;
+  count_task(machine, job, task, 1);
+  job.active[index] = std::move(task);
+  job.phase[static_cast<std::size_t>(index)] = TaskPhase::Active;
+  --job.queued;
+  team_use_[job.spec.team] += job.spec.need;
+  class_use_[job.spec.job_class] += job.spec.need;
+}
+
+void ClusterState::vacate(Job& job, int index, double now) {
+  auto found = job.active.find(index);
+  if (found == job.active.end()) return;
+  const ActiveTask& task = found->second;
+  if (Machine* at = machine(task.machine)) {
+    at->tasks.erase({job.spec.id, index});
+    at->free += job.spec.need;
+    if (at->tasks.empty()) {
+      at->idle_since = now;
+      at->free = at->size;
+    }
+    std::erase(at->outbox, TaskId{job.spec.id, index});
+    count_task(*at, job, task, -1);
+    reindex(*at, now);
+  }
+  if (task.stop) team_stopping_[job.spec.team] -= job.spec.need;
+  job.active.erase(found);
+  release_quota(job);
+}
+
+void ClusterState::release_quota(const Job& job) {
+  team_use_[job.spec.team] -= job.spec.need;
+  // Classes are whatever users call them: of those that use nothing, nothing is kept.
+  auto use = class_use_.find(job.spec.job_class);
+  if (use == class_use_.end()) return;
+  constexpr double kRounding = 1e-6;
+  use->second -= job.spec.need;
+  if (use->second.cpus < kRounding && use->second.memory_gb < kRounding) class_use_.erase(use);
+}
+
+void ClusterState::request_stop(Job& job, int index, double grace_s) {
+  auto found = job.active.find(index);
+  if (found == job.active.end()) return;
+  ActiveTask& task = found->second;
+  if (task.stop && task.grace_s <= grace_s) return;
+  Machine* at = machine(task.machine);
+  if (!task.stop) {
+    if (at) count_task(*at, job, task, -1);
+    task.stop = true;
+    if (at) count_task(*at, job, task, 1);
+    team_stopping_[job.spec.team] += job.spec.need;
+  }
+  task.grace_s = grace_s;
+  if (!at) return;
+  at->needs_dispatch = true;
+  mark_for_dispatch(at->name);
+}
+
+void ClusterState::count_task(Machine& machine, const Job& job, const ActiveTask& task, int by) {
+  if (task.stop)
+    machine.stopping += by;
+  else if (!job.is_gang())
+    machine.stoppable[static_cast<std::size_t>(job.priority)] += by;
+  capacity_index_.note_tasks(machine);
+}
+
+const Resources& ClusterState::team_use(const std::string& team) const { return find_use(team_use_, team); }
+
+const Resources& ClusterState::team_stopping(const std::string& team) const {
+  return find_use(team_stopping_, team);
+}
+
+const Resources& ClusterState::class_use(const std::string& job_class) const {
+  return find_use(class_use_, job_class);
+}
+
+bool ClusterState::within_limit(const std::string& team, const Resources& more) const {
+  auto found = teams_.find(team);
+  if (found == teams_.end()) return false;
+  Resources use = team_use(team);
+  use += more;
+  return found->second.allows(use);
+}
+
+// ---------------------------------------------------------------- fencing tokens
+
+std::uint64_t ClusterState::first_number() const { return term_ << c::kTermShift; }
+
+bool ClusterState::superseded_by(std::uint64_t token) const { return (token >> c::kTermShift) > term_; }
+
+std::uint64_t ClusterState::next_number() { return first_number() | ++counter_; }
+
+std::uint64_t ClusterState::raise_fencing_token(Machine& machine) {
+  machine.fencing_token = next_number();
+  machine.required_token = machine.fencing_token;
+  return machine.fencing_token;
+}
+
+}  // namespace corkmux
--- a/src/scheduler/dependency_graph.cc
+++ b/src/scheduler/dependency_graph.cc
@@ -38,7 +38,7 @@
     }
     job.unmet_dependencies.insert(awaited);
     dependents_[awaited].push_back(id);
-    if (const Job* other = this->job(awaited))
+    if (const Job* other = state_.job(awaited))
       job.dependency_cancelled |= other->cancelled || other->dependency_cancelled;
     else
       unknown_.insert(awaited);
@@ -62,25 +62,16 @@
     double due = job.spec.deadline_s ? job.accepted_at + *job.spec.deadline_s : kNever;
     if (auto d = dependents_.find(job.spec.id); d != dependents_.end())
       for (const auto& id : d->second)
-        if (const Job* other = this->job(id); other && !other->cancelled && !other->dependency_cancelled) {
+        if (const Job* other = state_.job(id); other && !other->cancelled && !other->dependency_cancelled) {
           priority = std::max(priority, other->priority);
           if (other->due_at < kNever) due = std::min(due, other->due_at - step_s(*other));
         }
     if (!std::exchange(fresh, false) && priority == job.priority && due == job.due_at) continue;
-    // Its tasks count under the priority that it had.
-    auto recount = [&](int by) {
-      for (auto& [index, a] : job.active)
-        if (Machine* m = machine(a.machine)) count_task(*m, job, a, by);
-    };
-    if (priority != job.priority) {
-      recount(-1);
-      job.priority = priority;
-      recount(1);
-    }
+    state_.set_priority(job, priority);
     job.due_at = due;
-    job_index_.update(job);
+    state_.reindex(job);
     for (const auto& id : job.unmet_dependencies)
-      if (Job* awaited = this->job(id)) todo.push_back(awaited);
+      if (Job* awaited = state_.job(id)) todo.push_back(awaited);
   }
 }
 
@@ -89,9 +80,9 @@
   job.ready_at = std::max(job.ready_at, at);
   dependency_met(job.spec.id, awaited);
   job.why = waiting_for(job);
-  changed_.insert(job.spec.id);
-  if (job.unmet_dependencies.empty()) wants_cycle_ = true;
-  job_index_.update(job);
+  state_.mark_changed(job.spec.id);
+  if (job.unmet_dependencies.empty()) state_.request_cycle();
+  state_.reindex(job);
 }
 
 void Scheduler::outcome(const std::string& id, Outcome how, double at) {
@@ -105,7 +96,7 @@
   auto d = dependents_.find(id);
   if (d == dependents_.end()) return;
   for (const auto& needs_it : std::vector<std::string>(d->second))
-    if (Job* job = this->job(needs_it)) met(*job, id, at);
+    if (Job* job = state_.job(needs_it)) met(*job, id, at);
 }
 
 /// All that need it, directly or through others. They have no task anywhere: none of them could start.
@@ -116,14 +107,14 @@
     todo.pop_back();
     if (d == dependents_.end()) continue;
     for (const auto& needs_it : d->second) {
-      Job* job = this->job(needs_it);
+      Job* job = state_.job(needs_it);
       if (!job || job->dependency_cancelled) continue;
       if (!job->cancelled) {
         job->dependency_cancelled = true;
         job->why = "a job that it needs was cancelled";
         ends(needs_it);
-        changed_.insert(needs_it);
-        job_index_.update(*job);
+        state_.mark_changed(needs_it);
+        state_.reindex(*job);
       }
       todo.push_back(needs_it);
     }
@@ -133,7 +124,8 @@
 std::vector<std::string> Scheduler::dependents_of_cancelled() const {
   std::vector<std::string> out;
   for (const auto& [id, order] : ending_)
-    if (auto job = jobs_.find(id); job != jobs_.end() && job->second.dependency_cancelled) out.push_back(id);
+    if (auto job = state_.jobs().find(id); job != state_.jobs().end() && job->second.dependency_cancelled)
+      out.push_back(id);
   return out;
 }
 
--- a/src/scheduler/heartbeat_reconciler.cc
+++ b/src/scheduler/heartbeat_reconciler.cc
@@ -13,32 +13,26 @@
 Scheduler::HeartbeatResult Scheduler::on_heartbeat(const Heartbeat& r, Channel channel, double now) {
   // Guards against ghosts: a held-back report of a machine that was returned must not revive it.
   if (returned_.count(r.machine)) return {};
-  auto [it, fresh] = machines_.try_emplace(r.machine);
-  Machine& m = it->second;
-  if (fresh) {
-    m.name = r.machine;
-    raise_fencing_token(m);
-    m.provisioned_at = now;
-  }
+  Machine& m = state_.add_machine(r.machine, now).first;
   if (!m.up || m.type.empty()) {
-    capacity_index_.remove(m);
+    state_.remove_from_index(m);
     m.up = true;
     m.type = r.type;
     m.zone = r.zone;
     m.spot = r.spot;
     Resources used;
-    for (const auto& key : m.tasks) used += jobs_.at(key.first).spec.need;
-    if (const auto* t = type(r.type)) m.size = t->size;
+    for (const auto& key : m.tasks) used += state_.jobs().at(key.job).spec.need;
+    if (const auto* t = state_.type(r.type)) m.size = t->size;
     m.free = m.size;
     m.free -= used;
     m.idle_since = now;
-    wants_cycle_ = true;
+    state_.request_cycle();
   }
   if (!r.address.empty()) m.address = r.address;
-  dispatch_candidates_.insert(m.name);
+  state_.mark_for_dispatch(m.name);
   HeartbeatResult result;
   result.fencing_token = m.fencing_token;
-  if (r.fencing_token > m.fencing_token && (r.fencing_token >> c::kTermShift) > term_) {
+  if (r.fencing_token > m.fencing_token && state_.superseded_by(r.fencing_token)) {
     result.superseded = true;
     return result;
   }
@@ -46,35 +40,33 @@
   bool stale = r.worker_epoch < m.worker_epoch || (r.worker_epoch == m.worker_epoch && r.seq <= m.seq);
   if (stale) return result;
   if (r.worker_epoch > m.worker_epoch) {
-    if (m.worker_epoch)
-      notes_.push_back("machine " + m.name + " began session " + std::to_string(r.worker_epoch));
+    if (m.worker_epoch) state_.note("machine " + m.name + " began session " + std::to_string(r.worker_epoch));
     lose_all_tasks(m, "lost its lease", now, r.worker_epoch);
-    capacity_index_.take_out(m);
-    m.images.clear();
+    state_.clear_images(m);
     m.worker_epoch = r.worker_epoch;
     m.seq = 0;
   }
-  if (now - m.last_heard > c::kSilentReports * config_.report_s) wants_cycle_ = true;
+  if (now - m.last_heard > c::kSilentReports * state_.config().report_s) state_.request_cycle();
   m.seq = r.seq;
   m.last_heard = now;
   bool newly_fenced =
-      m.observed_token < (term_ << c::kTermShift) && r.fencing_token >= (term_ << c::kTermShift);
+      m.observed_token < (state_.first_number()) && r.fencing_token >= (state_.first_number());
   m.observed_token = std::max(m.observed_token, r.fencing_token);
   if (newly_fenced) {
     m.fencing_token_raised_at = now;
-    wants_cycle_ = true;
+    state_.request_cycle();
   }
-  if (r.notice_s && m.gone_at < 0) {
+  if (r.notice_s && !m.gone_at) {
     m.gone_at = now + *r.notice_s;
-    notes_.push_back("machine " + m.name + " is taken back in " +
-                     std::to_string(static_cast<int>(*r.notice_s)) + " s: drained");
+    state_.note("machine " + m.name + " is taken back in " + std::to_string(static_cast<int>(*r.notice_s)) +
+                " s: drained");
   }
 
-  std::set<TaskKey> present;
+  std::set<TaskId> present;
   std::vector<TaskCommand> forget;
   for (const auto& t : r.tasks) {
-    TaskKey key{t.job, t.index};
-    Job* job = this->job(t.job);
+    TaskId key{t.job, t.index};
+    Job* job = state_.job(t.job);
     ActiveTask* a = nullptr;
     if (job)
       if (auto f = job->active.find(t.index); f != job->active.end()) a = &f->second;
@@ -116,12 +108,12 @@
         a->stage = Stage::Saving;
         break;
     }
-    if (a->stage == Stage::Running && a->running_at < 0) a->running_at = now;
+    if (a->stage == Stage::Running && !a->running_at) a->running_at = now;
     a->worker_epoch = r.worker_epoch;
     a->minimum_token = 0;
     a->after_seq = 0;
-    if (a->stage == Stage::Waiting || a->stage == Stage::Running) note_image(m, job->spec);
-    if (before != a->stage) changed_.insert(t.job);
+    if (a->stage == Stage::Waiting || a->stage == Stage::Running) state_.note_image(m, job->spec);
+    if (before != a->stage) state_.mark_changed(t.job);
     if (a->stop && (a->grace_s <= 0 || a->stage != Stage::Saving))
       result.commands.push_back({TaskCommand::Op::Stop, t.job, t.index, t.attempt, a->grace_s});
   }
@@ -131,17 +123,17 @@
   // are on their way; until then the worker knows the attempt, and a copy does nothing.
   if (channel == Channel::Heartbeat && !forget.empty() && !m.dispatch_in_flight) {
     if (m.last_launch_token == m.fencing_token && !mutation_enabled("what was cleared can be launched again"))
-      m.fencing_token = next_number();
+      m.fencing_token = state_.next_number();
     result.commands.insert(result.commands.end(), forget.begin(), forget.end());
   }
 
-  std::vector<TaskKey> absent;
+  std::vector<TaskId> absent;
   for (const auto& key : m.tasks)
     if (!present.count(key)) absent.push_back(key);
   for (const auto& key : absent) {
-    Job* job = this->job(key.first);
+    Job* job = state_.job(key.job);
     if (!job) continue;
-    auto f = job->active.find(key.second);
+    auto f = job->active.find(key.index);
     if (f == job->active.end()) continue;
     const ActiveTask& a = f->second;
     if (a.stage == Stage::Assigned) continue;
@@ -155,22 +147,24 @@
 
   m.heat = 0;
   for (const auto& key : m.tasks) {
-    auto stage = jobs_.at(key.first).active.at(key.second).stage;
+    auto stage = state_.jobs().at(key.job).active.at(key.index).stage;
     m.heat += stage != Stage::Running && stage != Stage::Saving;
   }
-  double s = slack(m, m.free);
+  double s = m.slack();
   if (m.seen_at > 0 && now > m.seen_at + 0.05) {
     double w = c::kSlopeSmoothing, dt = now - m.seen_at;
     m.slack_slope = (1 - w) * m.slack_slope + w * (s - m.seen_slack) / dt;
     m.heat_slope = (1 - w) * m.heat_slope + w * (m.heat - m.seen_heat) / dt;
   }
-  m.seen_slack = s, m.seen_heat = m.heat, m.seen_at = now;
+  m.seen_slack = s;
+  m.seen_heat = m.heat;
+  m.seen_at = now;
 
   if (channel == Channel::Heartbeat) {
     // A machine we cannot reach gets its launches with the answer; its next report settles them.
-    if (!m.direct && !m.dispatch_in_flight && usable(m, now)) {
+    if (!m.direct && !m.dispatch_in_flight && state_.usable(m, now)) {
       for (const auto& [id, index] : std::exchange(m.outbox, {})) {
-        Job* job = this->job(id);
+        Job* job = state_.job(id);
         auto f = job ? job->active.find(index) : decltype(job->active.find(0)){};
         if (!job || f == job->active.end() || f->second.worker_epoch != m.worker_epoch || f->second.stop) {
           if (job && f != job->active.end()) unassign(*job, index, now);
@@ -184,49 +178,49 @@
       }
     }
   }
-  reindex(m, now);
-  if (m.gone_at >= 0) drain(m, now);
+  state_.reindex(m, now);
+  if (m.gone_at) drain(m, now);
   result.fencing_token = m.fencing_token;
   return result;
 }
 
 void Scheduler::answered(const std::string& name, double now) {
-  if (Machine* m = machine(name)) m->last_answered = now;
+  if (Machine* m = state_.machine(name)) m->last_answered = now;
 }
 
 void Scheduler::set_unreachable(const std::string& name, double now) {
-  if (Machine* m = machine(name)) {
+  if (Machine* m = state_.machine(name)) {
     m->direct = false;
-    m->next_probe_at = now + 2 * config_.report_s;
+    m->next_probe_at = now + 2 * state_.config().report_s;
   }
 }
 
 bool Scheduler::has_commands(const Machine& m) const {
   if (m.dispatch_in_flight || !m.up || m.address.empty()) return false;
-  return m.direct && (!m.outbox.empty() || m.needs_dispatch || m.observed_token < m.wanted);
+  return m.direct && (!m.outbox.empty() || m.needs_dispatch || m.observed_token < m.required_token);
 }
 
 std::vector<std::string> Scheduler::machines_with_commands() {
   std::vector<std::string> out;
-  for (const auto& name : std::exchange(dispatch_candidates_, {}))
-    if (const Machine* m = machine(name); m && has_commands(*m)) out.push_back(name);
+  for (const auto& name : state_.take_dispatch_candidates())
+    if (const Machine* m = state_.machine(name); m && has_commands(*m)) out.push_back(name);
   return out;
 }
 
 CommandBatch Scheduler::take_commands(const std::string& name, double now) {
   CommandBatch out;
-  Machine& m = machines_.at(name);
+  Machine& m = state_.machines().at(name);
   m.dispatch_in_flight = true;
   m.needs_dispatch = false;
   out.fencing_token = m.fencing_token;
   out.worker_epoch = m.worker_epoch;
   for (const auto& [id, index] : m.tasks) {
-    const ActiveTask& a = jobs_.at(id).active.at(index);
+    const ActiveTask& a = state_.jobs().at(id).active.at(index);
     if (a.stop && a.stage != Stage::Assigned && (a.grace_s <= 0 || a.stage != Stage::Saving))
       out.commands.push_back({TaskCommand::Op::Stop, id, index, a.attempt, a.grace_s});
   }
   for (const auto& [id, index] : std::exchange(m.outbox, {})) {
-    Job* job = this->job(id);
+    Job* job = state_.job(id);
     if (!job) continue;
     auto f = job->active.find(index);
     if (f == job->active.end()) continue;
@@ -237,7 +231,7 @@
       continue;
     }
     a.stage = Stage::Sent;
-    a.minimum_token = ~0ull;  // in flight: no report can prove absence
+    a.minimum_token = kTokenOfNoWorker;  // in flight: no report can prove absence
     m.last_launch = now;
     out.launches.push_back({id, index});
     out.attempts.push_back(a.attempt);
@@ -249,25 +243,25 @@
 
 void Scheduler::dispatch_done(const std::string& name, const CommandBatch& command_batch,
                               DispatchOutcome outcome, double now) {
-  Machine* m = machine(name);
+  Machine* m = state_.machine(name);
   if (!m) return;
   m->dispatch_in_flight = false;
-  dispatch_candidates_.insert(name);
+  state_.mark_for_dispatch(name);
   if (outcome == DispatchOutcome::Unanswered) {
     // The launch may still arrive, minutes late: only a higher token that the worker has seen shuts it out.
-    raise_fencing_token(*m);
-    reindex(*m, now);
+    state_.raise_fencing_token(*m);
+    state_.reindex(*m, now);
   }
   if (outcome == DispatchOutcome::Unsent || outcome == DispatchOutcome::Unanswered) {
     m->direct = false;
-    m->next_probe_at = now + 2 * config_.report_s;
+    m->next_probe_at = now + 2 * state_.config().report_s;
     if (!command_batch.commands.empty()) m->needs_dispatch = true;
   } else {
     m->direct = true;
   }
   for (std::size_t i = 0; i < command_batch.launches.size(); ++i) {
     const auto& [id, index] = command_batch.launches[i];
-    Job* job = this->job(id);
+    Job* job = state_.job(id);
     if (!job) continue;
     auto f = job->active.find(index);
     if (f == job->active.end() || f->second.attempt != command_batch.attempts[i] ||
@@ -290,21 +284,21 @@
 }
 
 void Scheduler::drain(Machine& m, double now) {
-  for (const auto& [id, index] : std::set<TaskKey>(m.tasks)) {
-    Job* job = this->job(id);
+  for (const auto& [id, index] : std::set<TaskId>(m.tasks)) {
+    Job* job = state_.job(id);
     if (!job) continue;
     auto f = job->active.find(index);
     if (f == job->active.end() || f->second.stop || job->spec.checkpoint_s <= 0) continue;
     ActiveTask& a = f->second;
     if (a.stage != Stage::Running && a.stage != Stage::Waiting && a.stage != Stage::Fetching) continue;
-    if (m.gone_at >= 0 && m.gone_at - now < job->spec.save_s && !m.faulty) continue;
+    if (m.gone_at && *m.gone_at - now < job->spec.save_s && !m.faulty) continue;
     double grace = job->spec.save_s + c::kCancelReserve;
     if (job->spec.kind == JobKind::Gang) {
       // An orderly stop reaches every member at once, or the save fails.
       job->draining = true;
-      for (auto& [i, other] : job->active) stop_task(*job, i, grace);
+      for (auto& [i, other] : job->active) state_.request_stop(*job, i, grace);
     } else {
-      stop_task(*job, index, grace);
+      state_.request_stop(*job, index, grace);
     }
     job->why = "moved off a machine that is given back";
   }
--- a/src/scheduler/job_index.cc
+++ b/src/scheduler/job_index.cc
@@ -75,8 +75,8 @@
 void JobIndex::update(Job& job) {
   auto& x = job.indexed;
   const bool ready = job.ready(), waiting = ready && job.queued > 0;
-  const bool promising =
-      job.promise == Job::Promise::Given || (job.promise == Job::Promise::Unknown && ready);
+  const bool promising = job.guarantee_admission == Job::GuaranteeAdmission::Granted ||
+                         (job.guarantee_admission == Job::GuaranteeAdmission::Undecided && ready);
   const bool running = !job.active.empty();
   auto team = teams_.find(job.spec.team);
   if (ready != x.ready) {
--- a/src/scheduler/machine_failures.cc
+++ b/src/scheduler/machine_failures.cc
@@ -12,7 +12,7 @@
   for (const auto& [id, b] : m.failures) {
     if (id == without_job) continue;
     MachineFailures failed{b.times, 0, b.well};
-    if (auto it = jobs_.find(id); it != jobs_.end()) {
+    if (auto it = state_.jobs().find(id); it != state_.jobs().end()) {
       failed.well = it->second.done > 0;
       failed.elsewhere = std::max(0, static_cast<int>(it->second.failed_on.size()) - 1);
     }
@@ -34,8 +34,8 @@
   }
   job.failed_on.insert(m.name);
   const int machines = static_cast<int>(job.failed_on.size());
-  const bool was_bad = std::exchange(job.bad, job.done == 0 && fails_by_itself(machines));
-  if (!job.bad) {
+  const bool was_bad = std::exchange(job.fails_by_itself, job.done == 0 && fails_by_itself(machines));
+  if (!job.fails_by_itself) {
     job.why = "failed on " + m.name + ", started again elsewhere";
     m.cordoned_until = now + c::kCordonTime;
     return;
@@ -47,17 +47,17 @@
   if (was_bad) return;
   // Its machines are cleared of what only it has said against them.
   for (const auto& name : job.failed_on)
-    if (Machine* other = machine(name); other && failure_weight(*other, id) <= 0) {
-      other->cordoned_until = -1e9;
-      reindex(*other, now);
+    if (Machine* other = state_.machine(name); other && failure_weight(*other, id) <= 0) {
+      other->cordoned_until = kLongAgo;
+      state_.reindex(*other, now);
     }
 }
 
 void Scheduler::went_well(Machine& m, Job& job) {
   m.failures.clear();
-  m.cordoned_until = -1e9;
-  if (!job.bad) return;
-  job.bad = false;
+  m.cordoned_until = kLongAgo;
+  if (!job.fails_by_itself) return;
+  job.fails_by_itself = false;
   job.not_before = 0;
 }
 
@@ -66,19 +66,19 @@
       failure_weight(m, "") < c::kFaultyWeight)
     return;
   m.faulty = true;
-  notes_.push_back("machine " + m.name + " fails work of different jobs: drained and returned");
+  state_.note("machine " + m.name + " fails work of different jobs: drained and returned");
   for (const auto& [id, b] : m.failures) {
-    Job* job = this->job(id);
-    if (!job || !job->failed_on.erase(m.name) || !job->bad) continue;
-    job->bad = job->done == 0 && fails_by_itself(static_cast<int>(job->failed_on.size()));
-    if (!job->bad) job->not_before = now;
+    Job* job = state_.job(id);
+    if (!job || !job->failed_on.erase(m.name) || !job->fails_by_itself) continue;
+    job->fails_by_itself = job->done == 0 && fails_by_itself(static_cast<int>(job->failed_on.size()));
+    if (!job->fails_by_itself) job->not_before = now;
   }
-  reindex(m, now);
+  state_.reindex(m, now);
 }
 
 void Scheduler::settle_job_failures(Job& job) {
   for (const auto& name : job.failed_on)
-    if (Machine* m = machine(name))
+    if (Machine* m = state_.machine(name))
       if (auto b = m->failures.find(job.spec.id); b != m->failures.end()) {
         if (job.done > 0)
           b->second.well = true;
--- a/src/scheduler/placement.cc
+++ b/src/scheduler/placement.cc
@@ -13,82 +13,28 @@
 
 namespace corkmux {
 namespace c = constants;
-using Stage = ActiveTask::Stage;
 
-bool Scheduler::takes_work(const Machine& m) const {
-  return m.up && !m.decommissioning && !m.faulty && m.gone_at < 0 && m.size.cpus > 0 &&
-         m.observed_token >= (term_ << c::kTermShift) && m.observed_token >= m.wanted;
-}
+namespace {
 
-bool Scheduler::usable(const Machine& m, double now) const {
-  return takes_work(m) && now >= m.no_capacity_until &&
-         now < m.last_heard + c::kSilentReports * config_.report_s;
-}
-
-bool Scheduler::allowed(const JobSpec& spec, const std::string& type, const std::string& zone,
-                        bool spot) const {
-  return spec.allows_type(type) && (!spec.zone || *spec.zone == zone) && (spec.spot || !spot);
-}
-
-bool Scheduler::allowed(const JobSpec& spec, const Machine& m) const {
-  return allowed(spec, m.type, m.zone, m.spot);
-}
-
-double Scheduler::fetch_time(const JobSpec& spec, const Machine& m) const {
-  if (std::find(m.images.begin(), m.images.end(), spec.image) != m.images.end()) return 0;
-  const auto* t = type(m.type);
-  return t ? spec.image_gb / t->fetch_gb_per_s : spec.image_gb;
-}
+/// More accelerators than any machine has free.
+constexpr double kNoLimit = std::numeric_limits<double>::infinity();
 
-void Scheduler::note_image(Machine& m, const JobSpec& spec) {
-  if (!m.images.empty() && m.images.front() == spec.image) return;
-  if (std::erase(m.images, spec.image)) {  // the same images, only in another order
-    m.images.push_front(spec.image);
-    return;
-  }
-  capacity_index_.take_out(m);
-  m.images.push_front(spec.image);
-  m.image_gb[spec.image] = spec.image_gb;
-  const auto* t = type(m.type);
-  double total = 0;
-  for (std::size_t i = 0; i < m.images.size(); ++i) {
-    total += m.image_gb[m.images[i]];
-    if (t && total > t->cache_gb && i > 0) {
-      for (std::size_t k = i; k < m.images.size(); ++k) m.image_gb.erase(m.images[k]);
-      m.images.resize(i);
-      break;
-    }
-  }
-}
+}  // namespace
 
-double Scheduler::slack(const Machine& m, const Resources& free) const {
-  double s = 1;
-  if (m.size.cpus > 0) s = std::min(s, free.cpus / m.size.cpus);
-  if (m.size.gpus > 0) s = std::min(s, free.gpus / m.size.gpus);
-  if (m.size.memory_gb > 0) s = std::min(s, free.memory_gb / m.size.memory_gb);
-  return std::max(0.0, s);
-}
+using Stage = ActiveTask::Stage;
 
 double Scheduler::utility(const Machine& m, double now) const {
   double age = std::max(0.0, now - m.last_heard);
-  double s = std::max(0.0, slack(m, m.free) + age * m.slack_slope);
+  double s = std::max(0.0, m.slack() + age * m.slack_slope);
   double h = std::max(0.0, m.heat + age * m.heat_slope);
   return std::log2(1 + s) - c::kGamma * std::log2(1 + h) - c::kFetchWeight * m.fetch_s;
 }
 
-bool Scheduler::within_limit(const std::string& name, const Resources& more) const {
-  auto t = teams_.find(name);
-  if (t == teams_.end()) return false;
-  Resources use = team_use(name);
-  use += more;
-  return t->second.allows(use);
-}
-
 /// Of one bid on one machine, so a gang's size is that of a member (paper III-B: the mass of a task).
 double Scheduler::weight(const Job& job) const {
   static constexpr double kPriorityWeight[] = {1, 4, 16, 64};
   double largest = 1;
-  for (const auto& t : types_) largest = std::max(largest, t.size.cpus);
+  for (const auto& t : state_.catalog()) largest = std::max(largest, t.size.cpus);
   double size = std::max({job.spec.need.cpus / largest, job.spec.need.gpus, 1 / largest});
   return kPriorityWeight[static_cast<int>(job.priority)] * size *
          (job.indexed.guaranteed ? c::kGuaranteeBoost : 1);
@@ -158,8 +104,8 @@
 
 Scheduler::StartAim Scheduler::start_aim(const Job& job, double now) const {
   StartAim out;
-  auto aims = config_.start_within.find(job.spec.job_class);
-  if (aims == config_.start_within.end() || !job.active.empty() || job.done > 0) return out;
+  auto aims = state_.config().start_within.find(job.spec.job_class);
+  if (aims == state_.config().start_within.end() || !job.active.empty() || job.done > 0) return out;
   double waited = now - job.ready_at;
   for (double within : aims->second) out.missed += waited > within;
   double last = aims->second.back();
@@ -208,11 +154,11 @@
   std::vector<Slot> in_reserved_tier, plain, with_gpus, suspect;
   const bool held = is_starving(job);
   // Accelerators never stall behind work that does not need them: it takes no machine with more of them free.
-  double most_gpus = 1e18;
+  double most_gpus = kNoLimit;
   if (spec.need.gpus <= 0 && accelerator_users_ && job.priority <= *accelerator_users_)
-    most_gpus = accelerators_wanted_
-                    ? -1
-                    : capacity_index_.free_gpus() - c::kAcceleratorReserve * capacity_index_.all_gpus();
+    most_gpus = accelerators_wanted_ ? -1
+                                     : state_.capacity_index().free_gpus() -
+                                           c::kAcceleratorReserve * state_.capacity_index().all_gpus();
   auto closed = [&](const std::string& z) {
     auto g = held_zones_.find(z);
     return (zone && z != *zone) || (g != held_zones_.end() && g->second != spec.id);
@@ -226,12 +172,12 @@
   };
   std::map<const CapacityIndex::CapacityBucket*, std::vector<std::size_t>> failed;
   for (const auto& name : job.failed_on) {
-    Machine* m = machine(name);
+    Machine* m = state_.machine(name);
     if (!m || m->index_entry.use != MachineCapacity::Use::Ready) continue;
     failed[m->index_entry.level].push_back(m->index_entry.position);
     single(*m, suspect);
   }
-  for (const auto& [key, pool] : capacity_index_.pools()) {
+  for (const auto& [key, pool] : state_.capacity_index().pools()) {
     ++steps_;
     if (closed(pool.zone) || !spec.need.fits(pool.size) || !allowed(spec, pool.type, pool.zone, pool.spot) ||
         excluded_by_reservation(job, pool.type, pool.reservation_tier))
@@ -243,11 +189,11 @@
     std::vector<Slot>& out = first && spec.kind != JobKind::Gang ? in_reserved_tier
                              : gpus                              ? with_gpus
                                                                  : plain;
-    const double most = pool.size.gpus > 0 ? most_gpus : 1e18;
+    const double most = pool.size.gpus > 0 ? most_gpus : kNoLimit;
     level_slots(job, pool, pool.ready, failed, most, out);
     level_slots(job, pool, pool.suspect, {}, most, suspect);
   }
-  for (Machine* m : capacity_index_.kept_for(spec.id)) {
+  for (Machine* m : state_.capacity_index().kept_for(spec.id)) {
     bool gpus = spec.need.gpus <= 0 && m->size.gpus > 0;
     single(*m, gpus ? with_gpus : now < m->cordoned_until || job.failed_on.count(m->name) ? suspect : plain);
   }
@@ -274,15 +220,15 @@
     z.places += static_cast<int>(n) * s.times;
     if (s.one) {
       double age = std::max(0.0, now - s.one->last_heard);
-      z.slack += std::max(0.0, slack(*s.one, s.one->free) + age * s.one->slack_slope);
+      z.slack += std::max(0.0, s.one->slack() + age * s.one->slack_slope);
       z.heat += std::max(0.0, s.one->heat + age * s.one->heat_slope);
-      z.fetch_s = std::min(z.fetch_s, fetch_time(spec, *s.one));
+      z.fetch_s = std::min(z.fetch_s, state_.fetch_time(spec, *s.one));
       continue;
     }
     double share = n / static_cast<double>(s.level->machines.size());
     z.slack += share * std::max(0.0, s.level->slack.at(now));
     z.heat += share * std::max(0.0, s.level->heat.at(now));
-    const auto* t = type(s.pool->type);
+    const auto* t = state_.type(s.pool->type);
     double fetch = s.level->images.count(spec.image) ? 0
                    : t                               ? spec.image_gb / t->fetch_gb_per_s
                                                      : spec.image_gb;
@@ -334,7 +280,7 @@
 Machine* Scheduler::pick(const JobSpec& spec, const std::vector<Slot>& slots, double now) {
   std::normal_distribution<double> noise(0, c::kScoreNoise);
   Machine* best = nullptr;
-  double best_score = -1e18;
+  double best_score = -std::numeric_limits<double>::infinity();
   std::size_t all = 0;
   for (const auto& s : slots) all += s.count;
   for (std::size_t k : sample(all, c::kSampleSize)) {
@@ -343,7 +289,7 @@
     for (; k >= s->count; ++s) k -= s->count;
     for (std::size_t hole : s->without) k += hole <= k;
     Machine* m = s->one ? s->one : s->level->machines[k];
-    m->fetch_s = fetch_time(spec, *m);
+    m->fetch_s = state_.fetch_time(spec, *m);
     double score = utility(*m, now) + noise(rng_);
     if (spec.need.gpus <= 0 && m->size.gpus > 0) score -= c::kAcceleratorPenalty;
     if (score > best_score) best = m, best_score = score;
@@ -353,7 +299,7 @@
 
 bool Scheduler::place_gang(Job& job, bool include_suspect, double now) {
   const JobSpec& spec = job.spec;
-  if (!within_limit(spec.team, spec.at_once())) {
+  if (!state_.within_limit(spec.team, spec.at_once())) {
     job.why = "waiting: the team's limit leaves no room for the whole gang";
     return false;
   }
@@ -377,7 +323,7 @@
     note_not_fitting(job, now);
     return no_room();
   }
-  const auto attempt = next_number();
+  const auto attempt = state_.next_number();
   double fetch = 0;
   int next = 0;
   for (const auto& zone : order)
@@ -392,7 +338,7 @@
     abort_gang(job, now);
     return no_room();
   }
-  if (config_.details)
+  if (state_.config().details)
     details_.push_back(
         fmt::format("job {} ({}): {} tasks placed in {} after {:.1f} s, slowest fetch {:.1f} s", spec.id,
                     spec.job_class, spec.tasks, job.active.begin()->second.zone, now - job.ready_at, fetch));
@@ -404,11 +350,12 @@
   int placed = 0;
   std::map<std::string, int> in_zone;
   for (const auto& [i, a] : job.active) ++in_zone[a.zone];
-  const auto attempt = next_number();  // of all that this call places; a task is placed at most once in it
+  const auto attempt =
+      state_.next_number();  // of all that this call places; a task is placed at most once in it
   // What fails by itself shows it with one task as well as with all.
-  if (job.bad) budget = job.active.empty() ? 1 : 0;
+  if (job.fails_by_itself) budget = job.active.empty() ? 1 : 0;
   while (placed < budget && job.queued > 0) {
-    if (!within_limit(spec.team, spec.need)) {
+    if (!state_.within_limit(spec.team, spec.need)) {
       job.why = "waiting: the team is at its limit";
       break;
     }
@@ -442,21 +389,20 @@
 
 void Scheduler::update_reserved_capacity(const std::vector<const Job*>& order, double now) {
   Resources ahead;  // processor and accelerator seconds
-  const Resources all{std::max(1.0, capacity_index_.all_cpus()), std::max(1.0, capacity_index_.all_gpus()),
-                      0};
+  const Resources all{std::max(1.0, state_.capacity_index().all_cpus()),
+                      std::max(1.0, state_.capacity_index().all_gpus()), 0};
   auto has = [&](const Resources& use) { return std::max(use.cpus / all.cpus, use.gpus / all.gpus); };
   auto run_s = [](const JobSpec& s) { return s.estimate_s > 0 ? s.estimate_s : c::kDefaultJobEstimate; };
   std::vector<ReservedCapacity::Waiting> waiting;
   for (const Job* job : order) {
     const JobSpec& s = job->spec;
     // What its own team's limit holds back waits for no other; what fails is not kept from being served.
-    if (within_limit(s.team, s.at_once()) && !job->bad) {
+    if (state_.within_limit(s.team, s.at_once()) && !job->fails_by_itself) {
       double wait = ahead.cpus / all.cpus;
       if (s.need.gpus > 0) wait = std::max(wait, ahead.gpus / all.gpus);
       const double waited = now - job->ready_at;
-      auto use = class_use_.find(s.job_class);
       waiting.push_back({&s.job_class, &s.team, waited, waited + wait + run_s(s),
-                         has(use == class_use_.end() ? Resources{} : use->second), has(team_use(s.team))});
+                         has(state_.class_use(s.job_class)), has(state_.team_use(s.team))});
     }
     double seconds = job->queued * run_s(s);
     ahead += {seconds * s.need.cpus, seconds * s.need.gpus, 0};
@@ -466,9 +412,8 @@
     logged_starving_ = std::move(held);
     std::string all;
     for (const auto& name : logged_starving_) all += (all.empty() ? "" : ", ") + name;
-    notes_.push_back(all.empty()
-                         ? "no class or team is in arrears any more: no machines are kept"
-                         : "less than half would be served of " + all + ": machines are kept for them");
+    state_.note(all.empty() ? "no class or team is in arrears any more: no machines are kept"
+                            : "less than half would be served of " + all + ": machines are kept for them");
   }
   reserved_types_.clear();
   if (reserved_capacity_.reservation_tiers() == 0) return;
@@ -477,21 +422,21 @@
     const JobSpec& s = job->spec;
     bool plain = false;  // where it fits without accelerators it needs none
     auto usable_type = [&](const MachineType& t) { return s.allows_type(t.name) && s.need.fits(t.size); };
-    for (const auto& t : types_) plain |= usable_type(t) && t.size.gpus <= 0;
-    for (const auto& t : types_)
+    for (const auto& t : state_.catalog()) plain |= usable_type(t) && t.size.gpus <= 0;
+    for (const auto& t : state_.catalog())
       if (usable_type(t) && !(plain && t.size.gpus > 0)) reserved_types_.insert(t.name);
   }
 }
 
 void Scheduler::schedule(double now) {
-  wants_cycle_ = false;
+  state_.cycle_begins();
   not_fitting_.clear();
   held_zones_.clear();
-  for (Machine* m : capacity_index_.due(now)) reindex(*m, now);
+  for (Machine* m : state_.due_for_reindex(now)) state_.reindex(*m, now);
   keep_promises(now);
   auto late = [this](const Job& job, double at) {
-    auto aim = config_.finish_within.find(job.spec.job_class);
-    return aim != config_.finish_within.end() ? at - job.ready_at > aim->second : at > job.due_at;
+    auto aim = state_.config().finish_within.find(job.spec.job_class);
+    return aim != state_.config().finish_within.end() ? at - job.ready_at > aim->second : at > job.due_at;
   };
   auto left = [](const Job& job) { return job.queued * std::max(1.0, job.spec.estimate_s); };
   struct Bid {
@@ -503,7 +448,7 @@
     Job* job;
   };
   std::vector<Bid> order;
-  for (Job* job : job_index_.waiting()) {
+  for (Job* job : state_.job_index().waiting()) {
     ++steps_;
     if (now < job->not_before) continue;
     bool is_late = late(*job, now);
@@ -527,25 +472,25 @@
   for (const Bid& bid : order) bids.push_back(bid.job);
   update_reserved_capacity(bids, now);
   accelerators_wanted_ = false;
-  accelerator_users_ = job_index_.accelerator_users();
+  accelerator_users_ = state_.job_index().accelerator_users();
   for (const Bid& bid : order)
     accelerators_wanted_ |=
-        bid.job->spec.need.gpus > 0 && within_limit(bid.job->spec.team, bid.job->spec.need);
+        bid.job->spec.need.gpus > 0 && state_.within_limit(bid.job->spec.team, bid.job->spec.need);
   int budget = c::kBidsPerCycle, preemptors = 0;
   bool claimed = false;
   // Looking for work to stop is dear; it is left out where nothing of lower priority runs.
-  const Priority lowest = job_index_.lowest_stoppable().value_or(Priority::Production);
+  const Priority lowest = state_.job_index().lowest_stoppable().value_or(Priority::Production);
   std::map<std::string, Priority> held;  // teams whose limit keeps a more urgent job waiting
   for (const Bid& bid : order) {
     Job* job = bid.job;
-    if (within_limit(job->spec.team, job->spec.at_once())) continue;
+    if (state_.within_limit(job->spec.team, job->spec.at_once())) continue;
     auto [h, fresh] = held.try_emplace(job->spec.team, job->priority);
     if (!fresh) h->second = std::max(h->second, job->priority);
   }
   for (const Bid& bid : order) {
     Job* job = bid.job;
     if (budget <= 0) {
-      wants_cycle_ = true;
+      state_.request_cycle();
       break;
     }
     const JobSpec& spec = job->spec;
@@ -566,15 +511,15 @@
     else if (!gang)
       budget -= place_tasks(*job, bid.overdue || behind ? 1 : budget, now);
     // A guarantee is claimed once waiting alone would miss its aim; one claim a pass bounds the pass's time.
-    if (job->queued > 0 && job->promise == Job::Promise::Given && !claimed &&
-        now - job->ready_at >= c::kClaimAfter * config_.guarantee_within &&
-        now - job->reclaimed_at >= config_.gang_peer_s + c::kNominationTime) {
+    if (job->queued > 0 && job->guarantee_admission == Job::GuaranteeAdmission::Granted && !claimed &&
+        now - job->ready_at >= c::kClaimAfter * state_.config().guarantee_within &&
+        now - job->reclaimed_at >= state_.config().gang_peer_s + c::kNominationTime) {
       claimed = true;
       job->reclaimed_at = now;
       if (reclaim(*job, now)) continue;
     }
     if (job->queued == 0 || job->priority <= lowest) continue;
-    if (!within_limit(spec.team, spec.at_once())) {
+    if (!state_.within_limit(spec.team, spec.at_once())) {
       auto [h, fresh] = held.try_emplace(spec.team, job->priority);
       if (!fresh) h->second = std::max(h->second, job->priority);
     }
--- a/src/scheduler/preemption.cc
+++ b/src/scheduler/preemption.cc
@@ -18,21 +18,23 @@
   return spec.checkpoint_s > 0 && spec.checkpoint_s / 2 > c::kCheckpointWorth * spec.save_s;
 }
 
-void Scheduler::preempt(const TaskKey& key, const std::string& why) {
-  Job& job = jobs_.at(key.first);
+void Scheduler::preempt(const TaskId& key, const std::string& why) {
+  Job& job = state_.jobs().at(key.job);
   bool save = saves_when_stopped(job.spec);
   job.why = why;
   if (job.spec.kind == JobKind::Gang && save) job.draining = true;
   if (job.spec.kind == JobKind::Gang)
-    for (auto& [i, a] : job.active) stop_task(job, i, save ? job.spec.save_s + c::kCancelReserve : 0);
+    for (auto& [i, a] : job.active)
+      state_.request_stop(job, i, save ? job.spec.save_s + c::kCancelReserve : 0);
   else
-    stop_task(job, key.second, save ? job.spec.save_s + c::kCancelReserve : 0);
+    state_.request_stop(job, key.index, save ? job.spec.save_s + c::kCancelReserve : 0);
 }
 
 /// Whether a job's tasks may go there once it has room.
 bool Scheduler::open_to(const Job& job, const Machine& m, double now) const {
   const JobSpec& spec = job.spec;
-  return usable(m, now) && (now >= m.nominated_until || m.nominated_job == spec.id) && allowed(spec, m) &&
+  return state_.usable(m, now) && (now >= m.nominated_until || m.nominated_job == spec.id) &&
+         allowed(spec, m) &&
          !excluded_by_reservation(job, m.type,
                                   m.index_entry.pool ? m.index_entry.pool->reservation_tier : 0) &&
          (!spec.one_zone || job.active.empty() || job.active.begin()->second.zone == m.zone);
@@ -46,7 +48,7 @@
   const auto wanted = static_cast<std::size_t>(spec.kind == JobKind::Gang ? spec.tasks : 1);
   std::map<std::string, MachineSet> groups;
   std::map<std::string, std::vector<const std::vector<Machine*>*>> lists;
-  for (const auto& [key, pool] : capacity_index_.pools()) {
+  for (const auto& [key, pool] : state_.capacity_index().pools()) {
     ++steps_;
     if (!allowed(spec, pool.type, pool.zone, pool.spot) ||
         excluded_by_reservation(job, pool.type, pool.reservation_tier))
@@ -88,11 +90,11 @@
 /// each.
 bool Scheduler::preempt_for(Job& job, double now) {
   const JobSpec& spec = job.spec;
-  auto team = teams_.find(spec.team);
-  if (team == teams_.end()) return false;
+  auto team = state_.teams().find(spec.team);
+  if (team == state_.teams().end()) return false;
   const int tasks = spec.kind == JobKind::Gang ? spec.tasks : 1;
   struct PreemptionCandidate {
-    TaskKey key;
+    TaskId key;
     Resources need;
     double cost;
     bool same_team;
@@ -103,8 +105,8 @@
     std::vector<PreemptionCandidate> victims;
     std::size_t stopped = 0;  // of the victims, from the front
   };
-  Resources use = team_use(spec.team);
-  if (auto s = stopping_use_.find(spec.team); s != stopping_use_.end()) use -= s->second;
+  Resources use = state_.team_use(spec.team);
+  use -= state_.team_stopping(spec.team);
   const bool guarded = !job.indexed.guaranteed;
   auto victim = [&](const Job& other, int index, const ActiveTask& a) -> std::optional<PreemptionCandidate> {
     bool same = other.spec.team == spec.team;
@@ -113,7 +115,7 @@
     // need, and whatever its own team needs beyond; and nothing is stopped that has not even been sent.
     if (a.stop || other.priority >= job.priority || other.spec.kind == JobKind::Gang ||
         a.stage == Stage::Assigned || (!same && guarded && other.indexed.guaranteed) ||
-        ((!same || guarded) && other.promise == Job::Promise::Given))
+        ((!same || guarded) && other.guarantee_admission == Job::GuaranteeAdmission::Granted))
       return std::nullopt;
     // Starts that have just been counted are spared; then what has run least.
     double age = now - a.since;
@@ -129,11 +131,11 @@
       Place place{m, m->free, {}};
       for (const auto& key : m->tasks) {
         ++steps_;
-        const Job& other = jobs_.at(key.first);
-        const ActiveTask& a = other.active.at(key.second);
+        const Job& other = state_.jobs().at(key.job);
+        const ActiveTask& a = other.active.at(key.index);
         if (a.stop)
           place.after += other.spec.need;
-        else if (auto v = victim(other, key.second, a))
+        else if (auto v = victim(other, key.index, a))
           place.victims.push_back(std::move(*v));
       }
       groups[group].push_back(std::move(place));
@@ -186,7 +188,7 @@
     places = std::move(where);
   }
   if (!found) return false;
-  std::set<TaskKey> taken;
+  std::set<TaskId> taken;
   for (const auto& v : chosen) {
     taken.insert(v.key);
     if (v.same_team) use -= v.need;
@@ -195,7 +197,7 @@
     std::vector<PreemptionCandidate>
         own;  // what may be stopped of the same team, wherever it is: the latest jobs' first
     for (bool guaranteed : {false, true}) {
-      const auto& running = job_index_.running(spec.team, guaranteed);
+      const auto& running = state_.job_index().running(spec.team, guaranteed);
       for (auto other = running.rbegin();
            other != running.rend() && own.size() < c::kPreemptionCandidatesExamined; ++other) {
         ++steps_;
@@ -219,29 +221,32 @@
   for (const auto& v : chosen)
     preempt(v.key, "stopped to make room for " + spec.id + ", which is more urgent; started again later");
   if (!chosen.empty())
-    notes_.push_back("job " + spec.id + " (" + spec.job_class + "): " + std::to_string(chosen.size()) +
-                     " less urgent tasks are stopped for it");
+    state_.note("job " + spec.id + " (" + spec.job_class + "): " + std::to_string(chosen.size()) +
+                " less urgent tasks are stopped for it");
   return true;
 }
 
 void Scheduler::nominate(Machine& m, const Job& job, double until, double now) {
   m.nominated_job = job.spec.id;
   m.nominated_until = until;
-  reindex(m, now);
+  state_.reindex(m, now);
 }
 
 void Scheduler::keep_promises(double now) {
-  using P = Job::Promise;
-  for (Job* job : std::vector<Job*>(job_index_.promising().begin(), job_index_.promising().end())) {
+  using Admission = Job::GuaranteeAdmission;
+  for (Job* job :
+       std::vector<Job*>(state_.job_index().promising().begin(), state_.job_index().promising().end())) {
     ++steps_;
-    if (job->promise == P::Unknown)
-      job->promise = job->indexed.guaranteed && now - job->ready_at < c::kFreshArrival ? P::Given : P::None;
-    if (job->promise == P::Given && job->queued == 0 &&
+    if (job->guarantee_admission == Admission::Undecided)
+      job->guarantee_admission = job->indexed.guaranteed && now - job->ready_at < c::kFreshArrival
+                                     ? Admission::Granted
+                                     : Admission::None;
+    if (job->guarantee_admission == Admission::Granted && job->queued == 0 &&
         std::all_of(job->active.begin(), job->active.end(), [&](const auto& e) {
-          return e.second.running_at >= 0 && now - e.second.running_at > c::kFreshStart;
+          return e.second.running_at && now - *e.second.running_at > c::kFreshStart;
         }))
-      job->promise = P::None;
-    job_index_.update(*job);
+      job->guarantee_admission = Admission::None;
+    state_.reindex(*job);
   }
 }
 
@@ -249,7 +254,7 @@
 struct Scheduler::QuotaReclaimCase {
   QuotaReclaimInput in;
   std::vector<Machine*> machines;
-  std::vector<TaskKey> keys;  // of each unit, one of its tasks
+  std::vector<TaskId> keys;  // of each unit, one of its tasks
 };
 
 /// The places that a claim could get: as many as it needs of those with room, those where something is
@@ -272,8 +277,8 @@
     if (spec.need.gpus <= 0 && m->size.gpus > 0 && accelerators_wanted_) place.open = false;
     for (const auto& key : m->tasks) {
       ++steps_;
-      const Job& other = jobs_.at(key.first);
-      if (other.active.at(key.second).stop) place.free += other.spec.need;
+      const Job& other = state_.jobs().at(key.job);
+      if (other.active.at(key.index).stop) place.free += other.spec.need;
     }
     out.in.places.push_back(place);
     out.machines.push_back(m);
@@ -285,7 +290,7 @@
          ++i)
       place_of(slot.level->machines[i]);
   }
-  for (const auto& [key, pool] : capacity_index_.pools()) {
+  for (const auto& [key, pool] : state_.capacity_index().pools()) {
     std::size_t looks = c::kPreemptionCandidatesExamined;
     for (Machine* m : pool.stopping)
       if (looks-- == 0)
@@ -294,17 +299,17 @@
         place_of(m);
   }
   int team = -1;
-  for (const auto& [name, t] : teams_) {
+  for (const auto& [name, t] : state_.teams()) {
     ++team;
-    Resources use = team_use(name);
-    if (auto s = stopping_use_.find(name); s != stopping_use_.end()) use -= s->second;
+    Resources use = state_.team_use(name);
+    use -= state_.team_stopping(name);
     bool gpus_metered = t.gpus > 0 || t.gpus_max > 0;
     Resources beyond{std::max(0.0, use.cpus - t.cpus), gpus_metered ? std::max(0.0, use.gpus - t.gpus) : 1e9,
                      0};
     out.in.beyond.push_back(beyond);
     if (name == spec.team || beyond.cpus <= 0) continue;  // each task takes CPUs
     std::size_t looked = 0;
-    const auto& running = job_index_.running(name, false);
+    const auto& running = state_.job_index().running(name, false);
     for (auto it = running.rbegin(); it != running.rend() && looked < c::kPreemptionCandidatesExamined;
          ++it) {
       const Job& other = **it;
@@ -315,9 +320,9 @@
       for (const auto& [index, a] : other.active) {
         ++steps_, ++looked;
         // Nothing just started is stopped: PROTOCOL counts a start only if it is left alone for kFreshStart.
-        if (a.stop || a.running_at < 0 || now - a.running_at < c::kFreshStart || !machine(a.machine))
+        if (a.stop || !a.running_at || now - *a.running_at < c::kFreshStart || !state_.machine(a.machine))
           continue;
-        double ran = now - a.running_at;
+        double ran = now - *a.running_at;
         double lost = saves_when_stopped(other.spec) ? other.spec.save_s
                       : other.spec.checkpoint_s > 0  ? std::fmod(ran, other.spec.checkpoint_s)
                                                      : ran;
@@ -332,7 +337,7 @@
         }
         auto& unit = out.in.units.back();
         unit.lost += may[i].second;
-        unit.members.push_back(place_of(machine(other.active.at(may[i].first).machine)));
+        unit.members.push_back(place_of(state_.machine(other.active.at(may[i].first).machine)));
       }
     }
   }
@@ -348,7 +353,7 @@
   for (int i : chosen) {
     const auto& unit = c.in.units[static_cast<std::size_t>(i)];
     for (int m : unit.members) places[static_cast<std::size_t>(m)].free += unit.need;
-    longest = std::max(longest, jobs_.at(c.keys[static_cast<std::size_t>(i)].first).spec.save_s);
+    longest = std::max(longest, state_.jobs().at(c.keys[static_cast<std::size_t>(i)].job).spec.save_s);
   }
   int left = spec.tasks - job.done - static_cast<int>(job.active.size());
   std::map<int, int> fits;  // zone -> places there
@@ -363,7 +368,8 @@
     int n = spec.need.times_in(places[i].free);
     if (n == 0) continue;
     left -= n;
-    nominate(*c.machines[i], job, now + longest + config_.gang_peer_s + constants::kCancelReserve, now);
+    nominate(*c.machines[i], job, now + longest + state_.config().gang_peer_s + constants::kCancelReserve,
+             now);
   }
 }
 
@@ -373,11 +379,11 @@
 /// could claim anything back, and two teams cannot take turns.
 bool Scheduler::reclaim(Job& job, double now) {
   const JobSpec& spec = job.spec;
-  auto team = teams_.find(spec.team);
+  auto team = state_.teams().find(spec.team);
   // Guards against stopping work for places that the job would then not get: a job that is spread over zones
   // needs them in the right ones, which is not looked at here.
-  if (team == teams_.end() || job.queued == 0 || spec.spread) return false;
-  Resources wanted = team_use(spec.team);
+  if (team == state_.teams().end() || job.queued == 0 || spec.spread) return false;
+  Resources wanted = state_.team_use(spec.team);
   for (int i = 0; i < job.queued; ++i) wanted += spec.need;
   if (!team->second.guarantees(wanted)) return false;
   const QuotaReclaimCase c = reclaim_case(job, now);
@@ -388,8 +394,8 @@
     preempt(
         c.keys[static_cast<std::size_t>(i)],
         "stopped so that team " + spec.team + " gets its guarantee for " + spec.id + "; started again later");
-  notes_.push_back("job " + spec.id + " (" + spec.job_class + "): " + std::to_string(chosen->size()) +
-                   " tasks or gangs beyond other teams' guarantees are stopped for it");
+  state_.note("job " + spec.id + " (" + spec.job_class + "): " + std::to_string(chosen->size()) +
+              " tasks or gangs beyond other teams' guarantees are stopped for it");
   return true;
 }
 
--- a/src/scheduler/scaling.cc
+++ b/src/scheduler/scaling.cc
@@ -31,7 +31,7 @@
   double idle_limit = quiet ? patience : choices.idle_return_s;
   std::map<std::string, Stock> stock;
   for (const auto& [name, m] : cluster.machines()) {
-    if (m.decommissioning || m.faulty || m.gone_at >= 0) continue;
+    if (m.decommissioning || m.faulty || m.gone_at) continue;
     Stock& s = stock[m.type];
     const auto* t = cluster.type(m.type);
     if (!m.up) {
--- a/src/scheduler/scheduler.cc
+++ b/src/scheduler/scheduler.cc
@@ -11,55 +11,18 @@
 namespace c = constants;
 using Stage = ActiveTask::Stage;
 
-double SchedulerConfig::keepalive() const {
-  // A cancel that a cut-off holder cannot see must still be met: its workers' leases have to run out in time.
-  return std::max(0.0, cancel_s - lease_s * (1 + c::kClockDrift) - c::kCancelReserve);
-}
-
-int SchedulerConfig::tasks_per_v1_record() const {
-  if (v1_tasks_per_record > 0) return v1_tasks_per_record;
-  constexpr double kBytesPerTask = 96,
-                   kUsable = 0.8;  // a record's worst case as JSON, share of the limit used
-  return std::clamp(static_cast<int>(value_kb * 1024 * kUsable / kBytesPerTask), 1, 256);
-}
-
 Scheduler::Scheduler(SchedulerConfig config, std::uint64_t term, double now, std::uint64_t seed)
-    : config_(std::move(config)),
-      term_(term),
-      started_(now),
-      rng_(seed),
-      job_index_(config_.teams),
-      last_job_at_(now) {
-  record_room_ = static_cast<std::size_t>((config_.record_kb > 0 ? config_.record_kb : config_.value_kb) *
+    : state_(std::move(config), term, now), rng_(seed), last_job_at_(now) {
+  const SchedulerConfig& settings = state_.config();
+  record_room_ = static_cast<std::size_t>((settings.record_kb > 0 ? settings.record_kb : settings.value_kb) *
                                           1024 * c::kRecordShare);
-  for (const auto& team : config_.teams) teams_[team.name] = team;
-}
-
-void Scheduler::set_catalog(const std::vector<MachineType>& types) { types_ = types; }
-const MachineType* Scheduler::type(const std::string& name) const {
-  for (const auto& t : types_)
-    if (t.name == name) return &t;
-  return nullptr;
-}
-Job* Scheduler::job(const std::string& id) {
-  auto it = jobs_.find(id);
-  return it == jobs_.end() ? nullptr : &it->second;
-}
-Machine* Scheduler::machine(const std::string& name) {
-  auto it = machines_.find(name);
-  return it == machines_.end() ? nullptr : &it->second;
-}
-Resources Scheduler::team_use(const std::string& team) const {
-  auto it = use_.find(team);
-  return it == use_.end() ? Resources{} : it->second;
 }
 
 // ---------------------------------------------------------------- jobs
 
 void Scheduler::put_job(const JobSpec& spec, std::uint64_t revision, bool cancelled, double now,
                         double age_s) {
-  auto [it, fresh] = jobs_.try_emplace(spec.id);
-  Job& job = it->second;
+  auto [job, fresh] = state_.add_job(spec.id);
   job.revision = revision;
   if (fresh) {
     unknown_.erase(spec.id);
@@ -78,37 +41,35 @@
     }
     await(job);
   }
-  changed_.insert(spec.id);
-  wants_cycle_ = true;
+  state_.mark_changed(spec.id);
+  state_.request_cycle();
   if (cancelled && !job.cancelled) {
     job.cancelled = true;
     std::vector<int> unsent;
     for (auto& [index, a] : job.active)
       if (a.stage == Stage::Assigned) unsent.push_back(index);
     for (int index : unsent) unassign(job, index, now);
-    for (auto& [index, a] : job.active) stop_task(job, index, 0);
+    for (auto& [index, a] : job.active) state_.request_stop(job, index, 0);
     ends(spec.id);
     cancel_dependents(spec.id);
   }
-  job_index_.update(job);
+  state_.reindex(job);
 }
 
 void Scheduler::forget_job(const std::string& id) {
-  auto it = jobs_.find(id);
-  if (it == jobs_.end()) return;
-  Job& job = it->second;
+  Job* found = state_.job(id);
+  if (!found) return;
+  Job& job = *found;
   while (!job.active.empty()) unassign(job, job.active.begin()->first, 0);
   auto awaited = std::move(job.spec.dependencies);
   settle_job_failures(job);
-  job_index_.remove(job);
-  jobs_.erase(it);
-  changed_.erase(id);
+  state_.remove_job(id);
   ending_.erase(id);
   // What still needs it learns of its end from the store.
   if (dependents_.count(id) && !outcomes_.count(id)) unknown_.insert(id);
   for (const auto& other : awaited) {
     dependency_met(id, other);
-    if (Job* a = this->job(other)) inherit(*a);
+    if (Job* a = state_.job(other)) inherit(*a);
   }
 }
 
@@ -129,71 +90,21 @@
   a.worker_epoch = m.worker_epoch;
   a.since = now;
   a.minimum_token = ~0ull;
-  a.reservation_expires_at = now + c::kReservationTimeout + 2 * fetch_time(job.spec, m);
+  a.reservation_expires_at = now + c::kReservationTimeout + 2 * state_.fetch_time(job.spec, m);
   mark_dirty(job, index, Urgency::Launch, now);
   a.generation = record_of(job, index).second.generation;
-  job.active[index] = a;
-  job.phase[index] = TaskPhase::Active;
-  --job.queued;
-  m.tasks.insert({job.spec.id, index});
-  m.free -= job.spec.need;
+  state_.occupy(job, index, std::move(a), m);
   ++m.heat;
-  use_[job.spec.team] += job.spec.need;
-  class_use_[job.spec.job_class] += job.spec.need;
-  changed_.insert(job.spec.id);
-  count_task(m, job, a, 1);
-  reindex(m, now);
-  job_index_.update(job);
-}
-
-void Scheduler::count_task(Machine& m, const Job& job, const ActiveTask& a, int by) {
-  if (a.stop)
-    m.stopping += by;
-  else if (job.spec.kind != JobKind::Gang)
-    m.stoppable[static_cast<std::size_t>(job.priority)] += by;
-  capacity_index_.note_tasks(m);
-}
-
-MachineCapacity Scheduler::machine_capacity(const Machine& m, double now) const {
-  const double silent_at = m.last_heard + c::kSilentReports * config_.report_s;
-  using Use = MachineCapacity::Use;
-  if (!takes_work(m) || now >= silent_at) return {};
-  auto until = [&](Use use, double at) { return MachineCapacity{use, "", std::min(at, silent_at)}; };
-  if (now < m.no_capacity_until) return until(Use::Out, m.no_capacity_until);
-  if (now < m.nominated_until) {
-    MachineCapacity kept = until(Use::Kept, m.nominated_until);
-    kept.kept_for = m.nominated_job;
-    return kept;
-  }
-  return now < m.cordoned_until ? until(Use::Suspect, m.cordoned_until) : until(Use::Ready, silent_at);
-}
-
-void Scheduler::reindex(Machine& m, double now) {
-  capacity_index_.update(m, machine_capacity(m, now), slack(m, m.free));
+  state_.mark_changed(job.spec.id);
+  state_.reindex(m, now);
+  state_.reindex(job);
 }
 
 void Scheduler::unassign(Job& job, int index, double now) {
   auto it = job.active.find(index);
   if (it == job.active.end()) return;
-  Machine* m = machine(it->second.machine);
-  if (m) {
-    m->tasks.erase({job.spec.id, index});
-    m->free += job.spec.need;
-    if (m->tasks.empty()) {
-      m->idle_since = now;
-      m->free = m->size;
-    }
-    std::erase(m->outbox, TaskKey{job.spec.id, index});
-    count_task(*m, job, it->second, -1);
-    reindex(*m, now);
-  }
   note_freed(it->second.zone, job.spec.need, now);
-  if (it->second.stop) stopping_use_[job.spec.team] -= job.spec.need;
-  job.active.erase(it);
-  use_[job.spec.team] -= job.spec.need;
-  // Classes are whatever users call them: of those that use nothing, nothing is kept.
-  if (auto use = class_use_.find(job.spec.job_class); use != class_use_.end())
-    if ((use->second -= job.spec.need).cpus < 1e-6 && use->second.memory_gb < 1e-6) class_use_.erase(use);
+  state_.vacate(job, index, now);
   if (job.phase[index] == TaskPhase::Active) {
     job.phase[index] = TaskPhase::Queued;
     ++job.queued;
@@ -201,28 +112,9 @@
     mark_dirty(job, index, Urgency::Rest, now);
   }
   if (job.active.empty()) job.draining = false;
-  changed_.insert(job.spec.id);
-  wants_cycle_ = true;
-  job_index_.update(job);
-}
-
-void Scheduler::stop_task(Job& job, int index, double grace_s) {
-  auto it = job.active.find(index);
-  if (it == job.active.end()) return;
-  ActiveTask& a = it->second;
-  if (a.stop && a.grace_s <= grace_s) return;
-  Machine* m = machine(a.machine);
-  if (!a.stop) {
-    if (m) count_task(*m, job, a, -1);
-    a.stop = true;
-    if (m) count_task(*m, job, a, 1);
-    stopping_use_[job.spec.team] += job.spec.need;
-  }
-  a.grace_s = grace_s;
-  if (m) {
-    m->needs_dispatch = true;
-    dispatch_candidates_.insert(m->name);
-  }
+  state_.mark_changed(job.spec.id);
+  state_.request_cycle();
+  state_.reindex(job);
 }
 
 void Scheduler::abort_gang(Job& job, double now) {
@@ -232,7 +124,7 @@
     if (a.stage == Stage::Assigned) unsent.push_back(index);
   for (int index : unsent) unassign(job, index, now);
   for (auto& [index, a] : job.active)
-    if (!(job.draining && a.stop)) stop_task(job, index, 0);
+    if (!(job.draining && a.stop)) state_.request_stop(job, index, 0);
 }
 
 void Scheduler::task_done(Job& job, int index, double now) {
@@ -242,7 +134,7 @@
     job.phase[i] = TaskPhase::Done;
     ++job.done;
     unassign(job, i, now);
-    job_index_.update(job);
+    state_.reindex(job);
     mark_dirty(job, i, Urgency::Rest, now);
   };
   if (job.spec.kind == JobKind::Service) {  // a replica that ended is started again
@@ -254,20 +146,16 @@
   // done does not say that it has left a machine which hangs or cannot be reached. So each counts as done,
   // and its place as empty, by its own report or another proof that it is gone.
   const bool all = mutation_enabled("a gang that is done has left all machines");
-  for (int i = 0; complete(job) && i < job.spec.tasks; ++i)
+  for (int i = 0; job.gang_completed() && i < job.spec.tasks; ++i)
     if (all || job.phase[i] == TaskPhase::Queued) finish(i);
   job.why.clear();
   if (job.over() && ends(job.spec.id)) reserved_capacity_.served(job.spec.job_class, job.spec.team, now);
 }
 
-bool Scheduler::complete(const Job& job) const {
-  return job.spec.kind == JobKind::Gang && job.done > 0 && !job.cancelled;
-}
-
 void Scheduler::exited(Job& job, int index, const TaskStatus& t, Machine& m, double now) {
   auto it = job.active.find(index);
   if (it == job.active.end()) return;
-  if ((t.why == ExitReason::Done || complete(job)) && !job.cancelled) {
+  if ((t.why == ExitReason::Done || job.gang_completed()) && !job.cancelled) {
     went_well(m, job);
     task_done(job, index, now);
     return;
@@ -277,11 +165,11 @@
       failed(m, job, now);
       break;
     case ExitReason::NoRoom:
-      m.no_capacity_until = now + config_.report_s;
+      m.no_capacity_until = now + state_.config().report_s;
       break;
     case ExitReason::Busy:
     case ExitReason::Unknown:
-      job.not_before = std::max(job.not_before, now + config_.report_s);
+      job.not_before = std::max(job.not_before, now + state_.config().report_s);
       break;
     default:
       break;
@@ -290,91 +178,94 @@
   if (job.spec.kind == JobKind::Gang) abort_gang(job, now);
 }
 
-void Scheduler::gone(const TaskKey& key, const char* why, double now) {
-  Job* job = this->job(key.first);
+void Scheduler::gone(const TaskId& key, const char* why, double now) {
+  Job* job = state_.job(key.job);
   if (!job) return;
-  if (complete(*job)) return task_done(*job, key.second, now);
+  if (job->gang_completed()) return task_done(*job, key.index, now);
   if (job->why.empty()) job->why = std::string("its machine ") + why + "; started again";
-  unassign(*job, key.second, now);
+  unassign(*job, key.index, now);
   if (job->spec.kind == JobKind::Gang) abort_gang(*job, now);
 }
 
 void Scheduler::lose_all_tasks(Machine& m, const char* why, double now, std::uint64_t before_epoch) {
   auto tasks = m.tasks;
   for (const auto& key : tasks) {
-    Job* job = this->job(key.first);
-    auto it = job ? job->active.find(key.second) : decltype(job->active.find(0)){};
+    Job* job = state_.job(key.job);
+    auto it = job ? job->active.find(key.index) : decltype(job->active.find(0)){};
     if (!job || it == job->active.end() || it->second.worker_epoch >= before_epoch) continue;
     gone(key, why, now);
   }
-  std::erase_if(m.outbox, [&](const TaskKey& k) { return m.tasks.count(k) == 0; });
+  std::erase_if(m.outbox, [&](const TaskId& k) { return m.tasks.count(k) == 0; });
 }
 
 // ---------------------------------------------------------------- time
 
 std::vector<std::string> Scheduler::machines_with_expired_leases(double now) const {
   std::vector<std::string> out;
-  double lease = config_.lease_s * (1 + c::kClockDrift) + c::kProofMargin;
+  double lease = state_.config().lease_s * (1 + c::kClockDrift) + c::kProofMargin;
   if (mutation_enabled("half a lease counts as a whole one")) lease /= 2;
-  std::uint64_t base = term_ << c::kTermShift;
-  for (const auto& [name, m] : machines_) {
+  std::uint64_t base = state_.first_number();
+  for (const auto& [name, m] : state_.machines()) {
     if (m.tasks.empty()) continue;
     // The last moment anybody could have renewed this worker's lease: us, a keeper, or a former leader that
     // has lost the state service and keeps tasks alive for a while, unless the worker already obeys our term.
     double life = std::max({m.last_answered, m.last_launch, m.renewed_by_proxy_until});
-    life =
-        std::max(life, m.observed_token >= base ? m.fencing_token_raised_at : started_ + config_.keepalive());
+    life = std::max(life, m.observed_token >= base ? m.fencing_token_raised_at
+                                                   : state_.started_at() + state_.config().keepalive());
     if (now > life + lease) out.push_back(name);
   }
   return out;
 }
 
 void Scheduler::renewed_by_proxy(const std::string& name, double until) {
-  if (Machine* m = machine(name)) m->renewed_by_proxy_until = std::max(m->renewed_by_proxy_until, until);
+  if (Machine* m = state_.machine(name))
+    m->renewed_by_proxy_until = std::max(m->renewed_by_proxy_until, until);
 }
 
 void Scheduler::lease_expired(const std::string& name, double now) {
-  Machine* m = machine(name);
+  Machine* m = state_.machine(name);
   if (!m) return;
-  notes_.push_back("machine " + name + " is silent past its lease: its tasks start elsewhere");
+  state_.note("machine " + name + " is silent past its lease: its tasks start elsewhere");
   lose_all_tasks(*m, "was silent past its lease", now);
 }
 
 void Scheduler::process_stalled(double now) {
   listened_since_ = now;
   // Workers may have found another controller meanwhile, and come back one by one.
-  for (const auto& zone : config_.zones) cut_until_[zone] = std::max(cut_until_[zone], now + config_.lease_s);
-  for (auto& [id, job] : jobs_)
+  for (const auto& zone : state_.config().zones)
+    cut_until_[zone] = std::max(cut_until_[zone], now + state_.config().lease_s);
+  for (auto& [id, job] : state_.jobs())
     for (auto& [index, a] : job.active)
-      a.reservation_expires_at = std::max(a.reservation_expires_at, now + config_.report_s * c::kDeadReports);
+      a.reservation_expires_at =
+          std::max(a.reservation_expires_at, now + state_.config().report_s * c::kDeadReports);
 }
 
 void Scheduler::tick(double now) {
-  if (!jobs_.empty()) last_job_at_ = now;
+  if (!state_.jobs().empty()) last_job_at_ = now;
   std::map<std::string, std::pair<int, int>> silent;  // zone -> silent, all
   any_silent_ = false;
-  for (auto& [name, m] : machines_) {
+  for (auto& [name, m] : state_.machines()) {
     if (!m.up || m.decommissioning) continue;
     auto& [s, all] = silent[m.zone];
     ++all;
-    bool quiet = now - m.last_heard > c::kSilentReports * config_.report_s;
+    bool quiet = now - m.last_heard > c::kSilentReports * state_.config().report_s;
     s += quiet;
     any_silent_ |= quiet;
   }
   for (const auto& [zone, counts] : silent)
     if (counts.first > std::max(1.0, c::kMaxSilentShare * counts.second))
-      cut_until_[zone] = now + config_.lease_s;
-  for (auto& [name, m] : machines_) {
+      cut_until_[zone] = now + state_.config().lease_s;
+  for (auto& [name, m] : state_.machines()) {
     if (!m.direct && now >= m.next_probe_at && m.up) {
       m.direct = true;
-      dispatch_candidates_.insert(name);
+      state_.mark_for_dispatch(name);
     }
-    if (m.up && !m.decommissioning && now - m.last_heard > c::kDeadReports * config_.report_s &&
-        now - std::max(started_, listened_since_) > c::kDeadReports * config_.report_s) {
+    if (m.up && !m.decommissioning && now - m.last_heard > c::kDeadReports * state_.config().report_s &&
+        now - std::max(state_.started_at(), listened_since_) > c::kDeadReports * state_.config().report_s) {
       // One or two silent machines are broken; many at once mean that the network is, and they come back one
       // by one. Nor is one broken that a keeper answers: its tasks run on beyond a cut.
       if (now >= cut_until_[m.zone] && now >= m.renewed_by_proxy_until) {
-        notes_.push_back("machine " + name + " is silent: returned to the cloud");
+        state_.note("machine " + name + " is silent: returned to the cloud");
         decommission(name, now);
       }
     }
@@ -385,27 +276,24 @@
     }
   }
   // Known only from a stored task, and now without any: nothing is left to remember.
-  std::erase_if(machines_, [](const auto& e) {
-    return !e.second.up && e.second.type.empty() && e.second.tasks.empty();
-  });
-  for (auto& [id, job] : jobs_) {
-    if (job.why != job.why_told) {
-      if (!job.why.empty()) notes_.push_back("job " + id + " (" + job.spec.job_class + "): " + job.why);
-      job.why_told = job.why;
+  state_.remove_unknown_machines();
+  for (auto& [id, job] : state_.jobs()) {
+    if (job.why != job.logged_why) {
+      if (!job.why.empty()) state_.note("job " + id + " (" + job.spec.job_class + "): " + job.why);
+      job.logged_why = job.why;
     }
-    std::vector<int> machines_with_expired_leases;
+    std::vector<int> expired;
     for (auto& [index, a] : job.active) {
       bool unstarted = a.stage == Stage::Sent || a.stage == Stage::Fetching || a.stage == Stage::Waiting;
-      if (unstarted && !a.stop && now > a.reservation_expires_at)
-        machines_with_expired_leases.push_back(index);
+      if (unstarted && !a.stop && now > a.reservation_expires_at) expired.push_back(index);
     }
-    for (int index : machines_with_expired_leases) {
+    for (int index : expired) {
       job.why = "a reservation lapsed before the task had started; placed again";
-      stop_task(job, index, 0);
+      state_.request_stop(job, index, 0);
     }
     if (job.queued && job.not_before > 0 && now >= job.not_before) {
       job.not_before = 0;
-      wants_cycle_ = true;
+      state_.request_cycle();
     }
   }
 }
@@ -415,23 +303,19 @@
 void Scheduler::provisioned(const std::string& name, const std::string& type, const std::string& zone,
                             bool spot, double now) {
   if (returned_.count(name)) return;
-  auto [it, fresh] = machines_.try_emplace(name);
-  Machine& m = it->second;
+  auto [m, fresh] = state_.add_machine(name, now);
   if (!fresh) return;
-  m.name = name;
   m.type = type;
   m.zone = zone;
   m.spot = spot;
-  raise_fencing_token(m);
-  m.provisioned_at = now;
-  if (const auto* t = this->type(type)) m.size = m.free = t->size;
+  if (const auto* t = state_.type(type)) m.size = m.free = t->size;
 }
 
 void Scheduler::listed(const std::vector<ListedMachine>& list, double now) {
   for (const auto& l : list) {
     provisioned(l.name, l.type, l.zone, l.spot, now - l.age_s);
     if (returned_.count(l.name)) continue;
-    Machine& m = machines_.at(l.name);
+    Machine& m = state_.machines().at(l.name);
     if (m.type.empty()) {  // known so far only from a task's record
       m.type = l.type;
       m.zone = l.zone;
@@ -439,25 +323,25 @@
     }
     if (m.address.empty()) m.address = l.address;
     if (l.phase == ListedMachine::Phase::Failed && !m.decommissioning) {
-      notes_.push_back("machine " + l.name + " failed on its own: returned");
+      state_.note("machine " + l.name + " failed on its own: returned");
       decommission(l.name, now);
     }
-    const auto* t = type(m.type);
+    const auto* t = state_.type(m.type);
     if (!m.up && !m.decommissioning && t &&
         now - m.provisioned_at > c::kBootLate * t->boot_s + c::kBootGrace &&
-        now - std::max(started_, listened_since_) > c::kDeadReports * config_.report_s) {
-      notes_.push_back("machine " + l.name + " never came up: returned");
+        now - std::max(state_.started_at(), listened_since_) > c::kDeadReports * state_.config().report_s) {
+      state_.note("machine " + l.name + " never came up: returned");
       decommission(l.name, now);
     }
   }
 }
 
 void Scheduler::decommission(const std::string& name, double now) {
-  Machine* m = machine(name);
+  Machine* m = state_.machine(name);
   if (!m || m->decommissioning) return;
   m->decommissioning = true;
-  for (const auto& [id, index] : std::set<TaskKey>(m->tasks)) {
-    Job* job = this->job(id);
+  for (const auto& [id, index] : std::set<TaskId>(m->tasks)) {
+    Job* job = state_.job(id);
     if (!job) continue;
     auto f = job->active.find(index);
     if (f != job->active.end() && f->second.stage == Stage::Assigned) {
@@ -465,24 +349,23 @@
       if (job->spec.kind == JobKind::Gang) abort_gang(*job, now);
     }
   }
-  reindex(*m, now);
+  state_.reindex(*m, now);
 }
 
 std::vector<std::string> Scheduler::decommissioning() const {
   std::vector<std::string> out;
-  for (const auto& [name, m] : machines_)
+  for (const auto& [name, m] : state_.machines())
     if (m.decommissioning) out.push_back(name);
   return out;
 }
 
 void Scheduler::deleted(const std::vector<std::string>& names, double now) {
   for (const auto& name : names) {
-    Machine* m = machine(name);
+    Machine* m = state_.machine(name);
     if (!m) continue;
     // The cloud's 200 is proof: the machine and everything on it are gone.
     lose_all_tasks(*m, "was returned", now);
-    capacity_index_.remove(*m);
-    machines_.erase(name);
+    state_.remove_machine(name);
     returned_.insert(name);
     // Names rise with creation: the oldest are the first that nobody speaks of any more.
     if (returned_.size() > c::kReturnedNames) returned_.erase(returned_.begin());
--- a/src/scheduler/scheduler.h
+++ b/src/scheduler/scheduler.h
@@ -16,149 +16,28 @@
 #include <unordered_set>
 #include <vector>
 
-#include "capacity_index.h"
+#include "cluster_state.h"
 #include "constants.h"
-#include "job_index.h"
-#include "model.h"
 #include "reserved_capacity.h"
+#include "scheduler_config.h"
+#include "task_record.h"
+#include "time_points.h"
 
 namespace corkmux {
 
-struct SchedulerConfig {
-  double report_s = 3, lease_s = 30, gang_wait_s = 30, gang_peer_s = 8, cancel_s = 60;
-  double value_kb = 16;         // KiB a record may take; the first form of task records is cut by it
-  double record_kb = 0;         // KiB a record of the second form may take; 0: value_kb
-  int v1_tasks_per_record = 0;  // tasks a record of the first form was cut into; 0: as value_kb says
-  std::vector<std::string> zones;
-  std::vector<Team> teams;
-  std::map<std::string, std::vector<double>> start_within;  // s, per class: the aims on starting, rising
-  std::map<std::string, double> finish_within;              // s, per class: the tightest aim on finishing
-  double guarantee_within = 0;  // s: the aim on starting what is within a guarantee; 0: none
-  /// s a holder without contact to the state service goes on answering workers, see rule_keepalive().
-  double keepalive() const;
-  /// Of the first form, in which a record does not say how it was cut: see docs/design.md.
-  int tasks_per_v1_record() const;
-  bool details = false;  // keep lines for the debug log, see take_details()
-};
-
-enum class TaskPhase : std::uint8_t { Queued, Active, Done };
-
-/// A task that is, or may be, on a machine. It stays until there is proof that its place is empty.
-struct ActiveTask {
-  enum class Stage { Assigned, Sent, Recovered, Fetching, Waiting, Running, Saving };
-  std::uint64_t attempt = 0;
-  std::string machine, zone;  // the zone is stored too: a new leader may not know the machine yet
-  std::uint64_t worker_epoch = 0;
-  Stage stage = Stage::Assigned;
-  std::uint64_t generation = 0;     // shard generation that stores this assignment
-  std::uint64_t minimum_token = 0;  // absence counts only in reports that carry at least this token
-  std::uint64_t after_seq = 0;      // and only beyond this sequence number, for launches in a report's answer
-  double since = 0, reservation_expires_at = 0;
-  double running_at = -1;  // when it was first seen to run; -1: not yet
-  bool stop = false;
-  double grace_s = 0;
-};
-
-/// Some tasks of a job that are stored together, from its key in Job::shards on.
-struct TaskRecord {
-  int count = 0;
-  std::uint64_t revision = 0;               // stamp of its record in the second form, 0: none
-  std::uint64_t first_format_revision = 0;  // and in the first form
-  std::uint64_t generation = 0, persisted_generation = 0;
-  std::uint64_t urgent_generation = 0;  // last generation that a launch waits for
-  bool in_flight = false;
-  int after = -1;  // split: written only once the shard that starts there is stored
-};
-
-inline constexpr double kNever = 1e18;  // s of the steady clock
-
-struct Job {
-  JobSpec spec;
-  std::uint64_t revision = 0;  // of its record in the state service
-  std::uint64_t order = 0;     // acceptance order
-  bool cancelled = false, finalizing = false, draining = false;
-  /// It came within its team's guarantee and has not yet been started and left alone as a whole: it waits for
-  /// no other team (DEPLOY). Not stored: after a change of leader it counts as any other.
-  enum class Promise { Unknown, Given, None } promise = Promise::Unknown;
-  bool dependency_cancelled = false;  // a job that it needs was cancelled: its own end is still to be stored
-  std::unordered_set<std::string>
-      unmet_dependencies;  // jobs it awaits whose `done` is not known to be stored
-  /// Its own or the highest of what needs it; and when it has to be over for the tightest deadline of these.
-  Priority priority = Priority::Low;
-  double due_at = kNever, ready_at = 0;  // ready_at: when the last job it awaits was done
-  int cut = 0;                           // tasks in a record before any split; 0: no record yet
-  bool ready() const { return unmet_dependencies.empty() && !dependency_cancelled && !cancelled; }
-  bool over() const { return cancelled || dependency_cancelled || done == spec.tasks; }
-  std::vector<TaskPhase> phase;
-  int done = 0, queued = 0, cursor = 0;
-  bool bad = false;  // fails wherever it starts, as far as can be told
-  double not_before = 0, accepted_at = 0, preempted_at = -1e9, reclaimed_at = -1e9;
-  std::map<int, ActiveTask> active;
-  std::map<int, TaskRecord> task_records;
-  std::set<std::string> failed_on;  // machines that do not count as faulty by others
-  std::string why, why_told;
-  JobIndex::Indexed indexed;
-};
-
-struct Machine {
-  std::string name, address, type, zone;
-  bool spot = false;
-  Resources size, free;
-  std::uint64_t worker_epoch = 0, seq = 0, observed_token = 0, fencing_token = 0;
-  std::uint64_t wanted = 0;             // token that it has to have seen before anything is placed there
-  std::uint64_t last_launch_token = 0;  // token of the last orders with launches
-  double last_heard = -1e9, last_answered = -1e9, fencing_token_raised_at = -1e9, last_launch = -1e9;
-  double renewed_by_proxy_until = -1e9;  // a keeper (see keeper.h) may have answered it until then
-  double gone_at = -1;                   // time the cloud takes it, -1: unknown
-  double provisioned_at = -1e9;          // when asked for or first seen
-  double idle_since = -1e9;
-  double cordoned_until = -1e9, no_capacity_until = -1e9, next_probe_at = -1e9;
-  bool up = false, decommissioning = false, direct = true, dispatch_in_flight = false, faulty = false;
-  /// Jobs that failed here since it last completed anything.
-  struct JobFailures {
-    int times = 0;
-    bool well = false;  // the job has ended since, as one that does well
-  };
-  std::map<std::string, JobFailures> failures;
-  double failures_since = -1;
-  int heat = 0;
-  double fetch_s = 0;  // of the image of the job that pick() last looked at it for
-  double slack_slope = 0, heat_slope = 0, seen_slack = 1, seen_heat = 0, seen_at = -1e9;
-  std::set<std::pair<std::string, int>> tasks;
-  std::deque<std::string> images;  // most recent first
-  std::map<std::string, double> image_gb;
-  std::string nominated_job;  // a more urgent job for which work is being stopped here
-  double nominated_until = -1e9;
-  std::vector<std::pair<std::string, int>> outbox;  // launches whose assignment is stored
-  bool needs_dispatch = false;                      // a stop should not wait for the next report
-  std::array<int, 4> stoppable{};  // tasks of arrays and services not yet stopped, by priority
-  int stopping = 0;                // tasks that are
-  CapacityIndex::IndexEntry index_entry;
-};
-
 struct CommandBatch {
   std::uint64_t fencing_token = 0, worker_epoch = 0;
   std::vector<TaskCommand> commands;
-  std::vector<std::pair<std::string, int>> launches;
+  std::vector<TaskId> launches;
   std::vector<std::uint64_t> attempts;
 };
 
-struct TaskRecordWrite {
-  std::string job, key;
-  int from = 0;
-  bool uses_v2_records = false;
-  std::uint64_t revision = 0, generation = 0;
-  /// Launches wait for it, so it must not be stored once the job has an end.
-  bool launches = false;
-  nlohmann::json value;
-};
-
 class Scheduler {
  public:
   Scheduler(SchedulerConfig config, std::uint64_t term, double now, std::uint64_t seed);
 
   // --- loading and the job list ---
-  void set_catalog(const std::vector<MachineType>& types);
+  void set_catalog(const std::vector<MachineType>& types) { state_.set_catalog(types); }
   void put_job(const JobSpec& spec, std::uint64_t revision, bool cancelled, double now, double age_s = 0);
   enum class Loaded { Yes, Garbage, Unknown };
   /// A record of tasks, those of the second form in key order and before the first form's. Garbage: it says
@@ -240,49 +119,45 @@
   void decommission(const std::string& machine, double now);
   std::vector<std::string> decommissioning() const;
 
-  Job* job(const std::string& id);
-  const std::map<std::string, Machine>& machines() const { return machines_; }
-  Machine* machine(const std::string& name);
-  const std::unordered_map<std::string, Job>& jobs() const { return jobs_; }
-  const std::vector<MachineType>& catalog() const { return types_; }
-  const MachineType* type(const std::string& name) const;
-  const SchedulerConfig& config() const { return config_; }
+  Job* job(const std::string& id) { return state_.job(id); }
+  const std::map<std::string, Machine>& machines() const { return state_.machines(); }
+  Machine* machine(const std::string& name) { return state_.machine(name); }
+  const std::unordered_map<std::string, Job>& jobs() const { return state_.jobs(); }
+  const std::vector<MachineType>& catalog() const { return state_.catalog(); }
+  const MachineType* type(const std::string& name) const { return state_.type(name); }
+  const SchedulerConfig& config() const { return state_.config(); }
   /// s since there was last any unfinished job.
-  double idle_for(double now) const { return jobs_.empty() ? now - last_job_at_ : 0; }
+  double idle_for(double now) const { return state_.jobs().empty() ? now - last_job_at_ : 0; }
   /// s between jobs as they have come of late; 0 while too few have.
   double arrival_gap() const { return arrival_gap_; }
-  Resources team_use(const std::string& team) const;
-  bool usable(const Machine& m, double now) const;
-  bool allowed(const JobSpec& spec, const Machine& m) const;
-  bool allowed(const JobSpec& spec, const std::string& type, const std::string& zone, bool spot) const;
+  Resources team_use(const std::string& team) const { return state_.team_use(team); }
+  bool usable(const Machine& machine, double now) const { return state_.usable(machine, now); }
   std::string reason(const Job& job) const;
   int running(const Job& job) const;
   /// Jobs whose displayed state changed since the last call.
-  std::unordered_set<std::string> take_changed() { return std::exchange(changed_, {}); }
-  bool wants_cycle() const { return wants_cycle_; }
+  std::unordered_set<std::string> take_changed() { return state_.take_changed(); }
+  bool wants_cycle() const { return state_.wants_cycle(); }
   /// Jobs, kinds of room, machines and tasks looked at by passes so far: the work done, counted not timed.
-  std::uint64_t steps() const { return steps_ + job_index_.steps(); }
-  const JobIndex& job_index() const { return job_index_; }
-  const CapacityIndex& capacity_index() const { return capacity_index_; }
+  std::uint64_t steps() const { return steps_ + job_index().steps(); }
+  const JobIndex& job_index() const { return state_.job_index(); }
+  const CapacityIndex& capacity_index() const { return state_.capacity_index(); }
   /// What the index of room has to say of a machine.
-  MachineCapacity machine_capacity(const Machine& m, double now) const;
+  MachineCapacity machine_capacity(const Machine& machine, double now) const {
+    return state_.machine_capacity(machine, now);
+  }
   /// One line per event worth an operator's attention; the actor logs them.
-  std::vector<std::string> take_notes() { return std::exchange(notes_, {}); }
+  std::vector<std::string> take_notes() { return state_.take_notes(); }
   /// One line per placed gang, when the configuration asks for it.
   std::vector<std::string> take_details() { return std::exchange(details_, {}); }
 
  private:
-  using TaskKey = std::pair<std::string, int>;
   void assign(Job& job, int index, Machine& m, std::uint64_t attempt, double now);
   void unassign(Job& job, int index, double now);
   void exited(Job& job, int index, const TaskStatus& heartbeat, Machine& m, double now);
   void task_done(Job& job, int index, double now);
-  /// A gang of which some task is done: all are, wherever they still may be.
-  bool complete(const Job& job) const;
-  void gone(const TaskKey& key, const char* why, double now);
-  void lose_all_tasks(Machine& m, const char* why, double now, std::uint64_t before_epoch = ~0ull);
+  void gone(const TaskId& key, const char* why, double now);
+  void lose_all_tasks(Machine& m, const char* why, double now, std::uint64_t before_epoch = kTokenOfNoWorker);
   void abort_gang(Job& job, double now);
-  void stop_task(Job& job, int index, double grace_s);
   void drain(Machine& m, double now);
   // (cluster_blame.cc)
   void failed(Machine& m, Job& job, double now);
@@ -317,12 +192,8 @@
   static std::string waiting_for(const Job& job);
   void inherit(Job& job);
   double step_s(const Job& job) const;
-  double fetch_time(const JobSpec& spec, const Machine& m) const;
-  void note_image(Machine& m, const JobSpec& spec);
-  double slack(const Machine& m, const Resources& free) const;
   /// For the job that its `fetch_s` is about.
   double utility(const Machine& m, double now) const;
-  bool within_limit(const std::string& team, const Resources& more) const;
   double weight(const Job& job) const;
   bool place_gang(Job& job, bool include_suspect, double now);
   /// Keeps a zone's free machines for a gang that is due, where the rest it needs is about to be free.
@@ -341,7 +212,7 @@
   bool preempt_for(Job& job, double now);
   /// Machines on which work could be stopped for a job, by zone if it keeps to one: a bounded number.
   std::map<std::string, std::vector<Machine*>> stop_candidates(const Job& job, double now);
-  void preempt(const TaskKey& victim, const std::string& why);
+  void preempt(const TaskId& victim, const std::string& why);
   /// Stops what other teams run beyond their guarantees for a job within its team's, see reclaim.h.
   bool reclaim(Job& job, double now);
   struct QuotaReclaimCase;
@@ -351,7 +222,6 @@
   void nominate(Machine& m, const Job& job, double until, double now);
   void keep_promises(double now);
   bool saves_when_stopped(const JobSpec& spec) const;
-  bool takes_work(const Machine& m) const;
   bool open_to(const Job& job, const Machine& m, double now) const;
   /// How long each waiting job will have waited, and whom the floor holds by that. In the order of the bids.
   void update_reserved_capacity(const std::vector<const Job*>& order, double now);
@@ -388,35 +258,15 @@
   /// Of 0 and up to `all`, at most `most`, drawn without any twice.
   std::vector<std::size_t> sample(std::size_t all, std::size_t most);
   Machine* pick(const JobSpec& spec, const std::vector<Slot>& slots, double now);
-  /// To be called after every change of what the index knows of a machine.
-  void reindex(Machine& m, double now);
-  /// A task of a machine counts among what may be stopped there, among what is stopping, or no longer.
-  void count_task(Machine& m, const Job& job, const ActiveTask& a, int by);
   /// Room only shrinks within a pass: what found none leaves none for the like of it.
   bool known_not_to_fit(const Job& job, double now) const;
   void note_not_fitting(const Job& job, double now);
-  /// From now on only what the machine reports under this token says that a task is not there.
-  std::uint64_t raise_fencing_token(Machine& m) { return m.fencing_token = m.wanted = next_number(); }
-  std::uint64_t next_number() { return (term_ << constants::kTermShift) | ++counter_; }
-
-  SchedulerConfig config_;
-  std::uint64_t term_, counter_ = 0;
-  double started_;
-  double listened_since_ = -1e9;  // silence before it is our own
+  ClusterState state_;
+  double listened_since_ = kLongAgo;  // silence before it is our own
   std::mt19937_64 rng_;
-  std::vector<MachineType> types_;
-  std::unordered_map<std::string, Job> jobs_;
-  std::map<std::string, Machine> machines_;
-  std::set<std::string>
-      dispatch_candidates_;  // may have orders; every change that can give a machine some puts it here
-  std::map<std::string, double>
-      cut_until_;                   // zone -> its silent machines are blamed on the network until then
-  std::set<std::string> returned_;  // late reports and old lists still speak of them
-  std::map<std::string, Resources> use_, stopping_use_;  // of teams; the second: on its way out
-  std::unordered_map<std::string, Resources> class_use_;
-  JobIndex job_index_;
-  CapacityIndex capacity_index_;
-  std::map<std::string, Team> teams_;
+  /// zone -> its silent machines are attributed to the network until then
+  std::map<std::string, double> cut_until_;
+  std::set<std::string> returned_;   // late reports and old lists still speak of them
   std::deque<Dirty> urgent_, rest_;  // shards to write, oldest first
   bool uses_v2_records_ = false;
   std::size_t record_room_;  // bytes
@@ -431,8 +281,7 @@
   std::set<std::string> unknown_;
   std::unordered_map<std::string, std::pair<Outcome, double>> outcomes_;
   std::deque<std::string> outcome_order_;
-  std::unordered_set<std::string> changed_;
-  std::vector<std::string> notes_, details_;
+  std::vector<std::string> details_;
   double last_job_at_ = 0, last_arrival_ = -1, arrival_gap_ = 0;
   using Shape = std::tuple<double, double, double, bool, bool, bool, bool, int, std::string,
                            std::vector<std::string>, bool>;
@@ -442,7 +291,7 @@
   /// CPUs and accelerators that tasks have given back in a zone of late, decaying.
   struct Freed {
     Resources sum;
-    double at = -1e9;
+    double at = kLongAgo;
   };
   void note_freed(const std::string& zone, const Resources& need, double now);
   std::map<std::string, Freed> freed_;
@@ -450,7 +299,8 @@
   ReservedCapacity reserved_capacity_;
   std::set<std::string> reserved_types_;  // of machines that those it holds can use
   std::vector<std::string> logged_starving_;
-  bool wants_cycle_ = true, accelerators_wanted_ = false, any_silent_ = false;
+  bool accelerators_wanted_ = false;
+  bool any_silent_ = false;
   std::optional<Priority> accelerator_users_;
 };
 
--- a/src/scheduler/task_record_store.cc
+++ b/src/scheduler/task_record_store.cc
@@ -84,9 +84,10 @@
     floor = before.first + before.second.count;
     if (index < floor) return before;
   }
-  if (!job.cut) job.cut = uses_v2_records_ ? c::kTasksPerRecord : config_.tasks_per_v1_record();
-  int from = std::max(floor, index / job.cut * job.cut);
-  int end = std::min(job.spec.tasks, (index / job.cut + 1) * job.cut);
+  if (!job.tasks_per_record)
+    job.tasks_per_record = uses_v2_records_ ? c::kTasksPerRecord : state_.config().tasks_per_v1_record();
+  int from = std::max(floor, index / job.tasks_per_record * job.tasks_per_record);
+  int end = std::min(job.spec.tasks, (index / job.tasks_per_record + 1) * job.tasks_per_record);
   if (next != job.task_records.end()) end = std::min(end, next->first);
   auto& made = *job.task_records.try_emplace(next, from);
   made.second.count = end - from;
@@ -118,7 +119,7 @@
   upper.generation = s.generation;
   upper.urgent_generation = s.urgent_generation;
   s.count = lower;
-  s.after = from + lower;
+  s.split_off = from + lower;
   job.task_records[from + lower] = upper;
 }
 
@@ -158,7 +159,7 @@
     if (z == zones.size()) zones.push_back(a.zone);
     groups[{a.machine, a.worker_epoch, z, a.attempt}].add(it->first - from);
   }
-  Json out = {{"f", c::kRecordFormat}, {"c", job.cut}, {"n", count}};
+  Json out = {{"f", c::kRecordFormat}, {"c", job.tasks_per_record}, {"n", count}};
   if (auto text = done.text(); !text.empty()) out["d"] = std::move(text);
   if (groups.empty()) return out;
   Json tasks = Json::array();
@@ -176,7 +177,7 @@
     while (!queue.empty() && static_cast<int>(out.size()) < most && queue.front().since <= not_after) {
       Dirty entry = std::move(queue.front());
       queue.pop_front();
-      Job* job = this->job(entry.job);
+      Job* job = state_.job(entry.job);
       if (!job || job->finalizing) continue;
       auto found = job->task_records.find(entry.from);
       if (found == job->task_records.end()) continue;
@@ -184,12 +185,12 @@
       if (s.in_flight || s.persisted_generation == s.generation) continue;
       // A job that is over needs no more shards: its end is stored instead.
       if (job->over() && job->active.empty()) continue;
-      if (s.after >= 0) {
-        if (!job->task_records.at(s.after).revision) {
+      if (s.split_off) {
+        if (!job->task_records.at(*s.split_off).revision) {
           keep.push_back(std::move(entry));
           continue;
         }
-        s.after = -1;
+        s.split_off.reset();
       }
       TaskRecordWrite w{entry.job, "", entry.from, uses_v2_records_, 0, 0, false, {}};
       w.launches = s.urgent_generation > s.persisted_generation && !job->over();
@@ -198,15 +199,15 @@
         if (s.count > 1 && w.value.dump().size() > record_room_) {
           split(*job, entry.from, s);
           queue.push_front(entry);
-          queue.push_front({entry.job, s.after, entry.since});
+          queue.push_front({entry.job, *s.split_off, entry.since});
           continue;
         }
         w.key = second_key(entry.job, entry.from);
         w.revision = s.revision;
       } else {
         w.value = first_format(*job, entry.from, s.count);
-        w.key = first_key(entry.job, entry.from / job->cut);
-        w.revision = s.first_format_revision;
+        w.key = first_key(entry.job, entry.from / job->tasks_per_record);
+        w.revision = s.v1_revision;
       }
       w.generation = s.generation;
       s.in_flight = true;
@@ -221,17 +222,17 @@
 
 void Scheduler::written(const std::vector<TaskRecordWrite>& batch, std::uint64_t revision, double now) {
   for (const auto& w : batch) {
-    Job* job = this->job(w.job);
+    Job* job = state_.job(w.job);
     if (!job) continue;
     auto found = job->task_records.find(w.from);
     if (found == job->task_records.end()) continue;
     TaskRecord& s = found->second;
     s.in_flight = false;
-    (w.uses_v2_records ? s.revision : s.first_format_revision) = revision;
+    (w.uses_v2_records ? s.revision : s.v1_revision) = revision;
     s.persisted_generation = w.generation;
-    if (w.uses_v2_records && s.first_format_revision) {
-      replaced_.push_back(first_key(w.job, w.from / job->cut));
-      s.first_format_revision = 0;
+    if (w.uses_v2_records && s.v1_revision) {
+      replaced_.push_back(first_key(w.job, w.from / job->tasks_per_record));
+      s.v1_revision = 0;
     }
     if (s.generation != s.persisted_generation) queue_of(s).push_back({w.job, w.from, now});
     std::vector<int> lost;
@@ -239,13 +240,13 @@
          ++it) {
       ActiveTask& a = it->second;
       if (a.stage != Stage::Assigned || a.generation > w.generation) continue;
-      Machine* m = machine(a.machine);
+      Machine* m = state_.machine(a.machine);
       if (!m || m->decommissioning || a.worker_epoch != m->worker_epoch || a.stop)
         lost.push_back(it->first);
       else {
-        if (std::find(m->outbox.begin(), m->outbox.end(), TaskKey{w.job, it->first}) == m->outbox.end())
+        if (std::find(m->outbox.begin(), m->outbox.end(), TaskId{w.job, it->first}) == m->outbox.end())
           m->outbox.push_back({w.job, it->first});
-        dispatch_candidates_.insert(m->name);
+        state_.mark_for_dispatch(m->name);
       }
     }
     for (int index : lost) unassign(*job, index, now);
@@ -255,7 +256,7 @@
 
 void Scheduler::write_failed(const std::vector<TaskRecordWrite>& batch) {
   for (const auto& w : batch)
-    if (Job* job = this->job(w.job)) {
+    if (Job* job = state_.job(w.job)) {
       auto found = job->task_records.find(w.from);
       if (found == job->task_records.end()) continue;
       TaskRecord& s = found->second;
@@ -265,17 +266,17 @@
 }
 
 void Scheduler::set_record_revision(const TaskRecordWrite& w, std::uint64_t revision) {
-  Job* job = this->job(w.job);
+  Job* job = state_.job(w.job);
   if (!job) return;
   if (auto found = job->task_records.find(w.from); found != job->task_records.end())
-    (w.uses_v2_records ? found->second.revision : found->second.first_format_revision) = revision;
+    (w.uses_v2_records ? found->second.revision : found->second.v1_revision) = revision;
 }
 
 std::vector<std::string> Scheduler::record_keys(const Job& job) const {
   std::vector<std::string> out;
   for (const auto& [from, s] : job.task_records) {
     if (s.revision) out.push_back(second_key(job.spec.id, from));
-    if (s.first_format_revision) out.push_back(first_key(job.spec.id, from / job.cut));
+    if (s.v1_revision) out.push_back(first_key(job.spec.id, from / job.tasks_per_record));
   }
   return out;
 }
@@ -285,8 +286,8 @@
   // few.
   std::vector<std::pair<std::uint64_t, std::string>> found;
   for (const auto& [id, order] : ending_) {
-    auto it = jobs_.find(id);
-    if (it == jobs_.end()) continue;
+    auto it = state_.jobs().find(id);
+    if (it == state_.jobs().end()) continue;
     const Job& job = it->second;
     if (job.finalizing || !job.active.empty() || !job.over()) continue;
     bool in_flight = false;
@@ -313,30 +314,18 @@
   if (index < 0 || index >= job.spec.tasks || job.phase[static_cast<std::size_t>(index)] != TaskPhase::Queued)
     return;
   a.stage = Stage::Recovered;
-  a.since = started_;
-  a.reservation_expires_at = started_ + c::kReservationTimeout * 4;
-  auto [m, fresh] = machines_.try_emplace(a.machine);
-  if (fresh) {
-    m->second.name = a.machine;
-    raise_fencing_token(m->second);
-    m->second.provisioned_at = started_;
-  }
-  // Guards against a second start: a launch of the former holder may still arrive, so only a report that
+  a.since = state_.started_at();
+  a.reservation_expires_at = state_.started_at() + c::kReservationTimeout * 4;
+  Machine& m = state_.add_machine(a.machine, state_.started_at()).first;
+  // Guards against a second start: a launch of the former leader may still arrive, so only a heartbeat that
   // already carries our token can show that the task is absent.
-  a.minimum_token = m->second.fencing_token;
-  m->second.tasks.insert({job.spec.id, index});
-  m->second.free -= job.spec.need;
-  count_task(m->second, job, a, 1);
-  job.active[index] = std::move(a);
-  job.phase[static_cast<std::size_t>(index)] = TaskPhase::Active;
-  --job.queued;
-  use_[job.spec.team] += job.spec.need;
-  class_use_[job.spec.job_class] += job.spec.need;
-  if (job.cancelled) stop_task(job, index, 0);
+  a.minimum_token = m.fencing_token;
+  state_.occupy(job, index, std::move(a), m);
+  if (job.cancelled) state_.request_stop(job, index, 0);
 }
 
 void Scheduler::load_second(Job& job, int from, int count, const Json& value, std::uint64_t revision) {
-  job.cut = std::max(1, value.value("c", job.cut));
+  job.tasks_per_record = std::max(1, value.value("c", job.tasks_per_record));
   TaskRecord& s = job.task_records[from];
   s.count = count;
   s.revision = revision;
@@ -359,7 +348,7 @@
 
 /// A record speaks for its tasks up to where the job's next one begins: see split().
 void Scheduler::flush_loading() {
-  Job* job = this->job(loading_job_);
+  Job* job = state_.job(loading_job_);
   for (auto it = loading_.begin(); job && it != loading_.end(); ++it) {
     int end = std::min(job->spec.tasks, it->first + it->second.first.value("n", 0));
     if (auto next = std::next(it); next != loading_.end()) end = std::min(end, next->first);
@@ -381,20 +370,20 @@
     use_v2_records();
     if (value.value("f", 0) > c::kRecordFormat) return Loaded::Unknown;
     if (id != loading_job_) flush_loading();
-    if (!job(id)) return Loaded::Garbage;
+    if (!state_.job(id)) return Loaded::Garbage;
     loading_job_ = id;
     loading_[n] = {value, revision};
     return Loaded::Yes;
   }
   flush_loading();
-  Job* job = this->job(id);
+  Job* job = state_.job(id);
   if (!job || n < 0) return Loaded::Garbage;
-  if (!job->cut) job->cut = config_.tasks_per_v1_record();
-  int base = n * job->cut;
+  if (!job->tasks_per_record) job->tasks_per_record = state_.config().tasks_per_v1_record();
+  int base = n * job->tasks_per_record;
   if (base >= job->spec.tasks) return Loaded::Garbage;
   auto& [from, s] = record_of(*job, base);
   if (from != base || s.revision) return Loaded::Garbage;
-  s.first_format_revision = revision;
+  s.v1_revision = revision;
   int end = base + s.count;
   if (auto d = value.find("d"); d != value.end() && d->is_array())
     for (const auto& range : *d)
@@ -415,9 +404,9 @@
 
 void Scheduler::loaded() {
   flush_loading();
-  for (auto& [id, job] : jobs_) {
-    for (int i = 0; complete(job) && i < job.spec.tasks; ++i) load_done(job, i);
-    job_index_.update(job);
+  for (auto& [id, job] : state_.jobs()) {
+    for (int i = 0; job.gang_completed() && i < job.spec.tasks; ++i) load_done(job, i);
+    state_.reindex(job);
     if (job.over()) ends(id);
     // A task that was ever assigned is proof that all the job awaits was done; the moment is not known.
     if (job.task_records.empty()) continue;
--- a/tests/index_consistency_test.cc
+++ b/tests/index_consistency_test.cc
@@ -155,7 +155,7 @@
       waiting += waits;
       EXPECT_EQ(index.waiting().count(const_cast<Job*>(&job)), waits) << id;
       promising +=
-          job.promise == Job::Promise::Given || (job.promise == Job::Promise::Unknown && job.ready());
+          job.guarantee_admission == Job::GuaranteeAdmission::Granted || (job.guarantee_admission == Job::GuaranteeAdmission::Undecided && job.ready());
       if (job.ready() && job.spec.need.gpus > 0)
         accelerators = std::max(accelerators.value_or(job.priority), job.priority);
       if (!job.active.empty() && job.spec.kind != JobKind::Gang)
--- a/tests/upgrade_test.cc
+++ b/tests/upgrade_test.cc
@@ -109,8 +109,8 @@
     for (const auto& name : scheduler.machines_with_commands()) {
       auto command_batch = scheduler.take_commands(name, now);
       for (std::size_t i = 0; i < command_batch.launches.size(); ++i)
-        workers[name].tasks[command_batch.launches[i].second] = {"run-1",
-                                                                 command_batch.launches[i].second,
+        workers[name].tasks[command_batch.launches[i].index] = {"run-1",
+                                                                 command_batch.launches[i].index,
                                                                  command_batch.attempts[i],
                                                                  TaskState::Running,
                                                                  ExitReason::None,
--- a/tests/write_ahead_test.cc
+++ b/tests/write_ahead_test.cc
@@ -41,8 +41,8 @@
     auto batch = scheduler->next_writes(12, true, 0);
     scheduler->written(batch, ++revision, 0);
   }
-  std::vector<std::pair<std::string, int>> sent(double now = 0) {
-    std::vector<std::pair<std::string, int>> out;
+  std::vector<TaskId> sent(double now = 0) {
+    std::vector<TaskId> out;
     for (const auto& name : scheduler->machines_with_commands()) {
       auto command_batch = scheduler->take_commands(name, now);
       out.insert(out.end(), command_batch.launches.begin(), command_batch.launches.end());
@@ -97,9 +97,9 @@
   ASSERT_EQ(scheduler->job(s.id)->active.size(), 2u);
   EXPECT_TRUE(sent().empty());
   scheduler->written(first, ++revision, 0);
-  EXPECT_EQ(sent(), (std::vector<std::pair<std::string, int>>{{s.id, 0}}));
+  EXPECT_EQ(sent(), (std::vector<TaskId>{{s.id, 0}}));
   store();
-  EXPECT_EQ(sent(), (std::vector<std::pair<std::string, int>>{{s.id, 1}}));
+  EXPECT_EQ(sent(), (std::vector<TaskId>{{s.id, 1}}));
 }
 
 // Reports that come as mail mean that orders would run into a cut: launches then go with the answers.
