--- a/src/controller/controller.cc
+++ b/src/controller/controller.cc
@@ -4,6 +4,9 @@
 #include "leader_constants.h"
 
 namespace corkmux {
+namespace {
+using BatchAnswers = std::optional<std::vector<fanin::HeartbeatAnswer>>;
+}
 
 Controller::Controller(Loop& loop, const Settings& settings, const OperatorChoices& choices)
     : settings_(settings),
@@ -69,7 +72,9 @@
   callbacks.dependency_barrier_at = [this] { return leader_.dependency_barrier_at(); };
   callbacks.heartbeats = [this](fanin::HeartbeatBatch batch, std::function<void(int, std::string)> reply) {
     leader_.tell([batch = std::move(batch), reply = std::move(reply)](Leader& l) mutable {
-      l.batch(std::move(batch), std::move(reply));
+      l.batch(std::move(batch), [reply = std::move(reply)](BatchAnswers answers) {
+        answers ? reply(200, fanin::pack(*answers)) : reply(503, "");
+      });
     });
   };
   callbacks.commands = [this](const fanin::ForwardedCommandBatch& batch) { return delivery_.deliver(batch); };
@@ -91,8 +96,8 @@
   if (label != own_label_) return peer_exchange_.post_heartbeats(label, std::move(body), std::move(done));
   auto parsed = fanin::parse_heartbeats(body);
   leader_.tell([batch = std::move(parsed->message), done = std::move(done)](Leader& l) mutable {
-    l.batch(std::move(batch), [done = std::move(done)](int status, std::string answers) {
-      done({status, std::move(answers), true});
+    l.batch(std::move(batch), [done = std::move(done)](BatchAnswers answers) {
+      answers ? done({200, fanin::pack(*answers), true}) : done({503, "", true});
     });
   });
 }
--- a/src/controller/gateway_workers.cc
+++ b/src/controller/gateway_workers.cc
@@ -7,6 +7,17 @@
 
 namespace corkmux {
 namespace c = constants;
+namespace {
+
+/// Takes the leader's reply and passes it on as an HTTP status and body.
+HeartbeatCallback as_http(std::function<void(int status, std::string body)> pass) {
+  return [pass = std::move(pass)](HeartbeatReply reply) {
+    bool answered = reply.status == HeartbeatReply::Status::Answered;
+    pass(answered ? 200 : 503, std::move(reply.commands));
+  };
+}
+
+}  // namespace
 
 void Gateway::heartbeat(Id id, const std::string& body) {
   auto pass = [this, id](int status, std::string bytes) {
@@ -75,7 +86,7 @@
 void Gateway::heartbeat_to_leader(Heartbeat r, const std::string& body, bool unknown_worker, PassReply pass) {
   if (leader_label_ == settings_.label)
     return leader_.tell([r = std::move(r), pass](Leader& leader) mutable {
-      leader.heartbeat(std::move(r), Leader::Way::Direct, pass);
+      leader.heartbeat(std::move(r), Leader::Way::Direct, as_http(pass));
     });
   // Without a leader a worker that we serve waits for the next one; others find it by themselves.
   bool served = sharding_.serves(settings_.label);
@@ -130,7 +141,7 @@
   if (!r) return reply(400, "");
   if (leader_label_ != settings_.label) return reply(503, "");
   leader_.tell([r = std::move(*r), reply = std::move(reply), way](Leader& leader) mutable {
-    leader.heartbeat(std::move(r), way, std::move(reply));
+    leader.heartbeat(std::move(r), way, as_http(std::move(reply)));
   });
 }
 
--- a/src/leader/election.cc
+++ b/src/leader/election.cc
@@ -1,8 +1,7 @@
 #include "election.h"
 
-#include "leader_constants.h"
+#include "leader_record.h"
 #include "mutation.h"
-#include "state_store_constants.h"
 #include "store_keys.h"
 
 namespace corkmux {
@@ -25,113 +24,128 @@
   if (role_ == Role::Following && !observe_timer_.active()) observe();
 }
 
+// ---------------------------------------------------------------- following
+
 void Election::observe() {
   if (role_ != Role::Following) return;
-  state_.get(kLeaderKey, guarded([this](StateReply reply) {
-               bool may_lead = !abstaining_ && callbacks_.ready();
-               if (reply.status == StateStatus::Missing) {
-                 if (!leader_.empty()) announce("", 0);
-                 if (!may_lead || steady_now() < not_before_) {
-                   observe_timer_.once(c::kElectionPollInterval, [this] { observe(); });
-                   return;
-                 }
-                 return campaign(0);
-               }
-               auto kv = reply.ok() ? codec::parse_value(reply.body) : std::nullopt;
-               if (!kv) {
-                 observe_timer_.once(c::kElectionRetryInterval, [this] { observe(); });
-                 return;
-               }
-               std::string label = kv->value.value("label", "");
-               // A record in our own name is left from before a restart: it is taken over at once, under a
-               // new term.
-               if (label == label_ && may_lead) return campaign(kv->revision);
-               announce(label, kv->value.value("term", std::uint64_t{0}));
-               watch(kv->revision);
-             }));
+  state_.get(kLeaderKey, guarded([this](StateReply reply) { observed(reply); }));
+}
+
+void Election::observe_after(double pause_s) {
+  observe_timer_.once(pause_s, [this] { observe(); });
+}
+
+void Election::observed(const StateReply& reply) {
+  bool may_lead = !abstaining_ && callbacks_.ready();
+  if (reply.status == StateStatus::Missing) {
+    if (!leader_.empty()) announce("", 0);
+    if (!may_lead || steady_now() < not_before_) return observe_after(kPollInterval);
+    return campaign(0);
+  }
+  auto kv = reply.ok() ? codec::parse_value(reply.body) : std::nullopt;
+  if (!kv) return observe_after(kRetryInterval);
+  auto leader = parse_leader_record(kv->value);
+  // A record in our own name is left from before a restart: it is taken over at once, under a new term.
+  if (leader.label == label_ && may_lead) return campaign(kv->revision);
+  announce(leader.label, leader.term);
+  watch(kv->revision);
 }
 
 void Election::watch(std::uint64_t after) {
   state_.watch(kLeaderKey, after, c::kWatchWait, guarded([this, after](StateReply reply) {
                  if (reply.ok() && codec::parse_events(reply.body).events.empty()) return watch(after);
-                 observe_timer_.once(reply.ok() ? 0.0 : c::kElectionRetryInterval, [this] { observe(); });
+                 observe_after(reply.ok() ? 0.0 : kRetryInterval);
                }));
 }
 
+// ---------------------------------------------------------------- campaigning
+
+/// `known_revision`: of the leader's record that is to be replaced, 0: there is none.
 void Election::campaign(std::uint64_t known_revision) {
   role_ = Role::Campaigning;
   ++epoch_;
-  auto retry = [this](double after) {
-    role_ = Role::Following;
-    ++epoch_;
-    observe_timer_.once(after, [this] { observe(); });
-  };
-  state_.create_lease(
-      c::kLeaderLeaseDuration, guarded([this, known_revision, retry](StateReply lease_reply) {
-        if (!lease_reply.ok()) return retry(c::kElectionRetryInterval);
-        leader_lease_ = codec::parse_lease(lease_reply.body);
-        state_.get(kTermKey, guarded([this, known_revision, retry](StateReply reply) {
-                     std::uint64_t revision = 0;
-                     term_ = 0;
-                     if (reply.ok()) {
-                       auto kv = codec::parse_value(reply.body);
-                       if (!kv) return retry(c::kElectionRetryInterval);
-                       term_ = kv->value.value("n", std::uint64_t{0});
-                       revision = kv->revision;
-                     } else if (reply.status != StateStatus::Missing) {
-                       return retry(c::kElectionRetryInterval);
-                     }
-                     if (!mutation_enabled("a term is used twice")) ++term_;
-                     state_.txn({{kLeaderKey, known_revision}, {kTermKey, revision}},
-                                {{kLeaderKey, codec::Json{{"label", label_}, {"term", term_}}, leader_lease_},
-                                 {kTermKey, codec::Json{{"n", term_}}, 0}},
-                                guarded([this, retry](StateReply done) {
-                                  if (!done.ok())
-                                    return retry(done.status == StateStatus::Conflict
-                                                     ? 0.0
-                                                     : c::kElectionRetryInterval);
-                                  role_ = Role::Leading;
-                                  ++epoch_;
-                                  revision_ = codec::parse_revision(done.body);
-                                  // Guards against a term that an ending controller wins: nobody would serve
-                                  // it.
-                                  if (abstaining_) return resign(0);
-                                  renew_timer_.every(c::kLeaderLeaseRenewInterval, [this] { renew(); });
-                                  callbacks_.won({term_, revision_, done.sent_at});
-                                  announce(label_, term_);
-                                }));
-                   }));
-      }));
+  state_.create_lease(c::kLeaderLeaseDuration, guarded([this, known_revision](StateReply reply) {
+                        if (!reply.ok()) return abort_campaign(kRetryInterval);
+                        leader_lease_ = codec::parse_lease(reply.body);
+                        read_term(known_revision);
+                      }));
 }
 
+void Election::abort_campaign(double pause_s) {
+  role_ = Role::Following;
+  ++epoch_;
+  observe_after(pause_s);
+}
+
+void Election::read_term(std::uint64_t known_revision) {
+  state_.get(kTermKey, guarded([this, known_revision](StateReply reply) {
+               if (reply.status == StateStatus::Missing) {
+                 term_ = 0;
+                 return claim(known_revision, 0);
+               }
+               auto kv = reply.ok() ? codec::parse_value(reply.body) : std::nullopt;
+               if (!kv) return abort_campaign(kRetryInterval);
+               term_ = parse_term_record(kv->value);
+               claim(known_revision, kv->revision);
+             }));
+}
+
+/// Takes the next term: whoever else does so in between makes this transaction fail.
+void Election::claim(std::uint64_t known_revision, std::uint64_t term_revision) {
+  if (!mutation_enabled("a term is used twice")) ++term_;
+  state_.transaction({{kLeaderKey, known_revision}, {kTermKey, term_revision}},
+                     {{kLeaderKey, to_json(LeaderRecord{label_, term_}), leader_lease_},
+                      {kTermKey, term_record_to_json(term_), 0}},
+                     guarded([this](StateReply reply) { claimed(reply); }));
+}
+
+void Election::claimed(const StateReply& reply) {
+  if (!reply.ok()) return abort_campaign(reply.status == StateStatus::Conflict ? 0.0 : kRetryInterval);
+  role_ = Role::Leading;
+  ++epoch_;
+  revision_ = codec::parse_revision(reply.body);
+  // Guards against a term that a controller wins while it shuts down: nobody would serve it.
+  if (abstaining_) return resign(0);
+  renew_timer_.every(c::kLeaderLeaseRenewInterval, [this] { renew(); });
+  callbacks_.won({term_, revision_, reply.sent_at});
+  announce(label_, term_);
+}
+
+// ---------------------------------------------------------------- leading
+
 void Election::renew() {
   state_.renew_lease(leader_lease_, guarded([this](StateReply reply) {
                        if (reply.ok()) callbacks_.renewed(reply.sent_at);
-                       if (reply.status == StateStatus::Missing) callbacks_.lost("the grant ended");
+                       if (reply.status == StateStatus::Missing)
+                         callbacks_.lost(StepDownReason::LeaseExpired);
                      }));
 }
 
+void Election::renew_now() {
+  if (role_ == Role::Leading) renew();
+}
+
 void Election::verify() {
   if (role_ != Role::Leading) return;
   state_.get(kLeaderKey, guarded([this](StateReply reply) {
                auto kv = reply.ok() ? codec::parse_value(reply.body) : std::nullopt;
                if (reply.status == StateStatus::Missing || (kv && kv->revision != revision_))
-                 callbacks_.lost("a worker obeys a newer leader");
+                 callbacks_.lost(StepDownReason::WorkerObeysNewerLeader);
              }));
 }
 
-void Election::resign(double pause_s, std::function<void()> done) {
+void Election::resign(double pause_s, DoneCallback done) {
   if (role_ != Role::Leading) {
     if (done) done();
     return;
   }
-  state_.txn({{kLeaderKey, revision_}}, {{kLeaderKey, std::nullopt, 0}},
-             [this, lease = leader_lease_, done = std::move(done)](StateReply) {
-               // Whether or not the record is gone: without its grant it soon is.
-               state_.revoke_lease(lease, [done](StateReply) {
-                 if (done) done();
-               });
-             });
+  state_.transaction({{kLeaderKey, revision_}}, {{kLeaderKey, std::nullopt, 0}},
+                     [this, lease = leader_lease_, done = std::move(done)](StateReply) {
+                       // Whether or not the record is gone: without its lease it soon is.
+                       state_.revoke_lease(lease, [done](StateReply) {
+                         if (done) done();
+                       });
+                     });
   step_down(pause_s);
 }
 
@@ -142,7 +156,7 @@
   renew_timer_.stop();
   not_before_ = steady_now() + pause_s;
   announce("", 0);
-  observe_timer_.once(0, [this] { observe(); });
+  observe_after(0);
 }
 
 }  // namespace corkmux
--- /dev/null
+++ b/src/leader/heartbeat_delta_cache.h
@@ -0,0 +1,36 @@
+// The last full heartbeat of each machine whose worker is connected to another controller, so that an
+// unchanged heartbeat can be forwarded as its sequence number alone.
+//
+// Owns these heartbeats for one term. It never passes anything to the scheduler. Used on the leader's actor
+// only.
+#pragma once
+#include <string>
+#include <unordered_map>
+#include <variant>
+
+#include "fanin_messages.h"
+#include "model.h"
+#include "scheduler.h"
+
+namespace corkmux {
+
+class HeartbeatDeltaCache {
+ public:
+  /// Why a forwarded heartbeat cannot be completed.
+  enum class Error {
+    Malformed,             // its body is no heartbeat
+    FullHeartbeatRequired  // the heartbeat that it repeats is not known here
+  };
+
+  /// The heartbeat that was forwarded, complete; a full one is remembered.
+  std::variant<Heartbeat, Error> complete(const fanin::ForwardedHeartbeat& forwarded);
+  /// Forgets machines that the scheduler no longer knows.
+  void forget_unknown_machines(const Scheduler& scheduler);
+
+ private:
+  std::variant<Heartbeat, Error> remember(const std::string& body);
+
+  std::unordered_map<std::string, Heartbeat> last_full_;  // by machine
+};
+
+}  // namespace corkmux
--- a/src/leader/job_watcher.cc
+++ b/src/leader/job_watcher.cc
@@ -3,18 +3,26 @@
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
+#include <cstdlib>
 #include <memory>
 
 #include "constants.h"
-#include "leader_constants.h"
 #include "store_keys.h"
 
 namespace corkmux {
 namespace c = constants;
-using codec::Json;
+namespace {
+
+/// A watch of job records waits for so long, s: the leader's knowledge of cancels may be as old as that
+/// without any change.
+constexpr double kWatchJobsWait = 1.0;
+
+std::string job_in(const std::string& key) { return key.substr(std::min(kJobs.size(), key.size())); }
+
+}  // namespace
 
 JobWatcher::JobWatcher(Loop& loop, StateClient& state, Term& term, Scheduler& scheduler,
-                       TermCallbacks callbacks, std::function<void(const std::string&)> vanished)
+                       TermCallbacks callbacks, VanishedCallback vanished)
     : Actor(loop),
       state_(state),
       term_(term),
@@ -24,174 +32,210 @@
       timer_(loop),
       join_timer_(loop) {}
 
-bool JobWatcher::put(const Json& value, std::uint64_t revision) {
-  auto j = value.find("j");
-  if (j == value.end()) return false;
-  auto parsed = codec::parse_job(*j);
-  if (!parsed.job) return false;
-  // Nothing new is asked before all are new.
-  if (!parsed.job->dependencies.empty()) callbacks_.upgrade_records("a job awaits others");
-  scheduler_.put_job(*parsed.job, revision, value.value("c", 0) != 0, steady_now(),
-                     std::max(0.0, wall_now() - value.value("t", wall_now())));
-  return true;
-}
+// ---------------------------------------------------------------- records
 
-void JobWatcher::load(std::function<void()> done) {
-  seen_at_ = steady_now();
-  load_from("", std::move(done));
-}
-
-void JobWatcher::load_from(const std::string& after, std::function<void()> done) {
-  state_.read_all(
-      kJobs, after,
-      term_.guard([this](codec::KeyValue& kv) { record(kv.key, std::move(kv.value), kv.revision); }),
-      term_.guard([this, done = std::move(done)](const ReadEnd& end) {
-        if (!revision_) revision_ = end.revision;
-        if (!end.ok())
-          return timer_.once(c::kRetryPause, [this, last = end.last, done] { load_from(last, done); });
-        join_pieces(done);
-      }));
-}
-
-/// A job's record, a piece of one that is too long for one value, or the mark of a cancel where the record
-/// cannot be written again.
-void JobWatcher::record(const std::string& key, Json value, std::uint64_t revision) {
-  std::string id = key.substr(std::min(kJobs.size(), key.size()));
-  Job* known = nullptr;
+void JobWatcher::record(const codec::KeyValue& stored) {
+  std::string id = job_in(stored.key);
   if (auto slash = id.find('/'); slash != std::string::npos) {
     id.resize(slash);
-    known = scheduler_.job(id);
-    if (!known) return;  // a piece comes before its job, and is read with it
-    auto& keys = side_keys_[id];
-    if (std::find(keys.begin(), keys.end(), key) == keys.end()) keys.push_back(key);
-    if (value.value("c", 0)) scheduler_.put_job(JobSpec(known->spec), known->revision, true, steady_now());
-    return;
+    return record_beside(id, stored);
   }
-  known = scheduler_.job(id);
-  if (known && known->revision >= revision) return;
-  if (value.contains("j")) {
-    if (!put(value, revision)) spdlog::error("unreadable job record {}", key);
+  Job* known = scheduler_.job(id);
+  if (known && known->revision >= stored.revision) return;
+  auto record = parse_job_record(stored.value);
+  if (record.holds_spec) {
+    if (!put(record, stored.revision)) spdlog::error("unreadable job record {}", stored.key);
   } else if (known) {
-    scheduler_.put_job(JobSpec(known->spec), revision, value.value("c", 0) != 0, steady_now());
+    scheduler_.put_job(JobSpec(known->spec), stored.revision, record.cancelled, steady_now());
   } else {
-    to_join_[id] = {std::move(value), revision};
+    to_join_[id] = {std::move(record), stored.revision};
   }
 }
 
-void JobWatcher::join_pieces(std::function<void()> then) {
+void JobWatcher::record_beside(const std::string& job, const codec::KeyValue& stored) {
+  if (!scheduler_.job(job)) return;  // a piece comes before its job, and is read with it
+  auto& keys = side_keys_[job];
+  if (std::find(keys.begin(), keys.end(), stored.key) == keys.end()) keys.push_back(stored.key);
+  if (stored.value.value("c", 0) != 0) cancel(job);
+}
+
+bool JobWatcher::put(const JobRecord& record, std::uint64_t revision) {
+  if (!record.spec) return false;
+  // No controller takes a job with dependencies before all controllers are new.
+  if (!record.spec->dependencies.empty()) callbacks_.upgrade_records(RecordUpgradeReason::JobHasDependencies);
+  double age_s = record.accepted_at ? std::max(0.0, wall_now() - *record.accepted_at) : 0.0;
+  scheduler_.put_job(JobSpec(*record.spec), revision, record.cancelled, steady_now(), age_s);
+  return true;
+}
+
+void JobWatcher::cancel(const std::string& job) {
+  const Job* known = scheduler_.job(job);
+  scheduler_.put_job(JobSpec(known->spec), known->revision, true, steady_now());
+}
+
+std::vector<std::string> JobWatcher::take_side_keys(const std::string& job) {
+  auto side = side_keys_.find(job);
+  if (side == side_keys_.end()) return {};
+  auto keys = std::move(side->second);
+  side_keys_.erase(side);
+  return keys;
+}
+
+// ---------------------------------------------------------------- load
+
+void JobWatcher::load(DoneCallback done) {
+  seen_at_ = steady_now();
+  load_from("", std::move(done));
+}
+
+void JobWatcher::load_from(const std::string& after, DoneCallback done) {
+  auto loaded = [this, done = std::move(done)](const ReadEnd& end) {
+    if (!revision_) revision_ = end.revision;
+    if (!end.ok())
+      return timer_.once(c::kRetryPause, [this, last = end.last, done] { load_from(last, done); });
+    join_pieces(done);
+  };
+  state_.read_all(kJobs, after, term_.guard([this](const codec::KeyValue& stored) { record(stored); }),
+                  term_.guard(std::move(loaded)));
+}
+
+/// Reads the pieces of long records, one record after the other, then goes on.
+void JobWatcher::join_pieces(DoneCallback then) {
   if (to_join_.empty()) {
     joining_ = false;
     return then();
   }
   joining_ = true;
-  std::string id = to_join_.begin()->first, prefix = kJobs + id + "/";
-  auto pieces = std::make_shared<std::map<std::string, Json>>();
+  std::string id = to_join_.begin()->first;
+  auto pieces = std::make_shared<Pieces>();
+  auto read = [this, id, pieces, then = std::move(then)](const ReadEnd& end) {
+    if (!end.ok()) return join_timer_.once(c::kRetryPause, [this, then] { join_pieces(then); });
+    joined(id, *pieces);
+    join_pieces(then);
+  };
   state_.read_all(
-      prefix, "", [pieces](codec::KeyValue& kv) { (*pieces)[kv.key] = std::move(kv.value); },
-      term_.guard([this, id, prefix, pieces, then = std::move(then)](const ReadEnd& end) {
-        if (!end.ok()) return join_timer_.once(c::kRetryPause, [this, then] { join_pieces(then); });
-        auto [value, revision] = std::move(to_join_.at(id));
-        to_join_.erase(id);
-        std::map<int, std::string> in_order;
-        auto& keys = side_keys_[id];
-        keys.clear();
-        for (const auto& [key, piece] : *pieces) {
-          keys.push_back(key);
-          in_order[std::atoi(key.c_str() + prefix.size())] = piece.value("x", "");
-        }
-        std::string text;
-        for (const auto& [n, piece] : in_order) text += piece;
-        value["j"] = Json::parse(text, nullptr, false);
-        if (!put(value, revision)) spdlog::error("unreadable job record {}{}", kJobs, id);
-        join_pieces(then);
-      }));
+      kJobs + id + "/", "",
+      [pieces](const codec::KeyValue& stored) { (*pieces)[stored.key] = parse_job_piece(stored.value); },
+      term_.guard(std::move(read)));
+}
+
+void JobWatcher::joined(const std::string& job, const Pieces& pieces) {
+  LongRecord long_record = std::move(to_join_.at(job));
+  to_join_.erase(job);
+  const std::size_t prefix = kJobs.size() + job.size() + 1;
+  std::map<int, std::string> in_order;
+  auto& keys = side_keys_[job];
+  keys.clear();
+  for (const auto& [key, text] : pieces) {
+    keys.push_back(key);
+    in_order[std::atoi(key.c_str() + prefix)] = text;
+  }
+  std::string text;
+  for (const auto& [number, piece] : in_order) text += piece;
+  long_record.record.spec = parse_joined_spec(text);
+  if (!put(long_record.record, long_record.revision)) spdlog::error("unreadable job record {}{}", kJobs, job);
 }
 
+// ---------------------------------------------------------------- watch
+
+/// Guards against cancels that nobody told us of while an answer is lost: what was not seen by a watch that
+/// was sent later counts as unknown (CancelAcknowledgements), so a watch does not wait for long.
 void JobWatcher::follow() {
-  // Guards against cancels that nobody told us of while an answer is lost: what was not seen by a watch that
-  // was sent later counts as unknown (Leader::knows_cancels_at), so a watch does not wait for long.
-  state_.watch(kJobs, revision_, c::kJobsWait, term_.guard([this](StateReply reply) {
-    if (reply.ok()) {
-      lost_watches_ = 0;
-      seen_at_ = std::max(seen_at_, reply.sent_at);
-      auto events = codec::parse_events(reply.body);
-      // Removals are our own, of jobs that are over.
-      for (auto& e : events.events)
-        if (e.value) record(e.key, std::move(*e.value), e.revision);
-      if (!to_join_.empty() && !joining_) join_pieces(callbacks_.changed);
-      revision_ = std::max(revision_, events.revision);
-      follow();
-      return callbacks_.changed();
-    }
-    // Too old; or, since an answer holds all changes however many, too large for us to take.
-    bool lost = reply.status == StateStatus::Unanswered;
-    lost_watches_ = lost ? lost_watches_ + 1 : 0;
-    if (reply.status == StateStatus::Missing || lost_watches_ >= c::kLostWatchLimit) return read_again();
-    timer_.once(c::kRetryPause, [this] { follow(); });
-  }));
-}
-
-/// Changes in between are lost: everything is read once more, to its last page, and what is in the book but
-/// no longer in the store is looked into.
+  state_.watch(kJobs, revision_, kWatchJobsWait,
+               term_.guard([this](const StateReply& reply) { watched(reply); }));
+}
+
+void JobWatcher::watched(const StateReply& reply) {
+  if (!reply.ok()) return watch_failed(reply);
+  lost_watches_ = 0;
+  seen_at_ = std::max(seen_at_, reply.sent_at);
+  auto events = codec::parse_events(reply.body);
+  for (auto& event : events.events) {
+    if (!event.value) continue;  // a removal is our own, of a job that is over
+    record({event.key, std::move(*event.value), event.revision});
+  }
+  join_new_pieces();
+  revision_ = std::max(revision_, events.revision);
+  follow();
+  callbacks_.changed();
+}
+
+/// The revision is too old; or, since an answer holds all changes however many, it is too large for us to
+/// take.
+void JobWatcher::watch_failed(const StateReply& reply) {
+  bool lost = reply.status == StateStatus::Unanswered;
+  lost_watches_ = lost ? lost_watches_ + 1 : 0;
+  if (reply.status == StateStatus::Missing || lost_watches_ >= c::kLostWatchLimit) return read_again();
+  timer_.once(c::kRetryPause, [this] { follow(); });
+}
+
+void JobWatcher::join_new_pieces() {
+  if (!to_join_.empty() && !joining_) join_pieces(callbacks_.changed);
+}
+
+/// Changes in between are lost: everything is read once more, to its last page, and the jobs that the
+/// scheduler has and the store no longer has are reported.
 void JobWatcher::read_again() {
   lost_watches_ = 0;
   double since = steady_now();
   auto seen = std::make_shared<std::unordered_set<std::string>>();
-  state_.read_all(kJobs, "", term_.guard([this, seen](codec::KeyValue& kv) {
-    std::string id = kv.key.substr(kJobs.size());
+  auto each = [this, seen](const codec::KeyValue& stored) {
+    std::string id = stored.key.substr(kJobs.size());
     if (id.find('/') == std::string::npos) seen->insert(id);
-    record(kv.key, std::move(kv.value), kv.revision);
-  }),
-                  term_.guard([this, seen, since](const ReadEnd& end) {
-                    if (!end.ok()) return timer_.once(c::kRetryPause, [this] { read_again(); });
-                    seen_at_ = std::max(seen_at_, since);
-                    std::vector<std::string> missing;
-                    for (const auto& [id, job] : scheduler_.jobs())
-                      if (job.revision <= end.revision && !seen->count(id)) missing.push_back(id);
-                    for (const auto& id : missing) vanished_(id);
-                    if (!to_join_.empty() && !joining_) join_pieces(callbacks_.changed);
-                    revision_ = end.revision;
-                    follow();
-                    callbacks_.changed();
-                  }));
-}
-
-/// How awaited jobs ended that this leader has not seen end.
+    record(stored);
+  };
+  auto done = [this, seen, since](const ReadEnd& end) {
+    if (!end.ok()) return timer_.once(c::kRetryPause, [this] { read_again(); });
+    read_again_done(end, *seen, since);
+  };
+  state_.read_all(kJobs, "", term_.guard(std::move(each)), term_.guard(std::move(done)));
+}
+
+void JobWatcher::read_again_done(const ReadEnd& end, const std::unordered_set<std::string>& seen,
+                                 double since) {
+  seen_at_ = std::max(seen_at_, since);
+  std::vector<std::string> missing;
+  for (const auto& [id, job] : scheduler_.jobs())
+    if (job.revision <= end.revision && !seen.count(id)) missing.push_back(id);
+  for (const auto& id : missing) vanished_(id);
+  join_new_pieces();
+  revision_ = end.revision;
+  follow();
+  callbacks_.changed();
+}
+
+// ---------------------------------------------------------------- dependencies
+
 void JobWatcher::look_up_dependencies() {
   double now = steady_now();
-  // One that is in neither place was accepted just now: its event is on the way.
-  if (now - asked_at_ > c::kKnownJob) asked_.clear(), asked_at_ = now;
+  // One that is neither unfinished nor ended was accepted just now: its event is on the way.
+  if (now - asked_at_ > c::kKnownJob) {
+    asked_.clear();
+    asked_at_ = now;
+  }
   for (const auto& id : scheduler_.unknown()) {
-    if (reads_ >= c::kOutcomeReads) return;
+    if (outcome_reads_in_flight_ >= c::kOutcomeReads) return;
     if (!asked_.insert(id).second) continue;
-    ++reads_;
-    state_.get(kFinals + id, term_.guard([this, id](StateReply reply) {
-      --reads_;
-      auto kv = reply.ok() ? codec::parse_value(reply.body) : std::nullopt;
-      if (!kv && reply.status != StateStatus::Missing) asked_.erase(id);
-      if (kv) {
-        auto phase = kv->value.value("p", "");
-        // A record of the first version does not say when: then its dependents count from their
-        // own acceptance.
-        double at = kv->value.contains("t")
-                        ? steady_now() - std::max(0.0, wall_now() - kv->value.value("t", 0.0))
-                        : -1e9;
-        if (phase == "done" || phase == "cancelled")
-          scheduler_.outcome(id, phase == "done" ? Scheduler::Outcome::Done : Scheduler::Outcome::Cancelled,
-                             at);
-      }
-      if (reply.status == StateStatus::Refused) return;  // the tick asks again
-      callbacks_.changed();
-    }));
+    ++outcome_reads_in_flight_;
+    state_.get(kFinals + id, term_.guard([this, id](const StateReply& reply) { outcome_read(id, reply); }));
   }
 }
 
-std::vector<std::string> JobWatcher::take_side_keys(const std::string& job) {
-  auto side = side_keys_.find(job);
-  if (side == side_keys_.end()) return {};
-  auto keys = std::move(side->second);
-  side_keys_.erase(side);
-  return keys;
+void JobWatcher::outcome_read(const std::string& job, const StateReply& reply) {
+  --outcome_reads_in_flight_;
+  auto kv = reply.ok() ? codec::parse_value(reply.body) : std::nullopt;
+  if (!kv && reply.status != StateStatus::Missing) asked_.erase(job);
+  if (kv) apply_outcome(job, parse_job_outcome(kv->value));
+  if (reply.status == StateStatus::Refused) return;  // the tick asks again
+  callbacks_.changed();
+}
+
+void JobWatcher::apply_outcome(const std::string& job, const JobOutcomeRecord& outcome) {
+  // Where the record does not say when, the job's dependents count from their own acceptance.
+  double ended_at = kLongAgo;
+  if (outcome.ended_at) ended_at = steady_now() - std::max(0.0, wall_now() - *outcome.ended_at);
+  if (outcome.phase == "done") scheduler_.outcome(job, Scheduler::Outcome::Done, ended_at);
+  if (outcome.phase == "cancelled") scheduler_.outcome(job, Scheduler::Outcome::Cancelled, ended_at);
 }
 
 }  // namespace corkmux
--- a/src/leader/leader.cc
+++ b/src/leader/leader.cc
@@ -5,9 +5,6 @@
 #include <algorithm>
 
 #include "constants.h"
-#include "heartbeat_fanin_constants.h"
-#include "leader_constants.h"
-#include "store_keys.h"
 
 namespace corkmux {
 namespace c = constants;
@@ -21,16 +18,7 @@
       cloud_(cloud),
       catalog_(catalog),
       callbacks_(std::move(callbacks)),
-      election_(
-          loop, settings.label, state,
-          {[this] { return !catalog_.types().empty(); },
-           [this](const Election::ElectionResult& w) { won(w); }, [this](const char* why) { step_down(why); },
-           [this](double sent_at) {
-             if (!leadership_) return;
-             leadership_->term.confirmed(sent_at);
-             answer_parked();
-           },
-           [this](std::string label, std::uint64_t term) { callbacks_.leader_changed(label, term); }}),
+      election_(loop, settings.label, state, election_callbacks()),
       record_formats_(loop, settings, state),
       tick_timer_(loop),
       cycle_timer_(loop),
@@ -43,37 +31,60 @@
 }
 Leader::~Leader() = default;
 
+Election::Callbacks Leader::election_callbacks() {
+  Election::Callbacks callbacks;
+  callbacks.ready = [this] { return !catalog_.types().empty(); };
+  callbacks.won = [this](const ElectionResult& result) { won(result); };
+  callbacks.lost = [this](StepDownReason reason) { step_down(reason); };
+  callbacks.renewed = [this](double sent_at) {
+    if (!leadership_) return;
+    leadership_->term.confirmed(sent_at);
+    answer_parked();
+  };
+  callbacks.known = [this](std::string label, std::uint64_t term) {
+    callbacks_.leader_changed(std::move(label), term);
+  };
+  return callbacks;
+}
+
+TermCallbacks Leader::term_callbacks() {
+  const Term& term = leadership_->term;
+  TermCallbacks callbacks;
+  callbacks.changed = term.guard([this] { react(); });
+  callbacks.step_down = term.guard([this](StepDownReason reason) { step_down(reason); });
+  callbacks.upgrade_records =
+      term.guard([this](RecordUpgradeReason reason) { leadership_->record_upgrade->upgrade(reason); });
+  return callbacks;
+}
+
 void Leader::start() {
   record_formats_.declare();
   election_.start();
 }
 
-// ---------------------------------------------------------------- a term begins and ends
+// ---------------------------------------------------------------- a term begins
 
-void Leader::won(const Election::ElectionResult& w) {
-  spdlog::info("leading under term {}", w.term);
-  leadership_ = std::make_unique<LeadershipState>();
+void Leader::won(const ElectionResult& result) {
+  spdlog::info("leading under term {}", result.term);
+  double now = steady_now();
+  leadership_ = std::make_unique<LeadershipState>(settings_, now);
   Term& term = leadership_->term;
-  term.number = w.term;
-  term.revision = w.revision;
-  term.since = leadership_->last_report = leadership_->last_tick = steady_now();
-  term.confirmed(w.confirmed_at);
-  leadership_->callbacks = {term.guard([this] { react(); }),
-                            term.guard([this](const char* why) { step_down(why); }),
-                            term.guard([this](const char* why) { upgrade_records(why); })};
+  term.number = result.term;
+  term.revision = result.revision;
+  term.since = now;
+  term.confirmed(result.confirmed_at);
+  leadership_->callbacks = term_callbacks();
   load();
 }
 
 void Leader::load() {
-  record_formats_.read(
-      leadership_->term.guard([this](std::optional<RecordFormatNegotiation::RecordFormats> formats) {
-        if (!formats) return retry_timer_.once(c::kRetryPause, leadership_->term.guard([this] { load(); }));
-        build(formats->v1_tasks_per_record, formats->all_read_v2);
-      }));
+  record_formats_.read(leadership_->term.guard([this](const std::optional<RecordFormats>& formats) {
+    if (formats) return build(*formats);
+    retry_timer_.once(c::kRetryPause, leadership_->term.guard([this] { load(); }));
+  }));
 }
 
-void Leader::build(int v1_tasks_per_record, bool all_read_v2) {
-  LeadershipState& r = *leadership_;
+SchedulerConfig Leader::scheduler_config(int v1_tasks_per_record) const {
   SchedulerConfig config;
   config.report_s = settings_.report_s;
   config.lease_s = settings_.lease_s;
@@ -89,111 +100,119 @@
   config.finish_within = settings_.finish_within;
   config.guarantee_within = settings_.guarantee_within;
   config.details = spdlog::should_log(spdlog::level::debug);
-  r.scheduler = std::make_unique<Scheduler>(std::move(config), r.term.number, r.term.since, r.term.number);
-  r.scheduler->set_catalog(catalog_.types());
-  r.dependency_barrier = std::make_unique<DependencyBarrier>(dependency_barrier_at_);
-  if (all_read_v2) upgrade_records("each has said so");
-  r.job_watcher = std::make_unique<JobWatcher>(
-      loop_, state_, r.term, *r.scheduler, r.callbacks,
-      r.term.guard([this](const std::string& id) { leadership_->writer->vanished(id); }));
-  r.writer = std::make_unique<StoreWriter>(
-      loop_, settings_, state_, r.term, *r.scheduler, *r.job_watcher, r.callbacks,
-      r.term.guard([this](codec::JobView v) { callbacks_.views({std::move(v)}); }));
-  r.command_batch = std::make_unique<CommandDispatcher>(loop_, settings_, r.term, *r.scheduler, r.callbacks,
-                                                        callbacks_.relay);
-  r.fleet = std::make_unique<MachineProvisioner>(
-      loop_, settings_, choices_, cloud_, r.term, *r.scheduler, r.callbacks,
-      r.term.guard([this](const std::string& machine) { leadership_->command_batch->inspect(machine); }));
-  r.leases =
-      std::make_unique<LeaseExpiryMonitor>(loop_, settings_, state_, r.term, *r.scheduler, r.callbacks);
-  r.loader = std::make_unique<StateLoader>(
-      loop_, state_, r.term, *r.scheduler, *r.job_watcher,
-      StateLoader::Callbacks{
-          r.term.guard([this](std::vector<std::string> garbage) { begin_leading(std::move(garbage)); }),
-          r.term.guard([this](const std::string& key) {
-            spdlog::error("{} has a form that this version does not read", key);
-            give_up("a newer version's records", settings_.lease_s);
-          })});
-  r.loader->start();
+  return config;
+}
+
+void Leader::build(const RecordFormats& formats) {
+  LeadershipState& state = *leadership_;
+  state.scheduler = std::make_unique<Scheduler>(scheduler_config(formats.v1_tasks_per_record),
+                                                state.term.number, state.term.since, state.term.number);
+  state.scheduler->set_catalog(catalog_.types());
+  state.record_upgrade = std::make_unique<RecordFormatUpgrade>(record_formats_, *state.scheduler, state.term);
+  if (formats.all_read_v2) state.record_upgrade->upgrade(RecordUpgradeReason::AllControllersDeclared);
+  build_actors();
+  state.loader->start();
+}
+
+void Leader::build_actors() {
+  LeadershipState& state = *leadership_;
+  const Term& term = state.term;
+  Scheduler& scheduler = *state.scheduler;
+  state.job_watcher = std::make_unique<JobWatcher>(
+      loop_, state_, state.term, scheduler, state.callbacks,
+      term.guard([this](const std::string& job) { leadership_->writer->vanished(job); }));
+  state.cancels = std::make_unique<CancelAcknowledgements>(term, *state.job_watcher);
+  state.dependency_barrier = std::make_unique<DependencyBarrierPublisher>(
+      settings_, state_, term, scheduler, *state.job_watcher, dependency_barrier_at_);
+  state.writer = std::make_unique<StoreWriter>(
+      loop_, settings_, state_, state.term, scheduler, *state.job_watcher, state.callbacks,
+      term.guard([this](codec::JobView view) { callbacks_.views({std::move(view)}); }));
+  state.dispatcher = std::make_unique<CommandDispatcher>(loop_, settings_, state.term, scheduler,
+                                                         state.callbacks, callbacks_.relay);
+  state.provisioner = std::make_unique<MachineProvisioner>(
+      loop_, settings_, choices_, cloud_, state.term, scheduler, state.callbacks,
+      term.guard([this](const std::string& machine) { leadership_->dispatcher->inspect(machine); }));
+  state.lease_monitor =
+      std::make_unique<LeaseExpiryMonitor>(loop_, settings_, state_, state.term, scheduler, state.callbacks);
+  state.loader = std::make_unique<StateLoader>(loop_, state_, state.term, scheduler, *state.job_watcher,
+                                               loader_callbacks());
+}
+
+StateLoader::Callbacks Leader::loader_callbacks() {
+  const Term& term = leadership_->term;
+  StateLoader::Callbacks callbacks;
+  callbacks.loaded =
+      term.guard([this](std::vector<std::string> garbage) { begin_leading(std::move(garbage)); });
+  callbacks.too_new = term.guard([this](const std::string& key) {
+    spdlog::error("{} has a record format that this version does not read", key);
+    give_up(StepDownReason::UnreadableRecords, settings_.lease_s);
+  });
+  return callbacks;
 }
 
 void Leader::begin_leading(std::vector<std::string> garbage) {
-  LeadershipState& r = *leadership_;
-  r.leading = true;
-  r.last_tick = steady_now();
-  spdlog::info("{} jobs loaded in {:.0f} ms", r.scheduler->jobs().size(),
-               1e3 * (steady_now() - r.term.since));
-  r.writer->remove_later(std::move(garbage));
-  tick_timer_.every(c::kLeaderTick, [this] { tick(); });
-  r.job_watcher->follow();
-  r.fleet->start();
+  LeadershipState& state = *leadership_;
+  state.loaded = true;
+  state.stall_detector.reset(steady_now());
+  spdlog::info("{} jobs loaded in {:.0f} ms", state.scheduler->jobs().size(),
+               1e3 * (steady_now() - state.term.since));
+  state.writer->remove_later(std::move(garbage));
+  tick_timer_.every(kTickInterval, [this] { tick(); });
+  state.job_watcher->follow();
+  state.provisioner->start();
   answer_parked();
   react();
 }
 
-void Leader::answer_parked() {
-  if (!leading() || !resumed() || leadership_->parked_heartbeats.empty()) return;
-  bool outermost = !std::exchange(in_batch_, true);
-  for (auto& p : std::exchange(leadership_->parked_heartbeats, {}))
-    if (leadership_)
-      handle(p);
-    else
-      p.reply(503, "");
-  if (outermost) in_batch_ = false;
-  react();
-}
+// ---------------------------------------------------------------- a term ends
 
-void Leader::step_down(const char* why) {
+void Leader::step_down(StepDownReason reason) {
   if (!leadership_) return;
-  spdlog::warn("no longer leading: {}", why);
-  for (auto* t : {&tick_timer_, &cycle_timer_, &retry_timer_}) t->stop();
+  spdlog::warn("no longer leading: {}", to_string(reason));
+  for (auto* timer : {&tick_timer_, &cycle_timer_, &retry_timer_}) timer->stop();
   leadership_->term.end();
   // Its actors may be the ones that speak: they are freed in a later turn.
   std::shared_ptr<LeadershipState> over(std::move(leadership_));
   loop_.post([over] {});
-  for (auto& p : std::exchange(over->parked_heartbeats, {})) p.reply(503, "");
+  for (auto& parked : over->parked_heartbeats.take_all()) parked.reply({});
   election_.step_down();
 }
 
 /// Makes way for another leader, which is given the time to be chosen.
-void Leader::give_up(const char* why, double pause_s) {
+void Leader::give_up(StepDownReason reason, double pause_s) {
   election_.resign(pause_s);
-  step_down(why);
+  step_down(reason);
 }
 
 void Leader::newer_term(std::uint64_t term) {
-  if (leadership_ && term > leadership_->term.number) step_down("a peer knows a newer leader");
+  if (leadership_ && term > leadership_->term.number) step_down(StepDownReason::PeerKnowsNewerLeader);
 }
 
-void Leader::upgrade_records(const char* why) {
-  if (leadership_->scheduler->uses_v2_records()) return;
-  spdlog::info("all controllers read the second form of records: {}", why);
-  leadership_->scheduler->use_v2_records();
-}
-
-void Leader::resign(std::function<void()> done) {
+void Leader::resign(DoneCallback done) {
   election_.abstain();
   if (!leading()) {
     // A load is not worth waiting for: nothing has been written under the term.
-    if (leadership_) give_up("an orderly end", 0);
+    if (leadership_) give_up(StepDownReason::Shutdown, 0);
     return done();
   }
   leadership_->term.resigning = true;
-  finish_resigning(steady_now() + c::kResignTime, std::move(done));
+  finish_resigning(steady_now() + kShutdownTimeout, std::move(done));
 }
 
-void Leader::finish_resigning(double until, std::function<void()> done) {
+void Leader::finish_resigning(double until, DoneCallback done) {
   if (!leadership_) return done();
-  if (steady_now() < until && !(leadership_->writer->idle() && leadership_->command_batch->idle()))
-    return resign_timer_.once(c::kResignLook,
-                              [this, until, done = std::move(done)] { finish_resigning(until, done); });
-  // What is unanswered now is shut out: writes by the removal of the record that they are conditioned on,
-  // orders by the successor's higher tokens, as after a crash.
+  bool idle = leadership_->writer->idle() && leadership_->dispatcher->idle();
+  if (steady_now() < until && !idle) {
+    auto poll = [this, until, done = std::move(done)] { finish_resigning(until, done); };
+    return resign_timer_.once(kShutdownPollInterval, std::move(poll));
+  }
+  // What is unanswered now is made to fail: writes by the removal of the record that they are conditioned on,
+  // commands by the successor's higher fencing tokens, as after a crash.
   election_.resign(0, std::move(done));
-  step_down("an orderly end");
+  step_down(StepDownReason::Shutdown);
 }
 
-// ---------------------------------------------------------------- what others say
+// ---------------------------------------------------------------- cancels that peers know
 
 void Leader::cancelled(const std::vector<std::string>& jobs) {
   if (!leading()) return;
@@ -204,143 +223,37 @@
   react();
 }
 
-/// Guards against a cancel that the state service has and we have not seen, since an answer to our watch was
-/// lost: a term that is confirmed says nothing of that.
 void Leader::peers_heard(double asked_at, double youngest) {
-  if (leading() && youngest < std::min(leadership_->term.contact, leadership_->job_watcher->seen_at()))
-    leadership_->cancels_acknowledged_until = std::max(leadership_->cancels_acknowledged_until, asked_at);
-}
-
-double Leader::knows_cancels_at() const {
-  const LeadershipState& r = *leadership_;
-  return std::max(std::min(r.term.contact, r.job_watcher->seen_at()), r.cancels_acknowledged_until);
-}
-
-void Leader::heartbeat(Heartbeat r, Way way, HeartbeatReply reply) {
-  take({std::move(r), way, "", std::move(reply)});
-}
-
-void Leader::take(Incoming incoming) {
-  if (!leadership_) return incoming.reply(503, "");
-  if (leading() && resumed()) return handle(incoming);
-  // After all controllers ended every worker comes at once: what waits for the load is bounded.
-  auto most = std::max(static_cast<std::size_t>(settings_.max_connections),
-                       static_cast<std::size_t>(settings_.mem_mb * 1024 * 1024 *
-                                                c::kParkedHeartbeatMemoryShare / c::kParkedHeartbeatBytes));
-  if (leadership_->parked_heartbeats.size() >= most) return incoming.reply(503, "");
-  leadership_->parked_heartbeats.push_back(std::move(incoming));
-}
-
-void Leader::handle(const Incoming& incoming) {
-  const Heartbeat& r = incoming.heartbeat;
-  double now = steady_now();
-  Scheduler& scheduler = *leadership_->scheduler;
-  // Mail says nothing of whether workers reach us, see check_reach().
-  if (incoming.way == Way::Direct) leadership_->last_report = now;
-  // Without word from the state service we may have been replaced, and cancels go unseen: workers are kept
-  // alive only as long as a cancel can still be met.
-  if (now - knows_cancels_at() > scheduler.config().keepalive()) return incoming.reply(503, "");
-  if (spdlog::should_log(spdlog::level::debug) && !scheduler.machine(r.machine))
-    spdlog::debug("machine {} reports for the first time: {} in {}", r.machine, r.type, r.zone);
-  // Guards against orders into a cut: each would wait in vain while the launches could go with this answer.
-  if (incoming.way == Way::StoreRelay) scheduler.set_unreachable(r.machine, now);
-  auto result = scheduler.on_heartbeat(r, Scheduler::Channel::Heartbeat, now);
-  if (result.superseded) {
-    incoming.reply(503, "");
-    return election_.verify();
-  }
-  leadership_->command_batch->served_by(r.machine, incoming.server);
-  scheduler.answered(r.machine, now);
-  incoming.reply(200,
-                 codec::pack(codec::commands_to_wire(result.fencing_token, result.commands, std::nullopt)));
-  react();
-}
-
-int Leader::machines_up() const {
-  if (!leading()) return 0;
-  int up = 0;
-  for (const auto& [name, m] : leadership_->scheduler->machines()) up += m.up && !m.decommissioning;
-  return up;
+  if (leading()) leadership_->cancels->peers_acknowledged(asked_at, youngest);
 }
 
-// ---------------------------------------------------------------- batches of serving controllers
-
-/// A batch whose reports are being answered.
-struct Leader::OpenBatch {
-  HeartbeatReply reply;
-  std::size_t open = 0;
-  std::vector<fanin::HeartbeatAnswer> answers;
-  void answer(std::uint64_t id, int status, std::string body) {
-    answers.push_back({id, status, std::move(body)});
-    if (--open == 0) reply(200, fanin::pack(answers));
-  }
-};
-
-void Leader::batch(fanin::HeartbeatBatch batch, HeartbeatReply reply) {
-  if (!leadership_) return reply(503, "");
-  if (batch.from == settings_.label) batch.from.clear();  // workers that wait with ourselves
-  bool outermost = !std::exchange(in_batch_, true);
-  if (leading())
-    for (const auto& outcome : batch.outcomes) leadership_->command_batch->outcome(outcome);
-  auto open = std::make_shared<OpenBatch>();
-  open->reply = std::move(reply);
-  open->open = batch.heartbeats.size() + 1;
-  for (const auto& forwarded : batch.heartbeats) {
-    auto answer = [open, id = forwarded.id](int status, std::string body) {
-      open->answer(id, status, std::move(body));
-    };
-    auto heartbeat = leadership_ ? full_heartbeat(forwarded) : std::nullopt;
-    if (heartbeat)
-      take({std::move(*heartbeat), Way::Direct, batch.from, answer});
-    else
-      answer(!leadership_ ? 503 : forwarded.body.empty() ? fanin::kFullHeartbeatRequired : 400, "");
-  }
-  if (--open->open == 0) open->reply(200, fanin::pack(open->answers));
-  if (outermost) in_batch_ = false;
-  react();
-}
+// ---------------------------------------------------------------- what follows from a change
 
-/// What a forwarded report says. No value: it is malformed, or unchanged since one that is not known here.
-std::optional<Heartbeat> Leader::full_heartbeat(const fanin::ForwardedHeartbeat& forwarded) {
-  auto& known = leadership_->full_heartbeats;
-  if (!forwarded.body.empty()) {
-    auto parsed = codec::unpack(forwarded.body);
-    auto heartbeat = parsed ? codec::parse_heartbeat(*parsed) : std::nullopt;
-    if (heartbeat) known[heartbeat->machine] = *heartbeat;
-    return heartbeat;
-  }
-  auto last = known.find(forwarded.machine);
-  if (last == known.end() || last->second.worker_epoch != forwarded.worker_epoch ||
-      last->second.seq != forwarded.same_as || forwarded.number <= forwarded.same_as)
-    return std::nullopt;
-  Heartbeat heartbeat = last->second;
-  heartbeat.seq = forwarded.number;
-  return heartbeat;
+void Leader::react() {
+  if (!leading() || reaction_deferred_) return;
+  LeadershipState& state = *leadership_;
+  for (const auto& note : state.scheduler->take_notes()) spdlog::info("{}", note);
+  for (const auto& detail : state.scheduler->take_details()) spdlog::debug("{}", detail);
+  if (!state.scheduler->unknown().empty()) state.job_watcher->look_up_dependencies();
+  if (resumed()) state.dispatcher->flush();
+  state.writer->pump();
+  if (auto barrier_at = state.dependency_barrier->update()) dependency_barrier_at_ = *barrier_at;
+  if (state.scheduler->wants_cycle()) schedule_cycle();
 }
 
-// ---------------------------------------------------------------- what follows
-
-void Leader::react() {
-  if (!leading() || in_batch_) return;
-  LeadershipState& r = *leadership_;
-  for (const auto& note : r.scheduler->take_notes()) spdlog::info("{}", note);
-  for (const auto& detail : r.scheduler->take_details()) spdlog::debug("{}", detail);
-  if (!r.scheduler->unknown().empty()) r.job_watcher->look_up_dependencies();
-  if (resumed()) r.command_batch->flush();
-  r.writer->pump();
-  note_settled();
-  if (r.scheduler->wants_cycle() && !cycle_timer_.active() && !r.term.resigning) {
-    double wait = std::max(0.005, r.last_cycle + c::kSchedulingInterval - steady_now());
-    cycle_timer_.once(wait, [this] { run_scheduling_cycle(); });
-  }
+void Leader::schedule_cycle() {
+  if (cycle_timer_.active() || leadership_->term.resigning) return;
+  double pause_s = std::max(kMinCycleDelay, leadership_->cycle_at + kSchedulingInterval - steady_now());
+  cycle_timer_.once(pause_s, [this] { run_scheduling_cycle(); });
 }
 
 void Leader::run_scheduling_cycle() {
   if (!leading() || leadership_->term.resigning) return;
-  double now = leadership_->last_cycle = steady_now();
-  // Without the state service nothing can be started; bids would only pile up.
+  double now = steady_now();
+  leadership_->cycle_at = now;
+  // Without the state store nothing can be started; bids would only pile up.
   if (awake() && leadership_->term.fresh(now)) leadership_->scheduler->schedule(now);
-  spdlog::debug("placed in {:.1f} ms", 1e3 * (steady_now() - now));
+  spdlog::debug("scheduling cycle took {:.1f} ms", 1e3 * (steady_now() - now));
   react();
 }
 
@@ -348,111 +261,83 @@
 
 void Leader::tick() {
   if (!leading()) return;
-  LeadershipState& r = *leadership_;
+  LeadershipState& state = *leadership_;
   double now = steady_now();
-  const bool certain = awake();
-  bool away = !r.term.fresh(now);
-  if (away != r.state_away) {
-    r.state_away = away;
-    spdlog::warn(away ? "the state service is away: tasks are kept alive, nothing new is started"
-                      : "the state service is back");
-  }
-  if (certain) {
-    poll_record_formats();
-    r.scheduler->tick(now);
-    r.leases->tick();
-  }
-  r.command_batch->sweep();
-  if (now - r.forgot_at > c::kForgetEvery) {
-    r.forgot_at = now;
-    r.command_batch->forget_machines();
-    std::erase_if(r.full_heartbeats, [&](const auto& known) { return !r.scheduler->machine(known.first); });
+  const bool confirmed = awake();
+  note_state_store(!state.term.fresh(now));
+  if (confirmed) {
+    state.record_upgrade->poll();
+    state.scheduler->tick(now);
+    state.lease_monitor->tick();
   }
+  state.dispatcher->sweep();
+  forget_unknown_machines(now);
   push_views();
-  check_reach();
+  check_worker_reachability();
   answer_parked();
   react();
 }
 
-/// Guards against a process that stood still while its clocks ran on, and finds out wherever it is woken: the
-/// silence that it finds is its own, leases that seem over were renewed by whoever leads by now, and until
-/// the state service has confirmed the term nothing that it knows is more than a memory.
+void Leader::note_state_store(bool away) {
+  if (std::exchange(leadership_->state_store_away, away) == away) return;
+  spdlog::warn(away ? "the state service is away: tasks are kept alive, nothing new is started"
+                    : "the state service is back");
+}
+
+void Leader::forget_unknown_machines(double now) {
+  LeadershipState& state = *leadership_;
+  if (now - state.machines_forgotten_at <= kForgetInterval) return;
+  state.machines_forgotten_at = now;
+  state.dispatcher->forget_unknown_machines();
+  state.heartbeat_deltas.forget_unknown_machines(*state.scheduler);
+}
+
+/// Guards against a process that stalled while its clocks ran on, and finds out wherever it is woken: the
+/// silence that it finds is its own, leases that seem expired were renewed by whoever leads by now, and until
+/// the state store has confirmed the term nothing that it knows is more than a memory.
 bool Leader::awake() {
-  LeadershipState& r = *leadership_;
+  LeadershipState& state = *leadership_;
   double now = steady_now();
-  if (now - r.last_tick > c::kStallThreshold) {
+  if (auto stalled_s = state.stall_detector.check(now)) {
     spdlog::warn(
-        "stood still for {:.1f} s: nothing is judged by time until workers and the state service spoke",
-        now - r.last_tick);
-    r.term.woke_at = now;
-    r.last_report = now;
-    r.scheduler->process_stalled(now);
+        "stalled for {:.1f} s: nothing is judged by time until workers and the state service were heard",
+        *stalled_s);
+    state.term.woke_at = now;
+    state.reachability.heard(now);
+    state.scheduler->process_stalled(now);
     election_.renew_now();
   }
-  r.last_tick = now;
-  return r.term.awake();
+  return state.term.awake();
 }
 
-/// In an outage the state service confirms nothing, and workers that nobody answers lose their tasks.
-bool Leader::resumed() { return awake() || steady_now() - leadership_->term.woke_at > c::kResumeTime; }
+/// In an outage the state store confirms nothing, and workers that nobody answers lose their tasks.
+bool Leader::resumed() { return awake() || steady_now() - leadership_->term.woke_at > kResumeTimeout; }
 
-void Leader::poll_record_formats() {
-  LeadershipState& r = *leadership_;
+void Leader::check_worker_reachability() {
+  const LeadershipState& state = *leadership_;
   double now = steady_now();
-  if (r.scheduler->uses_v2_records() || r.polling_formats ||
-      now - r.formats_polled_at <= c::kRecordFormatPollInterval)
-    return;
-  r.polling_formats = true;
-  r.formats_polled_at = now;
-  record_formats_.read(r.term.guard([this](std::optional<RecordFormatNegotiation::RecordFormats> formats) {
-    leadership_->polling_formats = false;
-    if (formats && formats->all_read_v2) upgrade_records("each has said so");
-  }));
+  if (!state.reachability.silent(now) || !state.term.fresh(now) || state.term.resigning) return;
+  if (state.reachability.lost(now, machines_up()))
+    give_up(StepDownReason::WorkersUnreachable, settings_.lease_s / 2);
 }
 
-void Leader::check_reach() {
-  // Guards against a leader that has the state service but no worker: with several machines up, no report at
-  // all for much longer than an interval means that the network to us is cut. Another must lead before the
-  // workers' leases run out. A new leader gives the workers time to find it first.
-  LeadershipState& r = *leadership_;
-  double now = steady_now();
-  double patience = c::kUnheardReports * settings_.report_s + 1;
-  double since = std::max(r.last_report, r.term.since + c::kCommandTimeout);
-  if (now - since < patience || !r.term.fresh(now) || r.term.resigning) return;
+int Leader::machines_up() const {
+  if (!leading()) return 0;
   int up = 0;
-  for (const auto& [name, m] : r.scheduler->machines()) up += m.up && !m.decommissioning;
-  if (up < c::kUnheardMachines) return;
-  give_up("no worker reaches us", settings_.lease_s / 2);
-}
-
-/// Guards against a job called queued long after one that it needs was cancelled, where no leader could store
-/// its end meanwhile, for want of a leader or of the state service. All controllers are told how far that is
-/// done, by the greetings of peers and, where those are cut, by a record; beyond it they do not answer for
-/// such a job.
-void Leader::note_settled() {
-  LeadershipState& r = *leadership_;
-  double seen = r.job_watcher->seen_at();
-  if (!r.dependency_barrier->news(seen) || r.job_watcher->joining()) return;
-  dependency_barrier_at_ = r.dependency_barrier->look(seen, r.scheduler->dependents_of_cancelled(),
-                                                      !r.scheduler->unknown().empty());
-  double now = steady_now();
-  if (dependency_barrier_at_ < 0 || !r.scheduler->has_dependencies() ||
-      now - r.barrier_written_at < c::kBarrierWriteShare * settings_.cancel_s)
-    return;
-  r.barrier_written_at = now;
-  state_.txn({{kLeaderKey, r.term.revision}},
-             {{kDependencyBarrierKey, codec::Json{{"t", wall_now() - (now - dependency_barrier_at_)}}, 0}},
-             [](StateReply) {});
+  for (const auto& [name, machine] : leadership_->scheduler->machines())
+    up += machine.up && !machine.decommissioning;
+  return up;
 }
 
 void Leader::push_views() {
   std::vector<codec::JobView> views;
   Scheduler& scheduler = *leadership_->scheduler;
-  for (const auto& id : scheduler.take_changed())
-    if (const Job* job = scheduler.job(id)) {
-      int running = scheduler.running(*job);
-      views.push_back({id, running ? "running" : "queued", job->done, running, scheduler.reason(*job)});
-    }
+  for (const auto& id : scheduler.take_changed()) {
+    const Job* job = scheduler.job(id);
+    if (!job) continue;
+    int running = scheduler.running(*job);
+    views.push_back({id, running ? "running" : "queued", job->done, running, scheduler.reason(*job)});
+  }
   if (!views.empty()) callbacks_.views(std::move(views));
 }
 
--- a/src/leader/leader.h
+++ b/src/leader/leader.h
@@ -1,37 +1,40 @@
-// The controller that leads: it owns a term, the book and the actors that carry out what the book decides,
-// from the won election until the term ends.
+// The controller that leads: it owns a term, the scheduler and the actors that carry out what the scheduler
+// decides, from the won election until the term ends.
+//
+// Needs the state store, the cloud's interface, the machine catalog and a way to the other controllers. It
+// never decides on placement (the scheduler does) and never speaks to users or workers itself (the
+// controller's endpoints do). An actor; all public functions but the const ones are its messages.
 #pragma once
+#include <cstdint>
 #include <functional>
 #include <memory>
 #include <optional>
-#include <unordered_map>
+#include <string>
+#include <vector>
 
 #include "catalog.h"
 #include "command_dispatcher.h"
-#include "dependency_barrier.h"
 #include "election.h"
-#include "job_watcher.h"
-#include "lease_expiry_monitor.h"
-#include "machine_provisioner.h"
+#include "fanin_messages.h"
+#include "incoming_heartbeat.h"
+#include "leadership_state.h"
 #include "record_format_negotiation.h"
-#include "scheduler.h"
 #include "settings.h"
 #include "state_client.h"
-#include "state_loader.h"
-#include "store_writer.h"
-#include "term.h"
+#include "time_constants.h"
 
 namespace corkmux {
 
 class Leader : public Actor<Leader> {
  public:
-  using HeartbeatReply = std::function<void(int status, std::string body)>;
-  /// How a report came: from a worker that reaches us or one of our peers, or through the state service.
-  enum class Way { Direct, StoreRelay };
+  using Way = HeartbeatRoute;
+  /// One answer for each heartbeat of a batch; nullopt: another controller leads, or none.
+  using HeartbeatBatchCallback = std::function<void(std::optional<std::vector<fanin::HeartbeatAnswer>>)>;
+  using DoneCallback = std::function<void()>;
   struct Callbacks {
     std::function<void(std::string label, std::uint64_t term)> leader_changed;  // empty label: none known
     std::function<void(std::vector<codec::JobView>)> views;                     // changed job displays
-    CommandRelay relay;  // to the controllers that serve workers
+    CommandRelay relay;  // to the controllers that workers are connected to
   };
   Leader(Loop& loop, const Settings& settings, const OperatorChoices& choices, StateClient& state,
          http::Client& cloud, Catalog& catalog, Callbacks callbacks);
@@ -39,83 +42,72 @@
   void start();
 
   // Messages.
-  void heartbeat(Heartbeat heartbeat, Way way, HeartbeatReply reply);
-  /// What a serving controller passes on: reports of its workers, and outcomes of orders that went through
-  /// it. The reply comes once each report has its answer.
-  void batch(fanin::HeartbeatBatch batch, HeartbeatReply reply);
+  void heartbeat(Heartbeat heartbeat, HeartbeatRoute route, HeartbeatCallback reply);
+  /// What another controller forwards: heartbeats of its workers, and outcomes of commands that went through
+  /// it. The reply comes once each heartbeat has its answer.
+  void batch(fanin::HeartbeatBatch batch, HeartbeatBatchCallback reply);
   /// A peer saw a newer leader than us.
   void newer_term(std::uint64_t term);
   /// Peers accepted the cancel of these jobs.
   void cancelled(const std::vector<std::string>& jobs);
-  /// No peer knows a cancel, up to `asked_at`, that it has not told us.
+  /// All peers were heard, see CancelAcknowledgements::peers_acknowledged().
   void peers_heard(double asked_at, double youngest);
-  /// An orderly end: nothing new is started, what is in flight is settled or, after a while, shut out, and
-  /// the grant goes back so that a successor is chosen at once. From then on this controller only watches who
-  /// leads.
-  void resign(std::function<void()> done);
-  /// Machines that are up, as far as the book knows; 0 while another controller leads.
+  /// Shutdown: nothing new is started, what is in flight is settled or, after a while, made to fail, and the
+  /// leader lease is revoked so that a successor is chosen at once. From then on this controller only watches
+  /// who leads.
+  void resign(DoneCallback done);
+
+  /// Machines that are up, as far as the scheduler knows; 0 while another controller leads.
   int machines_up() const;
-  bool leading() const { return leadership_ && leadership_->leading; }
+  bool leading() const { return leadership_ && leadership_->loaded; }
   /// s of the steady clock: whatever needs a job whose cancel was told before then has its end stored. A fact
-  /// that stays true whoever leads later; -1e9: nothing is known.
+  /// that stays true whoever leads later; kLongAgo: nothing is known.
   double dependency_barrier_at() const { return dependency_barrier_at_; }
 
  private:
-  /// A report on its way to the book.
-  struct Incoming {
-    Heartbeat heartbeat;
-    Way way;
-    std::string server;  // the controller that passed it on in a batch; empty: none did
-    HeartbeatReply reply;
-  };
   struct OpenBatch;
-  /// What exists only while this controller leads, in the order of construction.
-  struct LeadershipState {
-    Term term;
-    TermCallbacks callbacks;
-    std::unique_ptr<Scheduler> scheduler;
-    std::unique_ptr<JobWatcher> job_watcher;
-    std::unique_ptr<StateLoader> loader;
-    std::unique_ptr<StoreWriter> writer;
-    std::unique_ptr<CommandDispatcher> command_batch;
-    std::unique_ptr<MachineProvisioner> fleet;
-    std::unique_ptr<LeaseExpiryMonitor> leases;
-    std::vector<Incoming> parked_heartbeats;  // reports that arrive while loading
-    /// Of machines that are served by other controllers: the last report that came whole.
-    std::unordered_map<std::string, Heartbeat> full_heartbeats;
-    bool leading = false;  // loaded
-    double cancels_acknowledged_until =
-        -1e9;  // last moment up to which all peers vouched that we miss no cancel
-    double last_report = 0, last_cycle = -1e9, last_tick = 0, formats_polled_at = -1e9, forgot_at = -1e9;
-    std::unique_ptr<DependencyBarrier> dependency_barrier;
-    double barrier_written_at = -1e9;
-    bool state_away = false, polling_formats = false;
-  };
-  void won(const Election::ElectionResult& won);
+  class DeferredReaction;
+  static constexpr double kTickInterval = 0.25;        // s
+  static constexpr double kSchedulingInterval = 0.05;  // s between scheduling cycles; lets events gather
+  static constexpr double kMinCycleDelay = 0.005;      // s
+  static constexpr double kForgetInterval = 10;        // s between sweeps of machines that are gone
+  static constexpr double kResumeTimeout = 1.0;    // s a stalled leader waits for its term to be confirmed
+  static constexpr double kShutdownTimeout = 1.0;  // s for what is in flight
+  static constexpr double kShutdownPollInterval = 0.02;  // s
+
+  Election::Callbacks election_callbacks();
+  TermCallbacks term_callbacks();
+
+  void won(const ElectionResult& result);
   void load();
-  void build(int v1_tasks_per_record, bool all_read_v2);
+  void build(const RecordFormats& formats);
+  SchedulerConfig scheduler_config(int v1_tasks_per_record) const;
+  void build_actors();
+  StateLoader::Callbacks loader_callbacks();
   void begin_leading(std::vector<std::string> garbage);
-  void step_down(const char* why);
-  void give_up(const char* why, double pause_s);
-  void upgrade_records(const char* why);
-  void take(Incoming incoming);
-  void handle(const Incoming& incoming);
-  std::optional<Heartbeat> full_heartbeat(const fanin::ForwardedHeartbeat& forwarded);
-  void react();
-  /// Whether the state service has confirmed the term since the process last stood still.
-  bool awake();
-  /// Nor will it soon: what must not wait any longer goes on.
-  bool resumed();
+  void step_down(StepDownReason reason);
+  void give_up(StepDownReason reason, double pause_s);
+  void finish_resigning(double until, DoneCallback done);
+
+  void take(IncomingHeartbeat incoming);
+  void handle(const IncomingHeartbeat& incoming);
+  void take_forwarded(const fanin::ForwardedHeartbeat& forwarded, const std::string& server,
+                      const std::shared_ptr<OpenBatch>& open);
   void answer_parked();
+
+  void react();
+  void schedule_cycle();
   void run_scheduling_cycle();
+
   void tick();
-  void poll_record_formats();
+  void note_state_store(bool away);
+  void forget_unknown_machines(double now);
+  void check_worker_reachability();
   void push_views();
-  /// s up to which we know of every cancel that users were told of, by the state service or by all peers.
-  double knows_cancels_at() const;
-  void note_settled();
-  void check_reach();
-  void finish_resigning(double until, std::function<void()> done);
+  /// Whether the state store has confirmed the term since the process last stalled.
+  bool awake();
+  /// Also where it cannot be confirmed soon: what must not wait any longer goes on.
+  bool resumed();
 
   Settings settings_;
   OperatorChoices choices_;
@@ -125,10 +117,13 @@
   Callbacks callbacks_;
   Election election_;
   RecordFormatNegotiation record_formats_;
-  std::unique_ptr<LeadershipState> leadership_;
-  double dependency_barrier_at_ = -1e9;
-  bool in_batch_ = false;  // what follows from its reports is looked at once, at its end
-  Timer tick_timer_, cycle_timer_, retry_timer_, resign_timer_;
+  std::unique_ptr<LeadershipState> leadership_;  // absent while another controller leads
+  double dependency_barrier_at_ = kLongAgo;
+  bool reaction_deferred_ = false;
+  Timer tick_timer_;
+  Timer cycle_timer_;
+  Timer retry_timer_;
+  Timer resign_timer_;
 };
 
 }  // namespace corkmux
--- a/src/leader/lease_expiry_monitor.cc
+++ b/src/leader/lease_expiry_monitor.cc
@@ -3,53 +3,57 @@
 #include <algorithm>
 #include <memory>
 
-#include "leader_constants.h"
-#include "lease_proxy_record.h"
 #include "mutation.h"
 #include "store_keys.h"
 
 namespace corkmux {
-namespace c = constants;
 
 LeaseExpiryMonitor::LeaseExpiryMonitor(Loop& loop, const Settings& settings, StateClient& state, Term& term,
                                        Scheduler& scheduler, TermCallbacks callbacks)
     : Actor(loop),
-      span_(lease_proxy_span(settings.lease_s)),
+      proxy_lease_s_(lease_proxy_span(settings.lease_s)),
       state_(state),
       term_(term),
       scheduler_(scheduler),
       callbacks_(std::move(callbacks)) {}
 
+/// Guards against a second start: the read begins after the leases have expired, so a proxy whose record it
+/// does not show cannot have renewed in time. It goes to the last page: a proxy on a page that was not read
+/// would look like none.
 void LeaseExpiryMonitor::tick() {
-  auto machines_with_expired_leases = scheduler_.machines_with_expired_leases(steady_now());
-  bool look = scheduler_.any_silent() && steady_now() - asked_at_ > c::kLeaseProxyPollInterval;
-  if ((machines_with_expired_leases.empty() && !look) || asking_) return;
-  asked_at_ = steady_now();
-  // Guards against a second start: the read begins after the leases are over, so a keeper whose record it
-  // does not show cannot have answered in time. It goes to the last page: a keeper on a page that was not
-  // read would look like none.
-  asking_ = true;
-  auto renewed_by_proxy = std::make_shared<std::map<std::string, double>>();
-  state_.read_all(kLeaseProxyPrefix, "", term_.guard([this, renewed_by_proxy](codec::KeyValue& kv) {
-    double now = steady_now();
-    auto& [revision, first_seen] = records_[kv.key];
-    if (revision != kv.revision) revision = kv.revision, first_seen = now;
-    for (const auto& name : machines_in(kv.value))
-      (*renewed_by_proxy)[name] = std::max((*renewed_by_proxy)[name], first_seen + span_);
-  }),
-                  term_.guard([this, renewed_by_proxy, machines_with_expired_leases](const ReadEnd& end) {
-                    asking_ = false;
-                    if (!end.ok()) return;
-                    double now = steady_now();
-                    if (!mutation_enabled("keepers are not asked"))
-                      for (const auto& [name, until] : *renewed_by_proxy)
-                        scheduler_.renewed_by_proxy(name, until);
-                    auto still = scheduler_.machines_with_expired_leases(now);
-                    for (const auto& name : machines_with_expired_leases)
-                      if (std::find(still.begin(), still.end(), name) != still.end())
-                        scheduler_.lease_expired(name, now);
-                    callbacks_.changed();
-                  }));
+  auto expired = scheduler_.machines_with_expired_leases(steady_now());
+  bool poll = scheduler_.any_silent() && steady_now() - read_at_ > kPollInterval;
+  if ((expired.empty() && !poll) || reading_) return;
+  read_at_ = steady_now();
+  reading_ = true;
+  auto renewed_until = std::make_shared<RenewedUntil>();
+  auto each = [this, renewed_until](const codec::KeyValue& stored) { note_record(stored, *renewed_until); };
+  auto done = [this, renewed_until, expired = std::move(expired)](const ReadEnd& end) {
+    reading_ = false;
+    if (end.ok()) records_read(*renewed_until, expired);
+  };
+  state_.read_all(kLeaseProxyPrefix, "", term_.guard(std::move(each)), term_.guard(std::move(done)));
+}
+
+void LeaseExpiryMonitor::note_record(const codec::KeyValue& stored, RenewedUntil& renewed_until) {
+  SeenRecord& record = records_[stored.key];
+  if (record.revision != stored.revision) record = {stored.revision, steady_now()};
+  for (const auto& machine : parse_lease_proxy_record(stored.value).machines) {
+    double& until = renewed_until[machine];
+    until = std::max(until, record.first_seen + proxy_lease_s_);
+  }
+}
+
+void LeaseExpiryMonitor::records_read(const RenewedUntil& renewed_until,
+                                      const std::vector<std::string>& expired_before) {
+  double now = steady_now();
+  if (!mutation_enabled("keepers are not asked"))
+    for (const auto& [machine, until] : renewed_until) scheduler_.renewed_by_proxy(machine, until);
+  auto expired = scheduler_.machines_with_expired_leases(now);
+  for (const auto& machine : expired_before)
+    if (std::find(expired.begin(), expired.end(), machine) != expired.end())
+      scheduler_.lease_expired(machine, now);
+  callbacks_.changed();
 }
 
 }  // namespace corkmux
--- a/src/leader/machine_provisioner.cc
+++ b/src/leader/machine_provisioner.cc
@@ -2,8 +2,6 @@
 
 #include <spdlog/spdlog.h>
 
-#include "codec.h"
-#include "leader_constants.h"
 #include "state_store_constants.h"
 
 namespace corkmux {
@@ -11,8 +9,7 @@
 
 MachineProvisioner::MachineProvisioner(Loop& loop, const Settings& settings, const OperatorChoices& choices,
                                        http::Client& cloud, Term& term, Scheduler& scheduler,
-                                       TermCallbacks callbacks,
-                                       std::function<void(const std::string&)> inspect)
+                                       TermCallbacks callbacks, InspectCallback inspect)
     : Actor(loop),
       settings_(settings),
       choices_(choices),
@@ -21,120 +18,146 @@
       scheduler_(scheduler),
       callbacks_(std::move(callbacks)),
       inspect_(std::move(inspect)),
-      timer_(loop),
-      rent_soon_(loop) {}
+      tick_timer_(loop),
+      scale_timer_(loop) {}
 
 void MachineProvisioner::start() {
-  timer_.every(c::kFleetTick, [this] { tick(); });
+  tick_timer_.every(kTickInterval, [this] { tick(); });
   list("");
 }
 
+/// Guards against a process that stalled and does not know yet whether it still leads: what it holds for idle
+/// or silent may be at work under another leader, and the cloud's requests carry no fencing token.
+bool MachineProvisioner::may_act() const { return !term_.over() && !term_.resigning && term_.awake(); }
+
 void MachineProvisioner::tick() {
-  // Guards against a process that stood still and does not know yet whether it still leads: what it holds for
-  // idle or silent may be at work under another leader, and the cloud asks for no stamp.
-  if (term_.over() || term_.resigning || !term_.awake()) return;
-  return_machines();
-  if (steady_now() - last_list_ > c::kListEvery) list("");
-  rent_machines();
+  if (!may_act()) return;
+  delete_machines();
+  if (steady_now() - listed_at_ > kListInterval) list("");
+  scale();
 }
 
-void MachineProvisioner::rent_machines() {
+// ---------------------------------------------------------------- scaling
+
+void MachineProvisioner::scale() {
   double now = steady_now();
-  if (term_.over() || term_.resigning || !term_.awake()) return;
-  if (now - term_.since < 1.25 * settings_.report_s) return;  // first hear from what is there
-  auto plan = plan_scaling(scheduler_, choices_, refused_, now);
-  int n = 0;
-  for (const auto& [key, request] : renting_) {
-    if (in_flight_.count(key)) continue;
-    rent({std::get<0>(key), std::get<1>(key), std::get<2>(key), request.second});
-    if (++n >= c::kRentsAtOnce) return;
+  if (!may_act()) return;
+  if (now - term_.since < kFirstHeartbeatIntervals * settings_.report_s) return;
+  auto plan = plan_scaling(scheduler_, choices_, refused_until_, now);
+  int sent = repeat_pending();
+  if (sent >= kMaxRequestsAtOnce) return;
+  for (const auto& request : plan.scale_out) {
+    if (pending_.count(request.key())) continue;
+    provision(request);
+    if (++sent >= kMaxRequestsAtOnce) break;
   }
-  for (const auto& wish : plan.scale_out) {
-    if (renting_.count(wish.key())) continue;
-    rent(wish);
-    if (++n >= c::kRentsAtOnce) break;  // the cloud's rate is shared with lists and returns
+  for (const auto& machine : plan.scale_in) {
+    spdlog::info("machine {} is idle beyond the headroom: returned", machine);
+    scheduler_.decommission(machine, now);
   }
-  for (const auto& name : plan.scale_in) {
-    spdlog::info("machine {} is idle beyond the headroom: returned", name);
-    scheduler_.decommission(name, now);
+}
+
+/// Sends requests that were not answered once more. The number sent, kMaxRequestsAtOnce at most.
+int MachineProvisioner::repeat_pending() {
+  int sent = 0;
+  for (const auto& [kind, pending] : pending_) {
+    if (in_flight_.count(kind)) continue;
+    provision(pending.request);
+    if (++sent >= kMaxRequestsAtOnce) break;
   }
+  return sent;
 }
 
-void MachineProvisioner::rent(const ScaleOutRequest& wish) {
-  auto [it, fresh] = renting_.try_emplace(wish.key());
-  // A request without an answer is repeated under its name, so that nothing is rented twice.
-  if (fresh)
-    it->second = {"r-" + std::to_string(term_.number) + "-" + std::to_string(++requests_), wish.count};
-  std::string request = it->second.first;
-  int count = it->second.second;
-  in_flight_.insert(wish.key());
-  cloud_.request("POST", codec::kRentPath,
-                 codec::pack(codec::rent_request(request, wish.type, wish.zone, wish.spot, count)),
-                 c::kCloudTimeout, term_.guard([this, wish, count](http::Result r) {
-                   double now = steady_now();
-                   in_flight_.erase(wish.key());
-                   rent_soon_.once(0.05, [this] { rent_machines(); });
-                   auto body = codec::unpack(r.body);
-                   if (r.ok() && body) {
-                     auto names = codec::parse_rented(*body);
-                     renting_.erase(wish.key());
-                     for (const auto& name : names)
-                       scheduler_.provisioned(name, wish.type, wish.zone, wish.spot, now);
-                     if (static_cast<int>(names.size()) < count)
-                       refused_[wish.key()] = now + c::kNoCapacityPause;
-                     spdlog::info("rented {} {} machines in {}{}", names.size(), wish.type, wish.zone,
-                                  wish.spot ? ", spot" : "");
-                   } else if (r.status == 503 || r.status == 400) {
-                     renting_.erase(wish.key());
-                     bool full = body && codec::is_no_capacity(*body);
-                     refused_[wish.key()] = now + (full ? c::kNoCapacityPause : 2.0);
-                   } else if (r.status == 429) {
-                     renting_.erase(wish.key());
-                   }
-                 }));
+void MachineProvisioner::provision(const ScaleOutRequest& request) {
+  auto [entry, is_new] = pending_.try_emplace(request.key());
+  PendingRequest& pending = entry->second;
+  if (is_new) {
+    pending.name = "r-" + std::to_string(term_.number) + "-" + std::to_string(++requests_);
+    pending.request = request;
+  }
+  in_flight_.insert(request.key());
+  const ScaleOutRequest asked = pending.request;
+  auto body = codec::pack(codec::rent_request(pending.name, asked.type, asked.zone, asked.spot, asked.count));
+  cloud_.request("POST", codec::kRentPath, std::move(body), c::kCloudTimeout,
+                 term_.guard([this, asked](const http::Result& result) { provisioned(asked, result); }));
 }
 
-void MachineProvisioner::return_machines() {
+void MachineProvisioner::provisioned(const ScaleOutRequest& request, const http::Result& result) {
+  double now = steady_now();
+  auto kind = request.key();
+  in_flight_.erase(kind);
+  scale_timer_.once(kNextRequestPause, [this] { scale(); });
+  auto body = codec::unpack(result.body);
+  if (result.ok() && body) {
+    pending_.erase(kind);
+    add_machines(request, codec::parse_rented(*body));
+  } else if (result.status == 503 || result.status == 400) {
+    pending_.erase(kind);
+    bool no_capacity = body && codec::is_no_capacity(*body);
+    refused_until_[kind] = now + (no_capacity ? kNoCapacityPause : kRefusedPause);
+  } else if (result.status == 429) {
+    pending_.erase(kind);
+  }
+}
+
+void MachineProvisioner::add_machines(const ScaleOutRequest& request, const std::vector<std::string>& names) {
+  double now = steady_now();
+  for (const auto& name : names) scheduler_.provisioned(name, request.type, request.zone, request.spot, now);
+  if (static_cast<int>(names.size()) < request.count) refused_until_[request.key()] = now + kNoCapacityPause;
+  spdlog::info("rented {} {} machines in {}{}", names.size(), request.type, request.zone,
+               request.spot ? ", spot" : "");
+}
+
+void MachineProvisioner::delete_machines() {
   if (deleting_) return;
   auto names = scheduler_.decommissioning();
   if (names.empty()) return;
-  if (names.size() > c::kMaxDelete) names.resize(c::kMaxDelete);
+  if (names.size() > kMaxDelete) names.resize(kMaxDelete);
   deleting_ = true;
+  auto deleted = [this, names](const http::Result& result) {
+    deleting_ = false;
+    if (result.ok()) scheduler_.deleted(names, steady_now());
+    callbacks_.changed();
+  };
   cloud_.request("POST", codec::kDeletePath, codec::pack(codec::delete_request(names)), c::kCloudTimeout,
-                 term_.guard([this, names](http::Result r) {
-                   deleting_ = false;
-                   if (r.ok()) scheduler_.deleted(names, steady_now());
-                   callbacks_.changed();
-                 }));
+                 term_.guard(std::move(deleted)));
 }
 
+// ---------------------------------------------------------------- list
+
+/// Lists the machines beyond `after`; from the first, unless a list is under way.
 void MachineProvisioner::list(const std::string& after) {
   if (after.empty()) {
     if (listing_) return;
     listing_ = true;
-    last_list_ = steady_now();
+    listed_at_ = steady_now();
+  }
+  cloud_.request("GET", codec::list_path(after, kListPage), "", c::kCloudTimeout,
+                 term_.guard([this](const http::Result& result) { listed(result); }));
+}
+
+void MachineProvisioner::listed(const http::Result& result) {
+  double now = steady_now();
+  auto body = result.ok() ? codec::unpack(result.body) : std::nullopt;
+  listing_ = false;
+  if (!body) return;
+  auto page = codec::parse_machines(*body);
+  scheduler_.listed(page.machines, now);
+  // After a change of leader the machines are asked at once, before their workers have found us.
+  if (now - term_.since < settings_.lease_s) inspect_unheard(page.machines);
+  if (page.more && !page.machines.empty()) {
+    listing_ = true;
+    list(page.machines.back().name);
+  }
+  callbacks_.changed();
+}
+
+void MachineProvisioner::inspect_unheard(const std::vector<ListedMachine>& machines) {
+  for (const auto& listed : machines) {
+    const Machine* machine = scheduler_.machine(listed.name);
+    bool unheard = machine && !machine->up && !machine->decommissioning;
+    if (unheard && listed.phase == ListedMachine::Phase::Running) inspect_(listed.name);
   }
-  cloud_.request("GET", codec::list_path(after, 200), "", c::kCloudTimeout,
-                 term_.guard([this](http::Result r) {
-                   double now = steady_now();
-                   auto body = r.ok() ? codec::unpack(r.body) : std::nullopt;
-                   listing_ = false;
-                   if (!body) return;
-                   auto page = codec::parse_machines(*body);
-                   scheduler_.listed(page.machines, now);
-                   // After a change of leader the machines are looked up at once, before their workers have
-                   // found us.
-                   if (now - term_.since < settings_.lease_s)
-                     for (const auto& l : page.machines)
-                       if (const Machine* m = scheduler_.machine(l.name);
-                           m && !m->up && !m->decommissioning && l.phase == ListedMachine::Phase::Running)
-                         inspect_(l.name);
-                   if (page.more && !page.machines.empty()) {
-                     listing_ = true;
-                     list(page.machines.back().name);
-                   }
-                   callbacks_.changed();
-                 }));
 }
 
 }  // namespace corkmux
--- a/src/leader/machine_provisioner.h
+++ b/src/leader/machine_provisioner.h
@@ -1,50 +1,80 @@
-// Rents, lists and returns machines.
+// Provisions, lists and deletes machines through the cloud's interface.
 //
 // Owns the term's unsettled requests to the cloud. How many machines there should be is plan_scaling()'s to
-// say, and which are to be returned the book's.
+// decide, and which are to be deleted the scheduler's. An actor of one term.
 #pragma once
+#include <functional>
 #include <map>
 #include <set>
 #include <string>
-#include <tuple>
+#include <vector>
 
+#include "codec.h"
 #include "http.h"
 #include "scaling.h"
 #include "scheduler.h"
 #include "settings.h"
 #include "term.h"
+#include "time_constants.h"
 
 namespace corkmux {
 
 class MachineProvisioner : public Actor<MachineProvisioner> {
  public:
-  /// `inspect`: asks a worker for its report.
+  /// Asks a worker for its heartbeat.
+  using InspectCallback = std::function<void(const std::string& machine)>;
+
   MachineProvisioner(Loop& loop, const Settings& settings, const OperatorChoices& choices,
                      http::Client& cloud, Term& term, Scheduler& scheduler, TermCallbacks callbacks,
-                     std::function<void(const std::string& machine)> inspect);
+                     InspectCallback inspect);
   void start();
 
  private:
-  using Kind = std::tuple<std::string, std::string, bool>;  // type, zone, spot
+  using MachineKind = decltype(ScaleOutRequest{}.key());  // type, zone, spot
+  /// A request to the cloud that is not settled yet. It is repeated under its name, so that nothing is
+  /// provisioned twice.
+  struct PendingRequest {
+    std::string name;
+    ScaleOutRequest request;
+  };
+  static constexpr double kTickInterval = 1.0;              // s
+  static constexpr double kListInterval = 8.0;              // s
+  static constexpr double kNoCapacityPause = 20.0;          // s before a refused type and zone is asked again
+  static constexpr double kRefusedPause = 2.0;              // s, where it was refused for another reason
+  static constexpr double kNextRequestPause = 0.05;         // s after an answer
+  static constexpr double kFirstHeartbeatIntervals = 1.25;  // to hear from the machines that are there
+  static constexpr int kMaxRequestsAtOnce = 3;    // the cloud's rate also carries lists and deletions
+  static constexpr int kListPage = 200;           // machines
+  static constexpr std::size_t kMaxDelete = 100;  // names in one request; PROTOCOL
+
   void tick();
-  void rent_machines();
-  void rent(const ScaleOutRequest& wish);
+  bool may_act() const;
+  void scale();
+  int repeat_pending();
+  void provision(const ScaleOutRequest& request);
+  void provisioned(const ScaleOutRequest& request, const http::Result& result);
+  void add_machines(const ScaleOutRequest& request, const std::vector<std::string>& names);
   void list(const std::string& after);
-  void return_machines();
+  void listed(const http::Result& result);
+  void inspect_unheard(const std::vector<ListedMachine>& machines);
+  void delete_machines();
+
   Settings settings_;
   OperatorChoices choices_;
   http::Client& cloud_;
   Term& term_;
   Scheduler& scheduler_;
   TermCallbacks callbacks_;
-  std::function<void(const std::string&)> inspect_;
-  bool deleting_ = false, listing_ = false;
-  double last_list_ = -1e9;
-  std::map<Kind, double> refused_;                       // until when not to ask again
-  std::map<Kind, std::pair<std::string, int>> renting_;  // unsettled requests: name, count
-  std::set<Kind> in_flight_;
+  InspectCallback inspect_;
+  bool deleting_ = false;
+  bool listing_ = false;
+  double listed_at_ = kLongAgo;
+  std::map<MachineKind, double> refused_until_;  // s of the steady clock
+  std::map<MachineKind, PendingRequest> pending_;
+  std::set<MachineKind> in_flight_;
   int requests_ = 0;
-  Timer timer_, rent_soon_;
+  Timer tick_timer_;
+  Timer scale_timer_;
 };
 
 }  // namespace corkmux
--- a/src/leader/record_format_negotiation.cc
+++ b/src/leader/record_format_negotiation.cc
@@ -1,57 +1,75 @@
 #include "record_format_negotiation.h"
 
+#include <cstdint>
+#include <limits>
 #include <memory>
+#include <set>
 
 #include "constants.h"
-#include "leader_constants.h"
+#include "record_format_declaration.h"
 #include "scheduler.h"
 #include "store_keys.h"
 
 namespace corkmux {
 namespace c = constants;
+namespace {
+
+/// Collects the declarations of all controllers that the settings name.
+struct Declarations {
+  std::set<std::string> undeclared;
+  std::uint64_t first_revision = std::numeric_limits<std::uint64_t>::max();
+  RecordFormats formats;
+
+  explicit Declarations(const Settings& settings) {
+    undeclared.insert(settings.label);
+    for (const auto& peer : settings.peers) undeclared.insert(peer.label);
+  }
+
+  void add(const codec::KeyValue& record) {
+    if (auto label = reader_of_our_format(record)) undeclared.erase(*label);
+    // How records of format 1 were cut is what the first controller of this version found in its settings;
+    // these may have changed since.
+    int tasks = parse_record_format_declaration(record.value).v1_tasks_per_record;
+    if (tasks <= 0 || record.revision >= first_revision) return;
+    first_revision = record.revision;
+    formats.v1_tasks_per_record = tasks;
+  }
+};
+
+}  // namespace
 
 RecordFormatNegotiation::RecordFormatNegotiation(Loop& loop, const Settings& settings, StateClient& state)
-    : Actor(loop), settings_(settings), state_(state), timer_(loop) {}
+    : Actor(loop), settings_(settings), state_(state), retry_timer_(loop) {}
 
 void RecordFormatNegotiation::declare() {
-  auto again = [this] { timer_.once(c::kRecordFormatPollInterval, [this] { declare(); }); };
   std::string key = kRecordFormats + settings_.label;
-  state_.get(key, [this, key, again](StateReply reply) {
-    if (reply.status == StateStatus::Missing) {
-      SchedulerConfig config;
-      config.value_kb = settings_.value_kb;
-      return state_.txn(
-          {{key, 0}}, {{key, codec::Json{{"f", c::kRecordFormat}, {"per", config.tasks_per_v1_record()}}, 0}},
-          [again](StateReply done) {
-            if (!done.ok()) again();
-          });
-    }
-    if (!reply.ok()) again();
+  state_.get(key, [this, key](StateReply reply) {
+    if (reply.status == StateStatus::Missing) return store_declaration(key);
+    if (!reply.ok()) declare_again();
   });
 }
 
-void RecordFormatNegotiation::read(std::function<void(std::optional<RecordFormats>)> done) {
-  struct Found {
-    std::set<std::string> old;
-    std::uint64_t first = ~0ull;
-    RecordFormats formats;
-  };
-  auto found = std::make_shared<Found>();
-  found->old.insert(settings_.label);
-  for (const auto& p : settings_.peers) found->old.insert(p.label);
+void RecordFormatNegotiation::store_declaration(const std::string& key) {
+  SchedulerConfig config;
+  config.value_kb = settings_.value_kb;
+  RecordFormatDeclaration declaration{c::kRecordFormat, config.tasks_per_v1_record()};
+  state_.transaction({{key, 0}}, {{key, to_json(declaration), 0}}, [this](StateReply stored) {
+    if (!stored.ok()) declare_again();
+  });
+}
+
+void RecordFormatNegotiation::declare_again() {
+  retry_timer_.once(kPollInterval, [this] { declare(); });
+}
+
+void RecordFormatNegotiation::read(ReadCallback done) {
+  auto declarations = std::make_shared<Declarations>(settings_);
   state_.read_all(
-      kRecordFormats, "",
-      [found](const codec::KeyValue& kv) {
-        if (auto label = reader_of_our_format(kv)) found->old.erase(*label);
-        // How records of the first form were cut is what the first controller of this version found in its
-        // settings; these may have changed since.
-        if (int per = kv.value.value("per", 0); per > 0 && kv.revision < found->first)
-          found->first = kv.revision, found->formats.v1_tasks_per_record = per;
-      },
-      [found, done = std::move(done)](const ReadEnd& end) {
+      kRecordFormats, "", [declarations](const codec::KeyValue& record) { declarations->add(record); },
+      [declarations, done = std::move(done)](const ReadEnd& end) {
         if (!end.ok()) return done(std::nullopt);
-        found->formats.all_read_v2 = found->old.empty();
-        done(found->formats);
+        declarations->formats.all_read_v2 = declarations->undeclared.empty();
+        done(declarations->formats);
       });
 }
 
--- a/src/leader/record_format_negotiation.h
+++ b/src/leader/record_format_negotiation.h
@@ -1,11 +1,11 @@
-// What each controller has said of itself in the state service: which form of records it reads.
+// What each controller has declared in the state store: which record format it reads.
 //
-// Owns this controller's own statement. That all are new is a fact that is stored and stays, so it holds
-// through any change of leader; it is never concluded from silence.
+// Owns this controller's own declaration. That all controllers are new is a fact that is stored and stays, so
+// it holds through any change of leader; it is never concluded from silence. An actor of its own, for the
+// whole life of the controller.
 #pragma once
 #include <functional>
 #include <optional>
-#include <set>
 #include <string>
 
 #include "settings.h"
@@ -13,22 +13,31 @@
 
 namespace corkmux {
 
+/// What the controllers have declared, taken together.
+struct RecordFormats {
+  bool all_read_v2 = false;     // every controller that the settings name reads format 2
+  int v1_tasks_per_record = 0;  // how many tasks a record of format 1 holds, 0: as the settings say
+};
+
 class RecordFormatNegotiation : public Actor<RecordFormatNegotiation> {
  public:
-  struct RecordFormats {
-    bool all_read_v2 = false;     // every controller that the settings name reads the second form
-    int v1_tasks_per_record = 0;  // tasks a record of the first form was cut into, 0: as the settings say
-  };
+  static constexpr double kPollInterval = 1.0;  // s
+  /// nullopt: the state store did not answer everything.
+  using ReadCallback = std::function<void(std::optional<RecordFormats>)>;
+
   RecordFormatNegotiation(Loop& loop, const Settings& settings, StateClient& state);
-  /// Says in the store which form this version reads, and tries until it stands there.
+  /// Stores which format this version reads, and tries until it is stored.
   void declare();
-  /// nullopt: the state service did not answer everything.
-  void read(std::function<void(std::optional<RecordFormats>)> done);
+  /// Reads all declarations.
+  void read(ReadCallback done);
 
  private:
+  void store_declaration(const std::string& key);
+  void declare_again();
+
   Settings settings_;
   StateClient& state_;
-  Timer timer_;
+  Timer retry_timer_;
 };
 
 }  // namespace corkmux
--- a/src/leader/state_loader.cc
+++ b/src/leader/state_loader.cc
@@ -14,28 +14,33 @@
       scheduler_(scheduler),
       job_watcher_(job_watcher),
       callbacks_(std::move(callbacks)),
-      timer_(loop) {}
+      retry_timer_(loop) {}
 
 void StateLoader::start() {
   job_watcher_.load([this] { load_records(kTaskRecordsV2, ""); });
 }
 
 void StateLoader::load_records(const std::string& prefix, const std::string& after) {
-  state_.read_all(prefix, after, term_.guard([this](codec::KeyValue& kv) {
-    auto loaded = scheduler_.load_record(kv.key, kv.value, kv.revision);
-    if (loaded == Scheduler::Loaded::Garbage) garbage_.push_back(kv.key);
-    // Guards against starting a second time what a newer version's record says is running.
-    if (loaded == Scheduler::Loaded::Unknown) too_new_ = kv.key;
-  }),
-                  term_.guard([this, prefix](const ReadEnd& end) {
-                    if (!too_new_.empty()) return callbacks_.too_new(too_new_);
-                    if (!end.ok())
-                      return timer_.once(c::kRetryPause,
-                                         [this, prefix, last = end.last] { load_records(prefix, last); });
-                    if (prefix == kTaskRecordsV2) return load_records(kTaskRecordsV1, "");
-                    scheduler_.loaded();
-                    callbacks_.loaded(std::move(garbage_));
-                  }));
+  state_.read_all(prefix, after, term_.guard([this](const codec::KeyValue& stored) { load_record(stored); }),
+                  term_.guard([this, prefix](const ReadEnd& end) { records_read(prefix, end); }));
+}
+
+void StateLoader::load_record(const codec::KeyValue& stored) {
+  auto loaded = scheduler_.load_record(stored.key, stored.value, stored.revision);
+  if (loaded == Scheduler::Loaded::Garbage) garbage_.push_back(stored.key);
+  // Guards against starting a second time what a newer version's record says is running.
+  if (loaded == Scheduler::Loaded::Unknown) too_new_ = stored.key;
+}
+
+void StateLoader::records_read(const std::string& prefix, const ReadEnd& end) {
+  if (!too_new_.empty()) return callbacks_.too_new(too_new_);
+  if (!end.ok()) {
+    auto retry = [this, prefix, last = end.last] { load_records(prefix, last); };
+    return retry_timer_.once(c::kRetryPause, std::move(retry));
+  }
+  if (prefix == kTaskRecordsV2) return load_records(kTaskRecordsV1, "");
+  scheduler_.loaded();
+  callbacks_.loaded(std::move(garbage_));
 }
 
 }  // namespace corkmux
--- a/src/leader/state_loader.h
+++ b/src/leader/state_loader.h
@@ -1,7 +1,8 @@
-// Rebuilds the book from the state service when a term begins: unfinished jobs, then the records of their
-// tasks.
+// Rebuilds the scheduler's state from the state store when a term begins: unfinished jobs, then the records
+// of their tasks.
 //
-// Owns nothing beyond the load; what it reads grows with unfinished work alone, never with finished jobs.
+// Owns nothing beyond the load; what it reads grows with unfinished work alone, never with finished jobs. An
+// actor of one term.
 #pragma once
 #include <functional>
 #include <string>
@@ -26,14 +27,17 @@
 
  private:
   void load_records(const std::string& prefix, const std::string& after);
+  void load_record(const codec::KeyValue& stored);
+  void records_read(const std::string& prefix, const ReadEnd& end);
+
   StateClient& state_;
   Term& term_;
   Scheduler& scheduler_;
   JobWatcher& job_watcher_;
   Callbacks callbacks_;
   std::vector<std::string> garbage_;
-  std::string too_new_;
-  Timer timer_;
+  std::string too_new_;  // key of a record that a newer version wrote
+  Timer retry_timer_;
 };
 
 }  // namespace corkmux
--- a/src/leader/store_writer.cc
+++ b/src/leader/store_writer.cc
@@ -6,16 +6,25 @@
 #include <set>
 
 #include "constants.h"
-#include "leader_constants.h"
+#include "job_record.h"
 #include "mutation.h"
 #include "store_keys.h"
 
 namespace corkmux {
 namespace c = constants;
+namespace {
+
+bool contains(const std::vector<std::string>& keys, const std::string& key) {
+  return std::find(keys.begin(), keys.end(), key) != keys.end();
+}
+
+const char* phase_of_end(bool done) { return done ? "done" : "cancelled"; }
+
+}  // namespace
 
 StoreWriter::StoreWriter(Loop& loop, const Settings& settings, StateClient& state, Term& term,
                          Scheduler& scheduler, JobWatcher& job_watcher, TermCallbacks callbacks,
-                         std::function<void(codec::JobView)> ended)
+                         EndedCallback ended)
     : Actor(loop),
       settings_(settings),
       state_(state),
@@ -25,106 +34,128 @@
       callbacks_(std::move(callbacks)),
       ended_(std::move(ended)),
       // Smaller transactions and records than were allowed before the upgrade are allowed then as well.
-      txn_ops_(settings.next.txn_ops),
-      allowance_(settings.state_write_rps * c::kLeaderWriteShare),
+      max_changes_(settings.next.txn_ops),
+      allowance_(settings.state_write_rps * kWriteShare),
       allowance_at_(steady_now()),
       timer_(loop) {}
 
+// ---------------------------------------------------------------- budget
+
 double StoreWriter::rate() const {
-  return (scheduler_.uses_v2_records() ? settings_.next.write_rps : settings_.state_write_rps) *
-         c::kLeaderWriteShare;
+  double store_rate = scheduler_.uses_v2_records() ? settings_.next.write_rps : settings_.state_write_rps;
+  return store_rate * kWriteShare;
 }
 
 void StoreWriter::pump_after(double pause_s) {
   timer_.once(pause_s, [this] { pump(); });
 }
 
-void StoreWriter::pump() {
-  double now = steady_now();
+void StoreWriter::refill_allowance(double now) {
   allowance_ = std::min(rate(), allowance_ + (now - allowance_at_) * rate());
   allowance_at_ = now;
+}
+
+void StoreWriter::pump() {
+  double now = steady_now();
+  refill_allowance(now);
   if (timer_.active() || term_.over()) return;
   remove_later(scheduler_.take_replaced());
-  while (in_flight_ < c::kMaxTransactionsInFlight) {
-    int most = std::min(txn_ops_, static_cast<int>(allowance_));
-    if (most < 2) return pump_after(2 / rate());
-    // Ends free what awaits them and launches free machines' time, so the two take turns; the rest comes
-    // after.
-    auto over = scheduler_.finished_jobs();
-    end_next_ = !end_next_;
-    if (end_next_ && !over.empty()) {
-      finalize(over.front());
-      continue;
-    }
-    auto batch = scheduler_.next_writes(most, over.empty() && allowance_ > rate() / 2, now);
-    if (!batch.empty()) {
-      allowance_ -= static_cast<double>(batch.size());
-      write_task_records(std::move(batch));
-    } else if (!over.empty()) {
-      finalize(over.front());
-    } else {
-      break;
-    }
+  while (in_flight_ < kMaxTransactionsInFlight) {
+    if (std::min(max_changes_, static_cast<int>(allowance_)) < kMinChanges)
+      return pump_after(kMinChanges / rate());
+    if (!write_next(now)) break;
   }
   if (in_flight_ == 0 && allowance_ > rate() / 2) remove_garbage();
 }
 
+/// Ends release dependents and launches use machines that are free, so the two take turns; what is less
+/// urgent comes after both. False: nothing is to be written.
+bool StoreWriter::write_next(double now) {
+  int most = std::min(max_changes_, static_cast<int>(allowance_));
+  auto finished = scheduler_.finished_jobs();
+  end_next_ = !end_next_;
+  if (end_next_ && !finished.empty()) {
+    finalize(finished.front());
+    return true;
+  }
+  auto batch = scheduler_.next_writes(most, finished.empty() && allowance_ > rate() / 2, now);
+  if (!batch.empty()) {
+    allowance_ -= static_cast<double>(batch.size());
+    write_task_records(std::move(batch));
+    return true;
+  }
+  if (finished.empty()) return false;
+  finalize(finished.front());
+  return true;
+}
+
 bool StoreWriter::deposed(const StateReply& reply) {
   if (reply.status != StateStatus::Conflict) return false;
-  auto failed = codec::parse_failed(reply.body);
-  if (!std::count(failed.begin(), failed.end(), kLeaderKey)) return false;
-  callbacks_.over("the leader's record changed");
+  if (!contains(codec::parse_failed(reply.body), kLeaderKey)) return false;
+  callbacks_.step_down(StepDownReason::LeaderRecordChanged);
   return true;
 }
 
-void StoreWriter::write_task_records(std::vector<TaskRecordWrite> batch) {
+// ---------------------------------------------------------------- task records
+
+void StoreWriter::write_task_records(Batch batch) {
   ++in_flight_;
   std::vector<codec::Condition> conditions{{kLeaderKey, term_.revision}};
   std::vector<codec::Write> writes;
   std::set<std::string> starting;
-  for (const auto& w : batch) {
-    conditions.push_back({w.key, w.revision});
-    writes.push_back({w.key, w.value, 0});
+  for (const auto& write : batch) {
+    conditions.push_back({write.key, write.revision});
+    writes.push_back({write.key, write.value, 0});
     // Guards against starting what another controller has confirmed as cancelled and we have not heard of.
-    if (w.launches && !mutation_enabled("starts do not ask for the job's end") &&
-        starting.insert(w.job).second)
-      conditions.push_back({kFinals + w.job, 0});
+    if (write.launches && !mutation_enabled("starts do not ask for the job's end") &&
+        starting.insert(write.job).second)
+      conditions.push_back({kFinals + write.job, 0});
   }
-  state_.txn(conditions, writes, term_.guard([this, batch = std::move(batch)](StateReply reply) {
-    --in_flight_;
-    if (reply.ok()) {
-      term_.confirmed(reply.sent_at);
-      scheduler_.written(batch, codec::parse_revision(reply.body), steady_now());
-      return callbacks_.changed();
-    }
-    if (deposed(reply)) return scheduler_.write_failed(batch);
-    if (reply.status == StateStatus::Conflict || reply.status == StateStatus::Unanswered) {
-      // This write or an earlier one of ours, taken for lost, may have been applied after all: what stands
-      // there is read before it is written again, so that whichever of the two comes last fails.
-      auto failed = codec::parse_failed(reply.body);
-      auto differs = [&](const std::string& key) {
-        return std::count(failed.begin(), failed.end(), key) > 0;
-      };
-      for (const auto& w : batch)
-        if (reply.status == StateStatus::Unanswered || differs(w.key))
-          read_back(w);
-        else
-          scheduler_.write_failed({w});
-      for (const auto& w : batch)
-        if (differs(kFinals + w.job)) has_end(w.job);
-      return callbacks_.changed();
-    }
-    scheduler_.write_failed(batch);
-    if (reply.status == StateStatus::Invalid) {
-      std::size_t largest = 0;
-      for (const auto& w : batch) largest = std::max(largest, w.value.dump().size());
-      refused(largest);
-    }
-    pump_after(c::kRetryPause);
-  }));
-}
-
-/// An end is stored of it, which we have not heard of: a cancel. Its stamps tell when it is to be removed.
+  state_.transaction(conditions, writes,
+                     term_.guard([this, batch = std::move(batch)](const StateReply& reply) {
+                       task_records_written(batch, reply);
+                     }));
+}
+
+void StoreWriter::task_records_written(const Batch& batch, const StateReply& reply) {
+  --in_flight_;
+  if (reply.ok()) {
+    term_.confirmed(reply.sent_at);
+    scheduler_.written(batch, codec::parse_revision(reply.body), steady_now());
+    return callbacks_.changed();
+  }
+  if (deposed(reply)) return scheduler_.write_failed(batch);
+  if (reply.status == StateStatus::Conflict || reply.status == StateStatus::Unanswered)
+    return task_records_conflict(batch, reply);
+  task_records_refused(batch, reply.status);
+}
+
+/// This write or an earlier one of ours, taken for lost, may have been applied after all: what is stored is
+/// read before it is written again, so that whichever of the two comes last fails.
+void StoreWriter::task_records_conflict(const Batch& batch, const StateReply& reply) {
+  auto failed = codec::parse_failed(reply.body);
+  for (const auto& write : batch)
+    if (reply.status == StateStatus::Unanswered || contains(failed, write.key))
+      read_back(write);
+    else
+      scheduler_.write_failed({write});
+  for (const auto& write : batch)
+    if (contains(failed, kFinals + write.job)) has_end(write.job);
+  callbacks_.changed();
+}
+
+void StoreWriter::task_records_refused(const Batch& batch, StateStatus status) {
+  scheduler_.write_failed(batch);
+  if (status == StateStatus::Invalid) {
+    std::size_t largest = 0;
+    for (const auto& write : batch) largest = std::max(largest, write.value.dump().size());
+    refused(largest);
+  }
+  pump_after(c::kRetryPause);
+}
+
+/// An end is stored of it, which this leader has not heard of: a cancel. The job's revision stays as it is,
+/// so that its removal is conditioned on what was read.
 void StoreWriter::has_end(const std::string& id) {
   const Job* job = scheduler_.job(id);
   if (!job || job->cancelled) return;
@@ -132,26 +163,31 @@
   scheduler_.put_job(JobSpec(job->spec), job->revision, true, steady_now());
 }
 
-/// What stands there under another stamp and says the same is as good as an answer: it was written under this
-/// term's stamp, for nobody else writes it.
-void StoreWriter::read_back(const TaskRecordWrite& w) {
+void StoreWriter::read_back(const TaskRecordWrite& write) {
   ++in_flight_;
-  state_.get(w.key, term_.guard([this, w](StateReply read) {
-    --in_flight_;
-    auto kv = read.ok() ? codec::parse_value(read.body) : std::nullopt;
-    if (kv && kv->revision > w.revision && kv->value == w.value) {
-      scheduler_.written({w}, kv->revision, steady_now());
-      return callbacks_.changed();
-    }
-    if (kv)
-      scheduler_.set_record_revision(w, kv->revision);
-    else if (read.status == StateStatus::Missing)
-      scheduler_.set_record_revision(w, 0);
-    scheduler_.write_failed({w});
-    pump_after(c::kRevisionReadPause);
-  }));
+  state_.get(write.key,
+             term_.guard([this, write](const StateReply& reply) { read_back_done(write, reply); }));
 }
 
+/// What is stored under another revision and says the same is as good as an answer: it was written under this
+/// term, for nobody else writes it.
+void StoreWriter::read_back_done(const TaskRecordWrite& write, const StateReply& reply) {
+  --in_flight_;
+  auto kv = reply.ok() ? codec::parse_value(reply.body) : std::nullopt;
+  if (kv && kv->revision > write.revision && kv->value == write.value) {
+    scheduler_.written({write}, kv->revision, steady_now());
+    return callbacks_.changed();
+  }
+  if (kv)
+    scheduler_.set_record_revision(write, kv->revision);
+  else if (reply.status == StateStatus::Missing)
+    scheduler_.set_record_revision(write, 0);
+  scheduler_.write_failed({write});
+  pump_after(kRevisionReadPause);
+}
+
+// ---------------------------------------------------------------- ends of jobs
+
 void StoreWriter::finalize(const std::string& id) {
   Job* job = scheduler_.job(id);
   if (!job) return;
@@ -164,62 +200,72 @@
   if (!job->cancelled) {
     // Conditioned on no other end having been stored: the first to be stored stands for good.
     conditions.push_back({kFinals + id, 0});
-    codec::Json end = {
-        {"p", done ? "done" : "cancelled"}, {"n", done ? job->spec.tasks : 0}, {"t", wall_now()}};
-    writes.push_back({kFinals + id, std::move(end), 0});
+    JobOutcomeRecord outcome{phase_of_end(done), done ? job->spec.tasks : 0, wall_now()};
+    writes.push_back({kFinals + id, to_json(outcome), 0});
   }
   allowance_ -= static_cast<double>(writes.size());
-  state_.txn(conditions, writes, term_.guard([this, id, done](StateReply reply) {
-    --in_flight_;
-    Job* j = scheduler_.job(id);
-    if (reply.ok()) {
-      term_.confirmed(reply.sent_at);
-      if (j) {
-        // Records of a job that is over say nothing any more, so they go when changes are to
-        // spare.
-        remove_later(scheduler_.record_keys(*j));
-        ended_({id, done ? "done" : "cancelled", j->spec.tasks, 0, ""});
-      }
-      remove_later(job_watcher_.take_side_keys(id));
-      spdlog::debug("job {} is {}", id, done ? "done" : "cancelled");
-      scheduler_.outcome(id, done ? Scheduler::Outcome::Done : Scheduler::Outcome::Cancelled, steady_now());
-      scheduler_.forget_job(id);
-      return callbacks_.changed();
-    }
-    if (deposed(reply)) return;
-    if (reply.status == StateStatus::Conflict || reply.status == StateStatus::Unanswered) return reread(id);
-    if (j) j->finalizing = false;
-    if (reply.status == StateStatus::Invalid) refused();
-    pump_after(c::kRetryPause);
-  }));
+  state_.transaction(conditions, writes,
+                     term_.guard([this, id, done](const StateReply& reply) { finalized(id, done, reply); }));
+}
+
+void StoreWriter::finalized(const std::string& id, bool done, const StateReply& reply) {
+  --in_flight_;
+  if (reply.ok()) {
+    term_.confirmed(reply.sent_at);
+    return end_stored(id, done);
+  }
+  if (deposed(reply)) return;
+  if (reply.status == StateStatus::Conflict || reply.status == StateStatus::Unanswered) return reread(id);
+  if (Job* job = scheduler_.job(id)) job->finalizing = false;
+  if (reply.status == StateStatus::Invalid) refused();
+  pump_after(c::kRetryPause);
+}
+
+void StoreWriter::end_stored(const std::string& id, bool done) {
+  if (const Job* job = scheduler_.job(id)) {
+    // Records of a job that is over say nothing any more, so they go when changes are to spare.
+    remove_later(scheduler_.record_keys(*job));
+    ended_({id, phase_of_end(done), job->spec.tasks, 0, ""});
+  }
+  remove_later(job_watcher_.take_side_keys(id));
+  spdlog::debug("job {} is {}", id, phase_of_end(done));
+  scheduler_.outcome(id, done ? Scheduler::Outcome::Done : Scheduler::Outcome::Cancelled, steady_now());
+  scheduler_.forget_job(id);
+  callbacks_.changed();
 }
 
 void StoreWriter::vanished(const std::string& id) {
   Job* job = scheduler_.job(id);
   if (!job || job->finalizing) return;  // the answer to our own write will tell
-  // Guards quota and places: what still runs of it is stopped first, and its places count until there is
-  // proof.
+  // Guards quota and capacity: what still runs of it is stopped first, and counts until there is proof.
   if (!job->active.empty()) return scheduler_.put_job(JobSpec(job->spec), job->revision, true, steady_now());
   reread(id);
 }
 
 void StoreWriter::reread(const std::string& id) {
   ++in_flight_;
-  state_.get(kJobs + id, term_.guard([this, id](StateReply reply) {
-    --in_flight_;
-    if (reply.status == StateStatus::Missing) {
-      // An earlier, unanswered transaction of ours had ended it; what else is stored of it says nothing more.
-      if (const Job* j = scheduler_.job(id)) remove_later(scheduler_.record_keys(*j));
-      remove_later(job_watcher_.take_side_keys(id));
-      scheduler_.forget_job(id);
-    } else {
-      if (Job* j = scheduler_.job(id)) j->finalizing = false;
-      if (reply.ok())
-        if (auto kv = codec::parse_value(reply.body))
-          job_watcher_.record(kv->key, std::move(kv->value), kv->revision);
-    }
-    pump_after(reply.ok() ? c::kRevisionReadPause : c::kRetryPause);
-  }));
+  state_.get(kJobs + id, term_.guard([this, id](const StateReply& reply) { reread_done(id, reply); }));
+}
+
+void StoreWriter::reread_done(const std::string& id, const StateReply& reply) {
+  --in_flight_;
+  if (reply.status == StateStatus::Missing) {
+    // An earlier, unanswered transaction of ours had ended it.
+    remove_records_later(id);
+    scheduler_.forget_job(id);
+  } else {
+    if (Job* job = scheduler_.job(id)) job->finalizing = false;
+    auto kv = reply.ok() ? codec::parse_value(reply.body) : std::nullopt;
+    if (kv) job_watcher_.record(*kv);
+  }
+  pump_after(reply.ok() ? kRevisionReadPause : c::kRetryPause);
+}
+
+// ---------------------------------------------------------------- removal
+
+void StoreWriter::remove_records_later(const std::string& id) {
+  if (const Job* job = scheduler_.job(id)) remove_later(scheduler_.record_keys(*job));
+  remove_later(job_watcher_.take_side_keys(id));
 }
 
 void StoreWriter::remove_later(std::vector<std::string> keys) {
@@ -229,15 +275,16 @@
 void StoreWriter::remove_garbage() {
   if (removing_ || garbage_.empty()) return;
   removing_ = true;
-  int n = std::min<int>(txn_ops_, static_cast<int>(garbage_.size()));
+  int count = std::min<int>(max_changes_, static_cast<int>(garbage_.size()));
   std::vector<codec::Write> writes;
-  for (int i = 0; i < n; ++i) writes.push_back({garbage_[static_cast<std::size_t>(i)], std::nullopt, 0});
-  allowance_ -= n;
-  state_.txn({{kLeaderKey, term_.revision}}, writes, term_.guard([this, n](StateReply reply) {
-    removing_ = false;
-    if (reply.status == StateStatus::Invalid) refused();
-    if (reply.ok()) garbage_.erase(garbage_.begin(), garbage_.begin() + n);
-  }));
+  for (int i = 0; i < count; ++i) writes.push_back({garbage_[static_cast<std::size_t>(i)], std::nullopt, 0});
+  allowance_ -= count;
+  state_.transaction({{kLeaderKey, term_.revision}}, writes,
+                     term_.guard([this, count](const StateReply& reply) {
+                       removing_ = false;
+                       if (reply.status == StateStatus::Invalid) refused();
+                       if (reply.ok()) garbage_.erase(garbage_.begin(), garbage_.begin() + count);
+                     }));
 }
 
 /// A value that keeps to the limit so far, and not to the one to come, was refused: that one has come, which
@@ -245,9 +292,9 @@
 void StoreWriter::refused(std::size_t largest) {
   double kb = static_cast<double>(largest) / 1024;
   if (!scheduler_.uses_v2_records() && kb > settings_.next.value_kb && kb <= settings_.value_kb)
-    return callbacks_.upgrade_records("the state service has lowered its limits");
+    return callbacks_.upgrade_records(RecordUpgradeReason::StoreLimitsLowered);
   spdlog::warn("the state service refuses a transaction as too large: smaller ones follow");
-  txn_ops_ = std::max(2, txn_ops_ / 2);
+  max_changes_ = std::max(kMinChanges, max_changes_ / 2);
   scheduler_.records_refused();
 }
 
--- /dev/null
+++ b/src/leader/term.cc
@@ -0,0 +1,37 @@
+#include "term.h"
+
+namespace corkmux {
+
+std::string_view to_string(StepDownReason reason) {
+  switch (reason) {
+    case StepDownReason::LeaseExpired:
+      return "the leader lease expired";
+    case StepDownReason::LeaderRecordChanged:
+      return "the leader's record changed";
+    case StepDownReason::PeerKnowsNewerLeader:
+      return "a peer knows a newer leader";
+    case StepDownReason::WorkerObeysNewerLeader:
+      return "a worker obeys a newer leader";
+    case StepDownReason::UnreadableRecords:
+      return "stored records are of a newer version";
+    case StepDownReason::WorkersUnreachable:
+      return "no worker reaches this controller";
+    case StepDownReason::Shutdown:
+      return "shutdown";
+  }
+  return "unknown";
+}
+
+std::string_view to_string(RecordUpgradeReason reason) {
+  switch (reason) {
+    case RecordUpgradeReason::AllControllersDeclared:
+      return "each has declared it";
+    case RecordUpgradeReason::JobHasDependencies:
+      return "a job has dependencies";
+    case RecordUpgradeReason::StoreLimitsLowered:
+      return "the state service has lowered its limits";
+  }
+  return "unknown";
+}
+
+}  // namespace corkmux
--- a/src/leader/term.h
+++ b/src/leader/term.h
@@ -1,28 +1,59 @@
-// One term of this controller as leader, from the won election until it ends; what the actors of a term
+// One term of this controller as leader, from the won election until it ends, and what the actors of a term
 // share.
+//
+// Owns the term's number, how far the state store has confirmed it, and whether it is over. It never renews
+// the leader lease: that is the election's. Used on the leader's actor only.
 #pragma once
 #include <algorithm>
 #include <cstdint>
 #include <functional>
 #include <memory>
+#include <string_view>
 #include <utility>
 
-#include "leader_constants.h"
+#include "time_constants.h"
 
 namespace corkmux {
 
+namespace constants {
+inline constexpr double kLeaderLeaseDuration = 3.0;  // s; how long a dead leader blocks its successor
+}
+
+/// Why a term ended.
+enum class StepDownReason {
+  LeaseExpired,         // the state store no longer has the leader lease
+  LeaderRecordChanged,  // a write found another leader's record
+  PeerKnowsNewerLeader,
+  WorkerObeysNewerLeader,
+  UnreadableRecords,   // a newer version of corkmux has written the stored state
+  WorkersUnreachable,  // no heartbeat comes although machines are up
+  Shutdown
+};
+/// The reason as the log gives it.
+std::string_view to_string(StepDownReason reason);
+
+/// Why records are written in format 2 from now on.
+enum class RecordUpgradeReason {
+  AllControllersDeclared,  // each has stored that it reads format 2
+  JobHasDependencies,      // only a cluster that is upgraded as a whole accepts such a job
+  StoreLimitsLowered       // which operators do only after the upgrade
+};
+/// The reason as the log gives it.
+std::string_view to_string(RecordUpgradeReason reason);
+
 struct Term {
   std::uint64_t number = 0;
   std::uint64_t revision = 0;  // of the leader's record; every write of the term is conditioned on it
   double since = 0;            // s of the steady clock: when the election was won
-  double contact = -1e9;       // last moment up to which the state service has confirmed the term
-  double woke_at = -1e9;       // when the process last found that it had stood still, see Leader::tick
-  bool resigning = false;      // an orderly end is under way: nothing new is started
+  double contact = kLongAgo;   // last moment up to which the state store has confirmed the term
+  double woke_at = kLongAgo;   // when the process last found that it had stalled, see Leader::awake()
+  bool resigning = false;      // a shutdown is under way: nothing new is started
 
+  /// The state store has confirmed the term as of `sent_at`.
   void confirmed(double sent_at) { contact = std::max(contact, sent_at); }
-  /// Whether the state service has confirmed the term within one life of its grant.
+  /// Whether the state store has confirmed the term within one life of its lease.
   bool fresh(double now) const { return now - contact < constants::kLeaderLeaseDuration; }
-  /// Whether the term was confirmed since the process last stood still.
+  /// Whether the term was confirmed since the process last stalled.
   bool awake() const { return contact >= woke_at; }
 
   /// A callback that does nothing once the term is over: an actor of the term may be gone by then.
@@ -41,9 +72,9 @@
 
 /// How the actors of a term speak to the leader.
 struct TermCallbacks {
-  std::function<void()> changed;                         // the book has changed: see what follows
-  std::function<void(const char* why)> over;             // the term has ended
-  std::function<void(const char* why)> upgrade_records;  // every controller reads the second form of records
+  std::function<void()> changed;                             // the scheduler's state has changed
+  std::function<void(StepDownReason)> step_down;             // the term has ended
+  std::function<void(RecordUpgradeReason)> upgrade_records;  // every controller reads record format 2
 };
 
 }  // namespace corkmux
--- a/src/state_store/catalog.cc
+++ b/src/state_store/catalog.cc
@@ -16,32 +16,42 @@
 void Catalog::start() { read_copy(); }
 
 void Catalog::read_copy() {
-  state_.get(kKey, [this](StateReply reply) {
-    if (reply.ok())
-      if (auto kv = codec::parse_value(reply.body)) {
-        set(codec::parse_catalog(kv->value));
-        timer_.once(c::kCatalogEvery, [this] { ask_cloud(false); });
-        if (!types_.empty()) return;
-      }
-    ask_cloud(reply.status == StateStatus::Missing);
-  });
+  state_.get(kKey, [this](const StateReply& reply) { copy_read(reply); });
 }
 
+void Catalog::copy_read(const StateReply& reply) {
+  auto copy = reply.ok() ? codec::parse_value(reply.body) : std::nullopt;
+  if (copy) {
+    set(codec::parse_catalog(copy->value));
+    refresh_later();
+    if (!types_.empty()) return;
+  }
+  ask_cloud(reply.status == StateStatus::Missing);
+}
+
+/// `store`: whether the answer is to be copied to the state store.
 void Catalog::ask_cloud(bool store) {
-  cloud_.request("GET", codec::kCatalogPath, "", c::kCloudTimeout, [this, store](http::Result r) {
-    auto body = r.ok() ? codec::unpack(r.body) : std::nullopt;
-    auto types = body ? codec::parse_catalog(*body) : std::vector<MachineType>{};
-    if (types.empty()) {
-      // Known types stay good while the cloud is away; without any, both sources are asked in turn.
-      timer_.once(types_.empty() ? 1.0 : c::kCatalogEvery,
-                  [this] { types_.empty() ? read_copy() : ask_cloud(false); });
-      return;
-    }
-    // The copy serves controllers that start while the cloud's interface is down.
-    if (store) state_.txn({{kKey, 0}}, {{kKey, codec::catalog_to_wire(types), 0}}, [](StateReply) {});
-    set(std::move(types));
-    timer_.once(c::kCatalogEvery, [this] { ask_cloud(false); });
-  });
+  cloud_.request("GET", codec::kCatalogPath, "", c::kCloudTimeout,
+                 [this, store](const http::Result& result) { cloud_answered(result, store); });
+}
+
+void Catalog::cloud_answered(const http::Result& result, bool store) {
+  auto body = result.ok() ? codec::unpack(result.body) : std::nullopt;
+  auto types = body ? codec::parse_catalog(*body) : std::vector<MachineType>{};
+  if (types.empty()) {
+    if (!types_.empty()) return refresh_later();
+    // Without any types both sources are asked in turn.
+    return timer_.once(kRetryPause, [this] { types_.empty() ? read_copy() : ask_cloud(false); });
+  }
+  // The copy serves controllers that start while the cloud's interface is down.
+  if (store)
+    state_.transaction({{kKey, 0}}, {{kKey, codec::catalog_to_wire(types), 0}}, [](const StateReply&) {});
+  set(std::move(types));
+  refresh_later();
+}
+
+void Catalog::refresh_later() {
+  timer_.once(kRefreshInterval, [this] { ask_cloud(false); });
 }
 
 void Catalog::set(std::vector<MachineType> types) {
--- /dev/null
+++ b/src/state_store/leader_record.cc
@@ -0,0 +1,15 @@
+#include "leader_record.h"
+
+namespace corkmux {
+
+codec::Json to_json(const LeaderRecord& leader) { return {{"label", leader.label}, {"term", leader.term}}; }
+
+LeaderRecord parse_leader_record(const codec::Json& record) {
+  return {record.value("label", ""), record.value("term", std::uint64_t{0})};
+}
+
+codec::Json term_record_to_json(std::uint64_t term) { return codec::Json{{"n", term}}; }
+
+std::uint64_t parse_term_record(const codec::Json& record) { return record.value("n", std::uint64_t{0}); }
+
+}  // namespace corkmux
--- a/src/state_store/lease_proxy_record.h
+++ b/src/state_store/lease_proxy_record.h
@@ -1,5 +1,7 @@
-// What a keeper stores, as both the keeper (controller/keeper.h) and the leader read it.
+// The record in which a lease proxy names the machines whose leases it renews (kLeaseProxyPrefix), as the
+// proxy writes and the leader reads it.
 #pragma once
+#include <cstdint>
 #include <string>
 #include <vector>
 
@@ -7,16 +9,23 @@
 
 namespace corkmux {
 
-/// Seconds for which a keeper's record entitles it to answer.
+/// Seconds for which a proxy's record entitles it to renew leases.
 inline double lease_proxy_span(double lease_s) { return lease_s / 2; }
 
-/// The machines that a keeper's record names; an unreadable one names none.
+/// What a proxy stores.
+struct LeaseProxyRecord {
+  std::vector<std::string> machines;
+  std::uint64_t number = 0;  // of the write: each makes a new revision, which renews the entitlement
+};
+
+/// The stored form.
+codec::Json to_json(const LeaseProxyRecord& record);
+/// Reads the stored form; an unreadable record names no machine.
+LeaseProxyRecord parse_lease_proxy_record(const codec::Json& record);
+
+/// The machines that a record names.
 inline std::vector<std::string> machines_in(const codec::Json& record) {
-  std::vector<std::string> out;
-  if (auto m = record.find("m"); m != record.end() && m->is_array())
-    for (const auto& name : *m)
-      if (name.is_string()) out.push_back(name.get<std::string>());
-  return out;
+  return parse_lease_proxy_record(record).machines;
 }
 
 }  // namespace corkmux
--- a/src/state_store/outage_log.h
+++ b/src/state_store/outage_log.h
@@ -1,5 +1,7 @@
-// What an operator reads while a service that we need does not answer: once when it matters, again in growing
-// intervals, and when it is back.
+// The log lines about a service that does not answer: once when it matters, again in growing intervals, and
+// when it is back.
+//
+// Owns what is known of one service's outage. It never asks the service itself.
 #pragma once
 #include <optional>
 #include <string>
@@ -11,20 +13,29 @@
 /// A pure function of outcomes and time; its lines are for the log.
 class OutageLog {
  public:
-  /// `what`: "the state service"; `address`: as in the settings.
-  OutageLog(std::string what, std::string address) : what_(std::move(what)), address_(std::move(address)) {}
-  /// A request found no answer, or one that says that the service is out of order. `now`: s of the steady
-  /// clock.
+  /// `service`: "the state service"; `address`: as in the settings.
+  OutageLog(std::string service, std::string address)
+      : service_(std::move(service)), address_(std::move(address)) {}
+  /// A request found no answer, or one that says that the service is out of order. The line to log, if any.
+  /// `now`: s of the steady clock.
   std::optional<std::string> failed(double now, const std::string& error);
-  /// It answered.
+  /// The service answered. The line to log, if any.
   std::optional<std::string> answered(double now);
 
  private:
-  std::string what_, address_;
-  bool known_ = false;           // it has answered before
-  std::optional<double> since_;  // when it was first found away; empty: it is not
-  double next_ = 0, pause_ = 0;  // when it is said again, and the pause after that; s
-  bool said_ = false;            // of this outage
+  static constexpr double kPatience = 2.0;      // s until a service that has answered before counts as away
+  static constexpr double kFirstPause = 5.0;    // s until it is logged again; doubled each time
+  static constexpr double kLongestPause = 300;  // s
+
+  void begin_outage(double now);
+
+  std::string service_;
+  std::string address_;
+  bool has_answered_ = false;    // ever
+  std::optional<double> since_;  // when it was first found away; nullopt: it is not
+  double next_line_at_ = 0;      // s of the steady clock
+  double pause_ = 0;             // s to the line after that
+  bool logged_ = false;          // a line of this outage
 };
 
 /// Logs what an answer, or none, of the service says.
--- a/tests/term_test.cc
+++ b/tests/term_test.cc
@@ -1,5 +1,5 @@
-// What the actors of a leader's term do where the state service gives its answers in parts, forgets, or
-// answers late, and where the process stood still.
+// What the actors of a leader's term do where the state store gives its answers in parts, forgets, or
+// answers late, and where the process stalled.
 #include <gtest/gtest.h>
 
 #include "cloud.h"
@@ -27,22 +27,30 @@
   Term term;
   std::unique_ptr<Scheduler> scheduler;
   std::vector<std::string> vanished;
-  TermCallbacks hooks{[] {}, [](const char*) {}, [](const char*) {}};
+  TermCallbacks callbacks{[] {}, [](StepDownReason) {}, [](RecordUpgradeReason) {}};
 
   void SetUp() override {
-    settings.report_s = 3, settings.lease_s = 20, settings.cancel_s = 40, settings.value_kb = 16;
-    settings.txn_ops = 12, settings.state_write_rps = 100, settings.next = {100, 16, 12};
+    settings.report_s = 3;
+    settings.lease_s = 20;
+    settings.cancel_s = 40;
+    settings.value_kb = 16;
+    settings.txn_ops = 12;
+    settings.state_write_rps = 100;
+    settings.next = {100, 16, 12};
     SchedulerConfig config;
-    config.report_s = 3, config.lease_s = 20, config.cancel_s = 40;
+    config.report_s = 3;
+    config.lease_s = 20;
+    config.cancel_s = 40;
     config.zones = {"a"};
     config.teams = {{"x", 1000, 1000, 0, 0}};
-    term.number = 1, term.since = steady_now();
+    term.number = 1;
+    term.since = steady_now();
     term.confirmed(term.since);
     scheduler = std::make_unique<Scheduler>(config, 1, term.since, 1);
     scheduler->set_catalog({{"m", {16, 0, 64}, 50, 1, 1, 0.5, 1, {"a"}}});
   }
-  std::unique_ptr<JobWatcher> feed() {
-    return std::make_unique<JobWatcher>(loop, client, term, *scheduler, hooks,
+  std::unique_ptr<JobWatcher> job_watcher() {
+    return std::make_unique<JobWatcher>(loop, client, term, *scheduler, callbacks,
                                         [this](const std::string& id) { vanished.push_back(id); });
   }
   bool wait_for(std::function<bool()> condition, double at_most = 20) {
@@ -55,15 +63,23 @@
   }
   static Json record(const std::string& id) {
     JobSpec spec;
-    spec.id = id, spec.job_class = "c", spec.team = "x", spec.image = "i", spec.need = {1, 0, 1};
+    spec.id = id;
+    spec.job_class = "c";
+    spec.team = "x";
+    spec.image = "i";
+    spec.need = {1, 0, 1};
     return {{"j", codec::job_to_wire(spec)}, {"c", 0}, {"t", wall_now()}};
   }
   static std::string id(int n) { return "run-" + std::to_string(1000 + n); }
-  Heartbeat report_of(const std::string& machine, std::uint64_t seq) {
+  Heartbeat heartbeat_of(const std::string& machine, std::uint64_t seq) {
     Heartbeat r;
-    r.machine = machine, r.address = "127.0.0.1:1", r.type = "m", r.zone = "a";
-    r.worker_epoch = 1, r.seq = seq,
-    r.fencing_token = (std::uint64_t{1} << 20) + 1000;  // of the term, beyond what the book has given
+    r.machine = machine;
+    r.address = "127.0.0.1:1";
+    r.type = "m";
+    r.zone = "a";
+    r.worker_epoch = 1;
+    r.seq = seq;
+    r.fencing_token = (std::uint64_t{1} << 20) + 1000;  // of the term, beyond what the scheduler has given
     return r;
   }
 };
@@ -77,7 +93,7 @@
     vanished.clear();
     state.page_most = page;
     for (int i = 0; i < 25; ++i) state.put("a/" + id(i), record(id(i)));
-    auto jobs = feed();
+    auto jobs = job_watcher();
     bool loaded = false;
     jobs->load([&] { loaded = true; });
     ASSERT_TRUE(wait_for([&] { return loaded; }));
@@ -107,7 +123,7 @@
   for (bool beside : {false, true}) {
     auto gone = id(beside ? 1 : 2), stays = id(beside ? 3 : 4);
     for (const auto& job : {gone, stays}) state.put("a/" + job, record(job));
-    auto jobs = feed();
+    auto jobs = job_watcher();
     bool loaded = false;
     jobs->load([&] { loaded = true; });
     ASSERT_TRUE(wait_for([&] { return loaded; }));
@@ -117,14 +133,14 @@
     state.put("f/" + gone, {{"p", "cancelled"}, {"n", 0}});
     term.revision = 0;  // nobody holds the leader's record here
     double now = steady_now();
-    scheduler->on_heartbeat(report_of("n-1", beside ? 2 : 1), Scheduler::Channel::Heartbeat, now);
+    scheduler->on_heartbeat(heartbeat_of("n-1", beside ? 2 : 1), Scheduler::Channel::Heartbeat, now);
     scheduler->schedule(now);
     ASSERT_EQ(scheduler->job(gone)->active.size(), 1u);
     std::unique_ptr<StoreWriter> writer;
-    hooks.changed = [&] {
+    callbacks.changed = [&] {
       if (writer) writer->pump();
     };
-    writer = std::make_unique<StoreWriter>(loop, settings, client, term, *scheduler, *jobs, hooks,
+    writer = std::make_unique<StoreWriter>(loop, settings, client, term, *scheduler, *jobs, callbacks,
                                            [](const codec::JobView&) {});
     writer->pump();
     ASSERT_TRUE(wait_for([&] { return !scheduler->job(gone) || scheduler->job(gone)->cancelled; }));
@@ -132,25 +148,25 @@
     ASSERT_TRUE(wait_for([&] { return state.values().count("t/" + stays + "/000000") > 0; }));
     EXPECT_EQ(state.values().count("t/" + gone + "/000000"), 0u);
     EXPECT_TRUE(!scheduler->job(gone) || scheduler->job(gone)->active.empty());
-    hooks.changed = [] {};
+    callbacks.changed = [] {};
     wait_for([&] { return writer->idle(); });
   }
 }
 
-// Guards against `ran_twice`: a keeper named on a page that was not read would look like no keeper.
-TEST_F(TermTest, AKeeperOnALaterPageKeepsItsMachinesFromCountingAsGone) {
+// Guards against `ran_twice`: a lease proxy named on a page that was not read would look like none.
+TEST_F(TermTest, ALeaseProxyOnALaterPageKeepsItsMachinesFromCountingAsGone) {
   state.page_most = 2;
   for (int i = 0; i < 9; ++i)
     state.put("k/c" + std::to_string(i), {{"m", Json::array({"n-" + std::to_string(i)})}, {"n", 1}});
   state.put("a/run-1", record("run-1"));
-  auto jobs = feed();
+  auto jobs = job_watcher();
   bool loaded = false;
   jobs->load([&] { loaded = true; });
   ASSERT_TRUE(wait_for([&] { return loaded; }));
-  // A stored task on the machine that the last keeper names; its lease ran out long ago as far as the leader
+  // A stored task on the machine that the last proxy names; its lease ran out long ago as far as the leader
   // knows.
   double now = steady_now();
-  scheduler->on_heartbeat(report_of("n-8", 1), Scheduler::Channel::Heartbeat, now);
+  scheduler->on_heartbeat(heartbeat_of("n-8", 1), Scheduler::Channel::Heartbeat, now);
   scheduler->schedule(now);
   Job* job = scheduler->job("run-1");
   ASSERT_EQ(job->active.size(), 1u);
@@ -160,23 +176,24 @@
   Machine* m = scheduler->machine("n-8");
   m->last_answered = m->last_launch = m->fencing_token_raised_at = now - 1000;
   ASSERT_EQ(scheduler->machines_with_expired_leases(now).size(), 1u);
-  LeaseExpiryMonitor watch(loop, settings, client, term, *scheduler, hooks);
-  watch.tick();
+  LeaseExpiryMonitor monitor(loop, settings, client, term, *scheduler, callbacks);
+  monitor.tick();
   wait_for([&] { return m->renewed_by_proxy_until > 0; }, 5);
   EXPECT_GT(m->renewed_by_proxy_until, now);
   EXPECT_EQ(job->active.size(), 1u);  // not counted as gone
   for (int i = 0; i < 9; ++i) state.remove("k/c" + std::to_string(i));
 }
 
-// A process that stood still judges nothing by its own silence, and returns nothing to the cloud before the
-// state service has confirmed that it still leads.
-TEST_F(TermTest, AfterStandingStillNothingIsReturnedUntilTheTermIsConfirmed) {
+// A process that stalled judges nothing by its own silence, and deletes no machine before the
+// state store has confirmed that it still leads.
+TEST_F(TermTest, AfterAStallNothingIsDeletedUntilTheTermIsConfirmed) {
   double now = steady_now();
   for (int i = 0; i < 10; ++i)
-    scheduler->on_heartbeat(report_of("n-" + std::to_string(i), 1), Scheduler::Channel::Heartbeat, now - 60);
+    scheduler->on_heartbeat(heartbeat_of("n-" + std::to_string(i), 1), Scheduler::Channel::Heartbeat,
+                            now - 60);
   auto heard = [&](double at) {
     for (int i = 0; i < 8; ++i)
-      scheduler->on_heartbeat(report_of("n-" + std::to_string(i), 2), Scheduler::Channel::Heartbeat, at);
+      scheduler->on_heartbeat(heartbeat_of("n-" + std::to_string(i), 2), Scheduler::Channel::Heartbeat, at);
   };
   // Eight speak at once, before the first tick; two of ten are too few silent ones to blame the network.
   heard(now);
@@ -188,9 +205,9 @@
   term.since = now - 100;
   term.contact = now - 33;
   term.woke_at = now;
-  MachineProvisioner fleet(loop, settings, {0.5, 600, 2, true}, cloud_client, term, *scheduler, hooks,
-                           [](const std::string&) {});
-  fleet.start();
+  MachineProvisioner provisioner(loop, settings, {0.5, 600, 2, true}, cloud_client, term, *scheduler,
+                                 callbacks, [](const std::string&) {});
+  provisioner.start();
   wait_for([] { return false; }, 1.3);
   EXPECT_EQ(cloud.deletions, 0);
   term.confirmed(steady_now());
@@ -207,7 +224,7 @@
       state.put("f/done-" + std::to_string(finished), {{"p", "done"}, {"n", 1}});
     int before = state.pages_read;
     SetUp();
-    auto jobs = feed();
+    auto jobs = job_watcher();
     bool loaded = false;
     StateLoader loader(loop, client, term, *scheduler, *jobs,
                        {[&](std::vector<std::string>) { loaded = true; }, [](const std::string&) {}});
@@ -217,7 +234,7 @@
     pages.push_back(state.pages_read - before);
   }
   EXPECT_EQ(pages[0], pages[1]);
-  EXPECT_LE(pages[0], 4);  // two of jobs, one each of both forms of task records
+  EXPECT_LE(pages[0], 4);  // two of jobs, one each of both formats of task records
 }
 
 TEST(OutageLog, SaysOnceWhatIsWaitedForAgainInGrowingIntervalsAndWhenItIsThere) {
