--- a/src/linearizable_reads/linearizable_reader.cc
+++ b/src/linearizable_reads/linearizable_reader.cc
@@ -4,7 +4,6 @@
 #include <utility>
 
 #include "constants.h"
-#include "linearizable_reads_constants.h"
 #include "mutation.h"
 #include "store_keys.h"
 
@@ -12,18 +11,35 @@
 namespace c = constants;
 namespace {
 
-/// Questions may take a part of the state service's rate, shared by all controllers: the rest is for
-/// submissions, cancels and the leader, whatever users ask.
-double rate(const Settings& settings) {
-  return settings.state_rps * c::kReadRateShare / static_cast<double>(settings.peers.size() + 1);
+constexpr double kReadRateShare = 0.5;               // of the state store's rate, of all controllers together
+constexpr int kMaxConditions = 200;                  // in one transaction, so that its keys fit a request
+constexpr int kConditionsPerChange = 4;              // that the state store allows (PROTOCOL, POST /multi)
+constexpr int kConditionsPerJob = 2;                 // of its record and of its end
+constexpr double kKnownRevisionsMemoryShare = 0.02;  // of the controller's memory
+constexpr double kKnownRevisionBytes = 200;          // of memory for one: name, revision, two table entries
+
+/// Reads take a part of the state store's rate, shared by all controllers: the rest is for submissions,
+/// cancels and the leader, whatever users ask.
+double read_rate(const Settings& settings) {
+  return settings.state_rps * kReadRateShare / static_cast<double>(settings.peers.size() + 1);
+}
+
+int jobs_per_batch(const Settings& settings) {
+  return std::min(kConditionsPerChange * settings.next.txn_ops, kMaxConditions) / kConditionsPerJob;
 }
-/// Four conditions for each change allowed (PROTOCOL, POST /multi), of which a job takes two.
-int jobs_in_one(const Settings& settings) {
-  return std::min(4 * settings.next.txn_ops, c::kMostConditions) / 2;
+
+std::size_t max_known(const Settings& settings) {
+  return static_cast<std::size_t>(settings.mem_mb * 1024 * 1024 * kKnownRevisionsMemoryShare /
+                                  kKnownRevisionBytes);
 }
-std::size_t most_known(const Settings& settings) {
-  return static_cast<std::size_t>(settings.mem_mb * 1024 * 1024 * c::kKnownRevisionsMemoryShare /
-                                  c::kKnownRevisionBytes);
+
+/// The jobs whose records or ends a failed comparison names.
+std::unordered_set<std::string> jobs_in(const std::vector<std::string>& failed_keys) {
+  std::unordered_set<std::string> jobs;
+  for (const auto& key : failed_keys)
+    for (const auto& prefix : {kJobs, kFinals})
+      if (key.rfind(prefix, 0) == 0) jobs.insert(key.substr(prefix.size()));
+  return jobs;
 }
 
 }  // namespace
@@ -32,115 +48,133 @@
     : Actor(loop),
       state_(state),
       read_(std::move(read)),
-      queue_(rate(settings), jobs_in_one(settings), most_known(settings)),
-      patience_(c::kReadBatchTimeout),
+      batcher_(read_rate(settings), jobs_per_batch(settings), max_known(settings)),
       timer_(loop) {}
 
 void LinearizableReader::ask(const std::string& job, Done done) {
-  auto request = next_++;
-  asking_.emplace(request, std::move(done));
-  queue_.ask(request, job, steady_now());
-  if (auto revision = queue_.revision(job);
+  auto request = next_request_++;
+  waiting_.emplace(request, std::move(done));
+  batcher_.ask(request, job, steady_now());
+  if (auto revision = batcher_.revision(job);
       revision && mutation_enabled("what was read before is told again"))
-    return tell({request}, Standing{true, *revision, {}, false});
+    return answer({request}, Standing{true, *revision, {}, false});
   pump();
 }
 
-void LinearizableReader::tell(const std::vector<ReadBatcher::RequestId>& requests,
-                              const std::optional<Standing>& standing) {
+void LinearizableReader::answer(const std::vector<RequestId>& requests,
+                                const std::optional<Standing>& standing) {
   for (auto request : requests) {
-    auto it = asking_.find(request);
-    if (it == asking_.end()) continue;
-    auto done = std::move(it->second);
-    asking_.erase(it);
+    auto waiting = waiting_.find(request);
+    if (waiting == waiting_.end()) continue;
+    auto done = std::move(waiting->second);
+    waiting_.erase(waiting);
     done(standing);
   }
 }
 
 void LinearizableReader::pump() {
   double now = steady_now();
-  tell(queue_.overdue(now), std::nullopt);
+  answer(batcher_.overdue(now), std::nullopt);
   if (now >= paused_until_)
-    while (auto look = queue_.next(now)) send(std::move(*look));
-  double wait = queue_.wait(now);
-  if (wait >= 0) timer_.once(std::max({wait, paused_until_ - now, c::kReadPumpInterval}), [this] { pump(); });
+    while (auto batch = batcher_.next(now)) send(std::move(*batch));
+  if (auto wait = batcher_.wait(now))
+    timer_.once(std::max({*wait, paused_until_ - now, kPumpInterval}), [this] { pump(); });
 }
 
-void LinearizableReader::send(ReadBatcher::ReadBatch look) {
-  if (look.compare)
-    compare(std::move(look));
+void LinearizableReader::send(ReadBatch batch) {
+  if (batch.compare)
+    compare(std::move(batch));
   else
-    read(std::move(look));
+    read_single(std::move(batch));
 }
 
-void LinearizableReader::compare(ReadBatcher::ReadBatch look) {
+// ---------------------------------------------------------------- comparisons
+
+void LinearizableReader::compare(ReadBatch batch) {
   std::vector<codec::Condition> conditions;
-  for (std::size_t i = 0; i < look.reads.size(); ++i) {
+  for (std::size_t i = 0; i < batch.reads.size(); ++i) {
     // Its record unchanged and no end beside it: of a record too long to be written again only the end tells.
-    conditions.push_back({kJobs + look.reads[i].job, look.revisions[i]});
-    conditions.push_back({kFinals + look.reads[i].job, 0});
+    conditions.push_back({kJobs + batch.reads[i].job, batch.revisions[i]});
+    conditions.push_back({kFinals + batch.reads[i].job, 0});
   }
-  // Guards against one lost answer that keeps all questions waiting: nothing was written, so the next look
-  // may ask the same.
-  state_.compare(conditions, patience_, [this, look = std::move(look)](StateReply reply) mutable {
-    double took = steady_now() - reply.sent_at;
-    // Guards against a process that stood still meanwhile: what was so then is not told now.
-    if (took > c::kReadDeadline) reply.status = StateStatus::Unanswered;
-    if (reply.status == StateStatus::Unanswered) {
-      patience_ = std::min(c::kReadDeadline, 2 * patience_);
-    } else {
-      took_ += c::kReadBatchSmoothing * (took - took_);
-      patience_ = std::clamp(c::kReadBatchTimeoutFactor * took_, c::kReadBatchTimeout, c::kReadDeadline);
-    }
-    switch (reply.status) {
-      case StateStatus::Ok:
-        queue_.answered(look);
-        for (std::size_t i = 0; i < look.reads.size(); ++i)
-          tell(look.reads[i].requests, Standing{true, look.revisions[i], {}, look.has_dependencies[i]});
-        break;
-      case StateStatus::Conflict: {
-        std::unordered_set<std::string> jobs;
-        for (const auto& key : codec::parse_failed(reply.body))
-          for (const auto& prefix : {kJobs, kFinals})
-            if (key.rfind(prefix, 0) == 0) jobs.insert(key.substr(prefix.size()));
-        queue_.changed(std::move(look), jobs);
-        break;
-      }
-      case StateStatus::Invalid:
-        queue_.too_large(std::move(look));
-        break;
-      case StateStatus::Refused:
-        // Over its rate it answers soon; away, whoever asks is told so at once.
-        if (state_.last_contact() >= reply.sent_at) {
-          paused_until_ = steady_now() + c::kRetryPause;
-          queue_.put_back(std::move(look));
-          break;
-        }
-        tell(queue_.unanswered(look), std::nullopt);
-        break;
-      default:
-        queue_.lost(std::move(look));
-    }
-    pump();
+  // Guards against one lost answer that keeps all reads waiting: nothing was written, so the next batch may
+  // compare the same.
+  state_.compare(conditions, batch_timeout_, [this, batch = std::move(batch)](StateReply reply) mutable {
+    compared(std::move(batch), std::move(reply));
   });
 }
 
-void LinearizableReader::read(ReadBatcher::ReadBatch look) {
-  auto job = look.reads.front().job;
-  read_(job, [this, look = std::move(look)](std::optional<Standing> standing) {
-    if (!standing) {
-      tell(queue_.unanswered(look), std::nullopt);
-      return pump();
-    }
-    queue_.answered(look);
-    const auto& read = look.reads.front();
-    if (standing->unfinished)
-      queue_.learn(read.job, standing->revision, standing->has_dependencies);
-    else
-      queue_.forget(read.job);
-    tell(read.requests, standing);
+void LinearizableReader::compared(ReadBatch batch, StateReply reply) {
+  double took = steady_now() - reply.sent_at;
+  // Guards against a process that stalled meanwhile: what held then is not answered now.
+  if (took > c::kReadDeadline) reply.status = StateStatus::Unanswered;
+  adapt_timeout(reply, took);
+  switch (reply.status) {
+    case StateStatus::Ok:
+      unchanged(batch);
+      break;
+    case StateStatus::Conflict:
+      changed(std::move(batch), reply);
+      break;
+    case StateStatus::Invalid:
+      batcher_.too_large(std::move(batch));
+      break;
+    case StateStatus::Refused:
+      refused(std::move(batch), reply);
+      break;
+    case StateStatus::Missing:
+    case StateStatus::Unanswered:
+      batcher_.lost(std::move(batch));
+      break;
+  }
+  pump();
+}
+
+void LinearizableReader::adapt_timeout(const StateReply& reply, double took) {
+  if (reply.status == StateStatus::Unanswered) {
+    batch_timeout_ = std::min(c::kReadDeadline, 2 * batch_timeout_);
+    return;
+  }
+  batch_time_ += kBatchTimeSmoothing * (took - batch_time_);
+  batch_timeout_ = std::clamp(kBatchTimeoutFactor * batch_time_, kBatchTimeout, c::kReadDeadline);
+}
+
+void LinearizableReader::unchanged(const ReadBatch& batch) {
+  batcher_.answered(batch);
+  for (std::size_t i = 0; i < batch.reads.size(); ++i)
+    answer(batch.reads[i].requests, Standing{true, batch.revisions[i], {}, batch.has_dependencies[i]});
+}
+
+void LinearizableReader::changed(ReadBatch batch, const StateReply& reply) {
+  batcher_.changed(std::move(batch), jobs_in(codec::parse_failed(reply.body)));
+}
+
+/// Over its rate the state store answers soon; where it is away, who reads is told so at once.
+void LinearizableReader::refused(ReadBatch batch, const StateReply& reply) {
+  if (state_.last_contact() < reply.sent_at) return answer(batcher_.unanswered(batch), std::nullopt);
+  paused_until_ = steady_now() + c::kRetryPause;
+  batcher_.put_back(std::move(batch));
+}
+
+// ---------------------------------------------------------------- jobs read by themselves
+
+void LinearizableReader::read_single(ReadBatch batch) {
+  const std::string job = batch.reads.front().job;
+  read_(job, [this, batch = std::move(batch)](const std::optional<Standing>& standing) {
+    single_read(batch, standing);
     pump();
   });
 }
 
+void LinearizableReader::single_read(const ReadBatch& batch, const std::optional<Standing>& standing) {
+  if (!standing) return answer(batcher_.unanswered(batch), std::nullopt);
+  batcher_.answered(batch);
+  const auto& read = batch.reads.front();
+  if (standing->unfinished)
+    batcher_.learn(read.job, standing->revision, standing->has_dependencies);
+  else
+    batcher_.forget(read.job);
+  answer(read.requests, standing);
+}
+
 }  // namespace corkmux
--- a/src/linearizable_reads/read_batcher.cc
+++ b/src/linearizable_reads/read_batcher.cc
@@ -3,27 +3,27 @@
 #include <algorithm>
 #include <utility>
 
-#include "linearizable_reads_constants.h"
-
 namespace corkmux {
 namespace c = constants;
 
-ReadBatcher::ReadBatcher(double rate, int jobs, std::size_t most_known)
+ReadBatcher::ReadBatcher(double rate, int jobs_per_batch, std::size_t max_known)
     : rate_(rate),
-      left_(std::max(1.0, rate * c::kReadBurst)),
-      jobs_(std::max(1, jobs)),
-      most_known_(std::max<std::size_t>(1, most_known)) {}
+      allowance_(std::max(1.0, rate * c::kReadBurst)),
+      jobs_per_batch_(std::max(1, jobs_per_batch)),
+      max_known_(std::max<std::size_t>(1, max_known)) {}
+
+// ---------------------------------------------------------------- known revisions
 
 void ReadBatcher::learn(const std::string& job, std::uint64_t revision, bool has_dependencies) {
-  // Only jobs that are there get in, so nobody can push them out by asking about others.
-  if (!known_.insert_or_assign(job, Known{revision, has_dependencies}).second) return;
+  // Only jobs that exist get in, so nobody can push others out by reading jobs that do not.
+  if (!known_.insert_or_assign(job, KnownJob{revision, has_dependencies}).second) return;
   known_order_.push_back(job);
-  while (known_.size() > most_known_) {
+  while (known_.size() > max_known_) {
     known_.erase(known_order_.front());
     known_order_.pop_front();
   }
-  // Those forgotten meanwhile leave their names behind.
-  if (known_order_.size() > 2 * most_known_)
+  // Jobs forgotten meanwhile leave their names behind.
+  if (known_order_.size() > 2 * max_known_)
     std::erase_if(known_order_, [this](const auto& name) { return !known_.count(name); });
 }
 
@@ -34,138 +34,174 @@
 
 void ReadBatcher::forget(const std::string& job) { known_.erase(job); }
 
+// ---------------------------------------------------------------- waiting reads
+
 void ReadBatcher::ask(RequestId request, const std::string& job, double now) {
-  auto owed = starved_since_.find(job);
-  put({job, now, owed == starved_since_.end() ? now : owed->second, {request}, 0}, !known_.count(job));
+  auto starved = starved_since_.find(job);
+  PendingRead read{job, now, starved == starved_since_.end() ? now : starved->second, {request}, 0};
+  put(std::move(read), known_.count(job) ? compares_ : singles_);
 }
 
-/// Who has gone without an answer for longest is first. Guards against a job that is last again and again
-/// while others get theirs ('forgotten'). Whoever has asked the same joins, since the look is still to come.
-void ReadBatcher::put(PendingRead read, bool single) {
-  auto& queue = single ? reads_ : compares_;
-  auto same =
-      std::find_if(queue.begin(), queue.end(), [&](const PendingRead& q) { return q.job == read.job; });
+/// The job that has gone without an answer for longest is first. Guards against a job that is last again and
+/// again while others get theirs ('forgotten'). Who reads the same job joins, since the request is still to
+/// be sent.
+void ReadBatcher::put(PendingRead read, Queue& queue) {
+  auto same = std::find_if(queue.begin(), queue.end(),
+                           [&](const PendingRead& other) { return other.job == read.job; });
   if (same != queue.end()) {
     read.requests.insert(read.requests.end(), same->requests.begin(), same->requests.end());
     read.since = std::min(read.since, same->since);
-    read.unanswered = std::min(read.unanswered, same->unanswered);
+    read.starved_since = std::min(read.starved_since, same->starved_since);
     queue.erase(same);
   }
-  auto at = std::upper_bound(queue.begin(), queue.end(), read.unanswered,
-                             [](double t, const PendingRead& q) { return t < q.unanswered; });
+  auto at =
+      std::upper_bound(queue.begin(), queue.end(), read.starved_since,
+                       [](double since, const PendingRead& other) { return since < other.starved_since; });
   queue.insert(at, std::move(read));
 }
 
+std::vector<ReadBatcher::RequestId> ReadBatcher::give_up(const PendingRead& read) {
+  if (starved_since_.size() < max_known_) starved_since_.emplace(read.job, read.starved_since);
+  return read.requests;
+}
+
+std::vector<ReadBatcher::RequestId> ReadBatcher::give_up_overdue(Queue& queue, double now) {
+  std::vector<RequestId> given_up;
+  std::erase_if(queue, [&](const PendingRead& read) {
+    if (now - read.since < c::kReadDeadline) return false;
+    auto requests = give_up(read);
+    given_up.insert(given_up.end(), requests.begin(), requests.end());
+    return true;
+  });
+  return given_up;
+}
+
+std::vector<ReadBatcher::RequestId> ReadBatcher::overdue(double now) {
+  auto given_up = give_up_overdue(compares_, now);
+  auto singles = give_up_overdue(singles_, now);
+  given_up.insert(given_up.end(), singles.begin(), singles.end());
+  return given_up;
+}
+
+// ---------------------------------------------------------------- requests
+
+bool ReadBatcher::can_compare() const { return !compares_.empty() && compares_in_flight_ == 0; }
+
+bool ReadBatcher::can_read_single() const {
+  return !singles_.empty() && singles_in_flight_ < c::kSingleReadsInFlight;
+}
+
 double ReadBatcher::allowance(double now) const {
-  return at_ < 0 ? left_ : std::min(std::max(1.0, rate_ * c::kReadBurst), left_ + (now - at_) * rate_);
+  if (!allowance_at_) return allowance_;
+  double most = std::max(1.0, rate_ * c::kReadBurst);
+  return std::min(most, allowance_ + (now - *allowance_at_) * rate_);
 }
 
 std::optional<ReadBatcher::ReadBatch> ReadBatcher::next(double now) {
-  const bool can_compare = !compares_.empty() && comparing_ == 0;
-  const bool can_read = !reads_.empty() && reading_ < c::kSingleReadsInFlight;
-  if (!can_compare && !can_read) return std::nullopt;
-  left_ = allowance(now), at_ = now;
-  if (left_ < 1) return std::nullopt;
-  left_ -= 1;
-  ReadBatch look;
-  look.compare = can_compare && !(can_read && read_next_);
-  read_next_ = look.compare;
-  if (!look.compare) {
-    ++reading_;
-    look.reads.push_back(std::move(reads_.front()));
-    reads_.pop_front();
-    return look;
-  }
-  ++comparing_;
-  while (!compares_.empty() && static_cast<int>(look.reads.size()) < jobs_) {
-    auto known = known_.find(compares_.front().job);
-    if (known == known_.end()) {  // forgotten meanwhile
-      PendingRead read = std::move(compares_.front());
-      compares_.pop_front();
-      put(std::move(read), true);
+  const bool compare = can_compare();
+  const bool single = can_read_single();
+  if (!compare && !single) return std::nullopt;
+  allowance_ = allowance(now);
+  allowance_at_ = now;
+  if (allowance_ < 1) return std::nullopt;
+  const bool compare_now = compare && !(single && single_next_);
+  single_next_ = compare_now;
+  allowance_ -= 1;
+  if (!compare_now) return single_read();
+  if (auto batch = comparison()) return batch;
+  allowance_ += 1;
+  return next(now);
+}
+
+ReadBatcher::ReadBatch ReadBatcher::single_read() {
+  ++singles_in_flight_;
+  ReadBatch batch;
+  batch.reads.push_back(std::move(singles_.front()));
+  singles_.pop_front();
+  return batch;
+}
+
+/// As many waiting comparisons as fit; nullopt if all of these jobs were forgotten meanwhile, which are read
+/// by themselves then.
+std::optional<ReadBatcher::ReadBatch> ReadBatcher::comparison() {
+  ReadBatch batch;
+  batch.compare = true;
+  while (!compares_.empty() && static_cast<int>(batch.reads.size()) < jobs_per_batch_) {
+    PendingRead read = std::move(compares_.front());
+    compares_.pop_front();
+    auto known = known_.find(read.job);
+    if (known == known_.end()) {
+      put(std::move(read), singles_);
       continue;
     }
-    look.revisions.push_back(known->second.revision);
-    look.has_dependencies.push_back(known->second.has_dependencies);
-    look.reads.push_back(std::move(compares_.front()));
-    compares_.pop_front();
+    batch.revisions.push_back(known->second.revision);
+    batch.has_dependencies.push_back(known->second.has_dependencies);
+    batch.reads.push_back(std::move(read));
   }
-  if (!look.reads.empty()) return look;
-  --comparing_;
-  left_ += 1;
-  return next(now);
+  if (batch.reads.empty()) return std::nullopt;
+  ++compares_in_flight_;
+  return batch;
 }
 
-double ReadBatcher::wait(double now) const {
-  if (compares_.empty() && reads_.empty()) return -1;
+std::optional<double> ReadBatcher::wait(double now) const {
+  if (waiting() == 0) return std::nullopt;
   double oldest = now;
-  for (const auto* queue : {&compares_, &reads_})
-    for (const auto& q : *queue) oldest = std::min(oldest, q.since);
+  for (const auto* queue : {&compares_, &singles_})
+    for (const auto& read : *queue) oldest = std::min(oldest, read.since);
   double wait = oldest + c::kReadDeadline - now;
-  if ((!compares_.empty() && comparing_ == 0) || (!reads_.empty() && reading_ < c::kSingleReadsInFlight))
-    wait = std::min(wait, (1 - allowance(now)) / rate_);
+  if (can_compare() || can_read_single()) wait = std::min(wait, (1 - allowance(now)) / rate_);
   return std::max(0.0, wait);
 }
 
-std::vector<ReadBatcher::RequestId> ReadBatcher::give_up(const PendingRead& read) {
-  if (starved_since_.size() < most_known_) starved_since_.emplace(read.job, read.unanswered);
-  return read.requests;
-}
+// ---------------------------------------------------------------- how a batch ended
 
-std::vector<ReadBatcher::RequestId> ReadBatcher::overdue(double now) {
-  std::vector<RequestId> out;
-  for (auto* queue : {&compares_, &reads_})
-    std::erase_if(*queue, [&](const PendingRead& q) {
-      if (now - q.since < c::kReadDeadline) return false;
-      auto requests = give_up(q);
-      out.insert(out.end(), requests.begin(), requests.end());
-      return true;
-    });
-  return out;
+void ReadBatcher::finished(const ReadBatch& batch) {
+  int& in_flight = batch.compare ? compares_in_flight_ : singles_in_flight_;
+  --in_flight;
 }
 
-void ReadBatcher::answered(const ReadBatch& look) {
-  landed(look);
-  for (const auto& q : look.reads) starved_since_.erase(q.job);
+void ReadBatcher::answered(const ReadBatch& batch) {
+  finished(batch);
+  for (const auto& read : batch.reads) starved_since_.erase(read.job);
 }
 
-void ReadBatcher::put_back(ReadBatch look) {
-  landed(look);
-  for (auto& q : look.reads) put(std::move(q), !look.compare);
+void ReadBatcher::put_back(ReadBatch batch) {
+  finished(batch);
+  for (auto& read : batch.reads) put(std::move(read), batch.compare ? compares_ : singles_);
 }
 
-void ReadBatcher::lost(ReadBatch look) {
-  landed(look);
-  for (auto& q : look.reads) {
-    bool read = !look.compare || ++q.misses >= c::kBatchMissesBeforeRead;
-    put(std::move(q), read);
+void ReadBatcher::lost(ReadBatch batch) {
+  finished(batch);
+  for (auto& read : batch.reads) {
+    bool single = !batch.compare || ++read.misses >= c::kBatchMissesBeforeRead;
+    put(std::move(read), single ? singles_ : compares_);
   }
 }
 
-void ReadBatcher::changed(ReadBatch look, const std::unordered_set<std::string>& jobs) {
-  landed(look);
-  for (auto& q : look.reads) {
-    bool its = jobs.count(q.job) > 0;
-    if (its) forget(q.job);
-    // Guards against comparisons that fail for ever because of others in them.
-    bool read = its || ++q.misses >= c::kBatchMissesBeforeRead;
-    put(std::move(q), read);
+void ReadBatcher::changed(ReadBatch batch, const std::unordered_set<std::string>& jobs) {
+  finished(batch);
+  for (auto& read : batch.reads) {
+    bool has_changed = jobs.count(read.job) > 0;
+    if (has_changed) forget(read.job);
+    // Guards against comparisons that fail for ever because of other jobs in them.
+    bool single = has_changed || ++read.misses >= c::kBatchMissesBeforeRead;
+    put(std::move(read), single ? singles_ : compares_);
   }
 }
 
-void ReadBatcher::too_large(ReadBatch look) {
-  jobs_ = std::max(1, jobs_ / 2);
-  put_back(std::move(look));
+void ReadBatcher::too_large(ReadBatch batch) {
+  jobs_per_batch_ = std::max(1, jobs_per_batch_ / 2);
+  put_back(std::move(batch));
 }
 
-std::vector<ReadBatcher::RequestId> ReadBatcher::unanswered(const ReadBatch& look) {
-  landed(look);
-  std::vector<RequestId> out;
-  for (const auto& q : look.reads) {
-    auto requests = give_up(q);
-    out.insert(out.end(), requests.begin(), requests.end());
+std::vector<ReadBatcher::RequestId> ReadBatcher::unanswered(const ReadBatch& batch) {
+  finished(batch);
+  std::vector<RequestId> given_up;
+  for (const auto& read : batch.reads) {
+    auto requests = give_up(read);
+    given_up.insert(given_up.end(), requests.begin(), requests.end());
   }
-  return out;
+  return given_up;
 }
 
 }  // namespace corkmux
