--- a/src/leader/command_dispatcher.h
+++ b/src/leader/command_dispatcher.h
@@ -60,7 +60,7 @@
     double deadline;  // s of the steady clock, after which they count as unanswered
   };
   static constexpr double kRelayedOutcomeSlack =
-      1;  // s beyond kCommandTimeout until an outcome is not awaited
+      1;  // s beyond kCommandTimeout until an outcome counts as missing
 
   void send(const std::string& machine);
   void send_directly(const std::string& machine, CommandBatch commands, std::string body);
--- a/src/leader/job_watcher.cc
+++ b/src/leader/job_watcher.cc
@@ -138,7 +138,7 @@
 
 // ---------------------------------------------------------------- watch
 
-/// Guards against cancels that nobody told us of while an answer is lost: what was not seen by a watch that
+/// Guards against cancels that nobody passed on while an answer is lost: what was not seen by a watch that
 /// was sent later counts as unknown (CancelAcknowledgements), so a watch does not wait for long.
 void JobWatcher::follow() {
   state_.watch(kJobs, revision_, kWatchJobsWait,
--- a/src/leader/leader.h
+++ b/src/leader/leader.h
@@ -60,8 +60,8 @@
   /// Machines that are up, as far as the scheduler knows; 0 while another controller leads.
   int machines_up() const;
   bool leading() const { return leadership_ && leadership_->loaded; }
-  /// s of the steady clock: whatever needs a job whose cancel was told before then has its end stored. A fact
-  /// that stays true whoever leads later; kLongAgo: nothing is known.
+  /// s of the steady clock: whatever needs a job whose cancel was confirmed before then has its end stored. A
+  /// fact that stays true whoever leads later; kLongAgo: nothing is known.
   double dependency_barrier_at() const { return dependency_barrier_at_; }
 
  private:
--- a/src/leader/leader_heartbeats.cc
+++ b/src/leader/leader_heartbeats.cc
@@ -52,7 +52,7 @@
   if (now - leadership_->cancels->complete_until() > scheduler.config().keepalive())
     return incoming.reply({});
   if (spdlog::should_log(spdlog::level::debug) && !scheduler.machine(heartbeat.machine))
-    spdlog::debug("machine {} reports for the first time: {} in {}", heartbeat.machine, heartbeat.type,
+    spdlog::debug("first heartbeat of machine {}: {} in {}", heartbeat.machine, heartbeat.type,
                   heartbeat.zone);
   // Guards against commands into a partition: each would wait in vain while the launches could go with this
   // answer.
--- a/src/leader/store_writer.cc
+++ b/src/leader/store_writer.cc
@@ -198,7 +198,7 @@
   // A job whose end no cancel has stored yet: it is done, or a job that it needs was cancelled.
   bool done = !job->cancelled && !job->dependency_cancelled;
   if (!job->cancelled) {
-    // Conditioned on no other end having been stored: the first to be stored stands for good.
+    // Conditioned on no other end having been stored: the first to be stored is final.
     conditions.push_back({kFinals + id, 0});
     JobOutcomeRecord outcome{phase_of_end(done), done ? job->spec.tasks : 0, wall_now()};
     writes.push_back({kFinals + id, to_json(outcome), 0});
@@ -236,7 +236,7 @@
 
 void StoreWriter::vanished(const std::string& id) {
   Job* job = scheduler_.job(id);
-  if (!job || job->finalizing) return;  // the answer to our own write will tell
+  if (!job || job->finalizing) return;  // the answer to our own write decides
   // Guards quota and capacity: what still runs of it is stopped first, and counts until there is proof.
   if (!job->active.empty()) return scheduler_.put_job(JobSpec(job->spec), job->revision, true, steady_now());
   reread(id);
--- a/src/leader/term.h
+++ b/src/leader/term.h
@@ -35,7 +35,7 @@
 /// Why records are written in format 2 from now on.
 enum class RecordUpgradeReason {
   AllControllersDeclared,  // each has stored that it reads format 2
-  JobHasDependencies,      // only a cluster that is upgraded as a whole accepts such a job
+  JobHasDependencies,      // no controller accepts such a job before all are upgraded
   StoreLimitsLowered       // which operators do only after the upgrade
 };
 /// The reason as the log gives it.
--- a/src/linearizable_reads/linearizable_reader.cc
+++ b/src/linearizable_reads/linearizable_reader.cc
@@ -149,7 +149,7 @@
   batcher_.changed(std::move(batch), jobs_in(codec::parse_failed(reply.body)));
 }
 
-/// Over its rate the state store answers soon; where it is away, who reads is told so at once.
+/// Over its rate the state store answers soon; where it is away, reads fail at once.
 void LinearizableReader::refused(ReadBatch batch, const StateReply& reply) {
   if (state_.last_contact() < reply.sent_at) return answer(batcher_.unanswered(batch), std::nullopt);
   paused_until_ = steady_now() + c::kRetryPause;
--- a/src/linearizable_reads/read_batcher.h
+++ b/src/linearizable_reads/read_batcher.h
@@ -3,8 +3,8 @@
 // Owns the revisions under which job records were read, the reads that wait, and the share of the state
 // store's rate that reads may take. A record that still has its revision says what it said when it was read,
 // so a transaction that only compares revisions proves as many reads as it may have conditions (PROTOCOL,
-// POST /multi). No input or output, and no clock: it is told the time, s of the steady clock. It never counts
-// a request that was sent before a read came as proof for that read.
+// POST /multi). No input or output, and no clock: the caller gives the time, s of the steady clock. It never
+// counts a request that was sent before a read came as proof for that read.
 #pragma once
 #include <cstdint>
 #include <deque>
--- a/tests/shutdown_test.cc
+++ b/tests/shutdown_test.cc
@@ -1,4 +1,4 @@
-// An orderly end: leadership goes back at once, nothing that was in flight can harm a successor, and the
+// Shutdown: the leader lease is revoked at once, nothing that was in flight can harm a successor, and the
 // program ends with status 0 in bounded time.
 #include <fcntl.h>
 #include <signal.h>
@@ -17,7 +17,7 @@
 
 namespace fs = std::filesystem;
 
-TEST_F(Site, AnOrderlyEndHandsLeadershipOnBeforeItIsOver) {
+TEST_F(Site, ShutdownHandsLeadershipOnBeforeItIsOver) {
   start_controller("one");
   ASSERT_TRUE(wait_for([&] { return leader() == "one"; }));
   start_controller("two");
@@ -34,14 +34,14 @@
   auto values = state.values();
   EXPECT_TRUE(!values.count("leader") || values["leader"]["label"] == "two");
   EXPECT_FALSE(controllers["one"]->leading());
-  // Its own grant would have blocked a successor for kLeaderLeaseDuration.
+  // Its own lease would have blocked a successor for kLeaderLeaseDuration.
   ASSERT_TRUE(wait_for([&] { return leader() == "two"; }));
   stop_controller("one");
   EXPECT_TRUE(wait_for([&] { return phase("two", "run-1") == "done"; }));
   for (const auto& [part, n] : starts) EXPECT_EQ(n, 1) << part << " was started again";
 }
 
-TEST_F(Site, AWriteThatIsStillUnansweredAtAnOrderlyEndIsShutOut) {
+TEST_F(Site, AWriteThatIsUnansweredAtShutdownFails) {
   start_controller("one");
   ASSERT_TRUE(wait_for([&] { return leader() == "one"; }));
   add_worker("n-1", "a", 1);
@@ -60,7 +60,7 @@
   for (const auto& [part, n] : starts) EXPECT_EQ(n, 1) << part;
 }
 
-TEST_F(Site, AnOrderlyEndIsBoundedWhileTheStateServiceIsSilent) {
+TEST_F(Site, ShutdownIsBoundedWhileTheStateStoreIsSilent) {
   start_controller("one");
   ASSERT_TRUE(wait_for([&] { return leader() == "one"; }));
   state.mute = true;
@@ -105,7 +105,7 @@
   std::optional<int> status;
 };
 
-TEST_F(Site, TheProgramEndsInOrderWithStatusZeroAndLeavesNoGrantBehind) {
+TEST_F(Site, TheProgramExitsWithStatusZeroAndLeavesNoLeaseBehind) {
   Program program(platform_settings(state.address(), cloud.address()));
   ASSERT_TRUE(wait_for([&] { return program.log().find("jobs loaded") != std::string::npos; }))
       << program.log();
@@ -117,7 +117,7 @@
   EXPECT_NE(program.log().find("ended in order"), std::string::npos) << program.log();
 }
 
-TEST_F(Site, TheProgramSaysWhatItWaitsForAndASecondSignalEndsItAtOnce) {
+TEST_F(Site, TheProgramLogsWhatItWaitsForAndASecondSignalEndsItAtOnce) {
   state.down = true;
   Program program(platform_settings(state.address(), "127.0.0.1:1"));
   ASSERT_TRUE(wait_for([&] {
@@ -128,8 +128,8 @@
 }
 
 // Guards against an optional interface that takes the scheduler down with it: once its address could not be
-// had, every controller ended again and again and nothing ran.
-TEST_F(Site, TheProgramGoesOnWhereTheAddressOfAnotherInterfaceCannotBeHad) {
+// bound, every controller ended again and again and nothing ran.
+TEST_F(Site, TheProgramGoesOnWhereTheAddressOfAnotherInterfaceIsTaken) {
   http::Server taken(loop, "127.0.0.1:0", 4, [](http::Server::ConnectionId, http::Request) {});
   Program program(platform_settings(state.address(), cloud.address()),
                   "kubernetes { listen: '127.0.0.1:" + std::to_string(taken.port()) +
@@ -146,7 +146,7 @@
   Program program(platform_settings(state.address(), cloud.address()));
   ASSERT_TRUE(wait_for([&] { return program.log().find("jobs loaded") != std::string::npos; }))
       << program.log();
-  state.mute = true;  // an orderly end waits for its answer
+  state.mute = true;  // shutdown waits for its answer
   ::kill(program.pid, SIGINT);
   ASSERT_TRUE(wait_for([&] { return program.log().find("ending in order") != std::string::npos; }));
   ::kill(program.pid, SIGINT);
--- a/tests/upgrade_test.cc
+++ b/tests/upgrade_test.cc
@@ -1,6 +1,6 @@
-// Two versions on one another's records. The first form is described here as version 0.1 writes and reads it:
-// s/<job>/<n> holds the tasks from n * cut on, cut = value_kb * 1024 * 0.8 / 96 rounded down (1 to 256), "d"
-// the ranges of those done and "t" the others by their offset: [attempt, machine, session, zone].
+// Two versions on one another's records. Record format 1 is described here as version 0.1 writes and reads
+// it: s/<job>/<n> holds the tasks from n * cut on, cut = value_kb * 1024 * 0.8 / 96 rounded down (1 to 256),
+// "d" the ranges of those done and "t" the others by their offset: [attempt, machine, worker epoch, zone].
 #include <gtest/gtest.h>
 
 #include <random>
@@ -121,7 +121,7 @@
 };
 
 // Guards against reading other tasks out of a record than were written into it.
-TEST_F(Upgrade, RecordsOfTheFirstFormAreReadAsTheyWereCut) {
+TEST_F(Upgrade, RecordsOfFormat1AreReadAsTheyWereCut) {
   store["s/run-1/0"] = {{"d", {{0, 2}, {67, 67}}}, {"t", {{"3", {2097153, "n-000231", 1, "rabat-agdal"}}}}};
   store["s/run-1/2"] = {{"d", json::array()}, {"t", {{"13", {2097154, "n-000232", 4, "rabat-agdal"}}}}};
   revisions["s/run-1/0"] = 7, revisions["s/run-1/2"] = 8;
@@ -133,7 +133,7 @@
 }
 
 // While an old controller may still lead, it can read everything that a new one has written.
-TEST_F(Upgrade, BeforeItIsOverTheFirstVersionReadsWhatIsWritten) {
+TEST_F(Upgrade, DuringTheUpgradeTheFormerVersionReadsWhatIsWritten) {
   auto scheduler = leader(false);
   for (const char* name : {"n-000001", "n-000002", "n-000003", "n-000004"})
     report(*scheduler, name), report(*scheduler, name);
@@ -153,9 +153,9 @@
   for (const auto& [key, value] : store) EXPECT_EQ(key.rfind("s/", 0), 0u) << key;
 }
 
-// A takeover at every step of the move: whatever runs is known to the next leader at its place, and nothing
-// counts as done that is not.
-TEST_F(Upgrade, ATakeoverAtAnyStepLosesNoTaskAndNoEnd) {
+// A failover at every step of the upgrade: whatever runs is known to the next leader at its place, and
+// nothing counts as done that is not.
+TEST_F(Upgrade, AFailoverAtAnyStepLosesNoTaskAndNoEnd) {
   std::mt19937 rng(3);
   int moved = 0, splits = 0;
   for (int round = 0; round < 60; ++round) {
@@ -198,7 +198,7 @@
   EXPECT_GT(splits, 10);
 }
 
-// The figures that the form was made for: 240 tasks, each started by itself on a machine of its own, in as
+// What format 2 was made for: 240 tasks, each started by itself on a machine of its own, in as
 // few records of 2 KiB as that takes, and in one where they stand together.
 TEST_F(Upgrade, RecordsAreSplitOnlyAsFarAsTheirContentsAsk) {
   spec.tasks = 240;
@@ -212,7 +212,7 @@
 }
 
 // Guards against leading on records that cannot be read: what they hold would start a second time.
-TEST_F(Upgrade, ANewerFormIsNotTakenForAnEmptyRecord) {
+TEST_F(Upgrade, ANewerFormatIsNotTakenForAnEmptyRecord) {
   auto scheduler = leader(true);
   EXPECT_EQ(scheduler->load_record("t/run-1/000000", {{"f", 3}, {"n", 150}}, 9), Scheduler::Loaded::Unknown);
 }
