--- a/src/leader/machine_provisioner.cc
+++ b/src/leader/machine_provisioner.cc
@@ -46,7 +46,7 @@
   int n = 0;
   for (const auto& [key, request] : renting_) {
     if (in_flight_.count(key)) continue;
-    rent({std::get<0>(key), std::get<1>(key), std::get<2>(key), request.second});
+    rent({key.type, key.zone, key.spot, request.second});
     if (++n >= c::kRentsAtOnce) return;
   }
   for (const auto& wish : plan.scale_out) {
--- a/src/leader/machine_provisioner.h
+++ b/src/leader/machine_provisioner.h
@@ -6,7 +6,6 @@
 #include <map>
 #include <set>
 #include <string>
-#include <tuple>
 
 #include "http.h"
 #include "scaling.h"
@@ -25,7 +24,7 @@
   void start();
 
  private:
-  using Kind = std::tuple<std::string, std::string, bool>;  // type, zone, spot
+  using Kind = MachineKind;
   void tick();
   void rent_machines();
   void rent(const ScaleOutRequest& wish);
@@ -40,7 +39,7 @@
   std::function<void(const std::string&)> inspect_;
   bool deleting_ = false, listing_ = false;
   double last_list_ = -1e9;
-  std::map<Kind, double> refused_;                       // until when not to ask again
+  RefusedUntil refused_;
   std::map<Kind, std::pair<std::string, int>> renting_;  // unsettled requests: name, count
   std::set<Kind> in_flight_;
   int requests_ = 0;
--- a/src/scheduler/placement.cc
+++ b/src/scheduler/placement.cc
@@ -446,7 +446,7 @@
                       0};
   auto has = [&](const Resources& use) { return std::max(use.cpus / all.cpus, use.gpus / all.gpus); };
   auto run_s = [](const JobSpec& s) { return s.estimate_s > 0 ? s.estimate_s : c::kDefaultJobEstimate; };
-  std::vector<ReservedCapacity::Waiting> waiting;
+  std::vector<ReservedCapacity::WaitingJob> waiting;
   for (const Job* job : order) {
     const JobSpec& s = job->spec;
     // What its own team's limit holds back waits for no other; what fails is not kept from being served.
@@ -461,7 +461,7 @@
     double seconds = job->queued * run_s(s);
     ahead += {seconds * s.need.cpus, seconds * s.need.gpus, 0};
   }
-  reserved_capacity_.look(waiting, now);
+  reserved_capacity_.update(waiting, now);
   if (auto held = reserved_capacity_.starving(); held != logged_starving_) {
     logged_starving_ = std::move(held);
     std::string all;
--- a/src/scheduler/preemption.cc
+++ b/src/scheduler/preemption.cc
@@ -301,7 +301,7 @@
     bool gpus_metered = t.gpus > 0 || t.gpus_max > 0;
     Resources beyond{std::max(0.0, use.cpus - t.cpus), gpus_metered ? std::max(0.0, use.gpus - t.gpus) : 1e9,
                      0};
-    out.in.beyond.push_back(beyond);
+    out.in.over_guarantee.push_back(beyond);
     if (name == spec.team || beyond.cpus <= 0) continue;  // each task takes CPUs
     std::size_t looked = 0;
     const auto& running = job_index_.running(name, false);
--- a/src/scheduler/quota_reclaim.cc
+++ b/src/scheduler/quota_reclaim.cc
@@ -6,103 +6,141 @@
 namespace corkmux {
 namespace {
 
+using Place = QuotaReclaimInput::Place;
+using PreemptionUnit = QuotaReclaimInput::PreemptionUnit;
+
+std::size_t index_of(int position) { return static_cast<std::size_t>(position); }
+
+Resources total_need(const PreemptionUnit& unit) {
+  Resources total;
+  for (std::size_t i = 0; i < unit.members.size(); ++i) total += unit.need;
+  return total;
+}
+
 /// How many claimed tasks fit, kept up as units are taken and put back.
-class FreeCapacity {
+class ClaimedCapacity {
  public:
-  FreeCapacity(const QuotaReclaimInput& in, int zone) : in_(in), zone_(zone), beyond_(in.beyond) {
-    for (const auto& p : in.places) free_.push_back(p.free);
-    for (std::size_t i = 0; i < free_.size(); ++i) fits_ += count(static_cast<int>(i));
+  /// `zone`: the only one whose places count; none: all do.
+  ClaimedCapacity(const QuotaReclaimInput& input, std::optional<int> zone)
+      : input_(input), zone_(zone), over_guarantee_(input.over_guarantee) {
+    for (const auto& place : input.places) free_.push_back(place.free);
+    for (std::size_t i = 0; i < free_.size(); ++i) fitting_tasks_ += tasks_fitting(static_cast<int>(i));
   }
-  bool enough() const { return fits_ >= in_.tasks; }
-  bool allowed(const QuotaReclaimInput::PreemptionUnit& u) const {
-    Resources all = total(u);
-    const Resources& left = beyond_[static_cast<std::size_t>(u.team)];
+
+  bool enough() const { return fitting_tasks_ >= input_.tasks; }
+
+  /// Whether its team stays at or above its guarantee without it.
+  bool allowed(const PreemptionUnit& unit) const {
     constexpr double kRounding = 1e-6;
-    return all.cpus <= left.cpus + kRounding && all.gpus <= left.gpus + kRounding;
+    const Resources total = total_need(unit);
+    const Resources& left = over_guarantee_[index_of(unit.team)];
+    return total.cpus <= left.cpus + kRounding && total.gpus <= left.gpus + kRounding;
   }
-  void take(const QuotaReclaimInput::PreemptionUnit& u) { change(u, 1); }
-  void put_back(const QuotaReclaimInput::PreemptionUnit& u) { change(u, -1); }
+
   /// Whether stopping it frees anything where the claim could use it.
-  bool touches(const QuotaReclaimInput::PreemptionUnit& u) const {
-    return std::any_of(u.members.begin(), u.members.end(), [&](int m) { return usable(m); });
+  bool frees_usable_place(const PreemptionUnit& unit) const {
+    return std::any_of(unit.members.begin(), unit.members.end(), [&](int place) { return usable(place); });
   }
 
- private:
-  static Resources total(const QuotaReclaimInput::PreemptionUnit& u) {
-    Resources all;
-    for (std::size_t i = 0; i < u.members.size(); ++i) all += u.need;
-    return all;
+  void take(const PreemptionUnit& unit) {
+    for (int place : unit.members) {
+      fitting_tasks_ -= tasks_fitting(place);
+      free_[index_of(place)] += unit.need;
+      fitting_tasks_ += tasks_fitting(place);
+    }
+    over_guarantee_[index_of(unit.team)] -= total_need(unit);
   }
-  bool usable(int place) const {
-    const auto& p = in_.places[static_cast<std::size_t>(place)];
-    return p.open && (zone_ < 0 || p.zone == zone_);
+
+  void put_back(const PreemptionUnit& unit) {
+    for (int place : unit.members) {
+      fitting_tasks_ -= tasks_fitting(place);
+      free_[index_of(place)] -= unit.need;
+      fitting_tasks_ += tasks_fitting(place);
+    }
+    over_guarantee_[index_of(unit.team)] += total_need(unit);
   }
-  int count(int place) const {
-    return usable(place) ? in_.need.times_in(free_[static_cast<std::size_t>(place)]) : 0;
+
+ private:
+  bool usable(int position) const {
+    const Place& place = input_.places[index_of(position)];
+    return place.open && (!zone_ || place.zone == *zone_);
   }
-  void change(const QuotaReclaimInput::PreemptionUnit& u, int sign) {
-    for (int m : u.members) {
-      fits_ -= count(m);
-      Resources& f = free_[static_cast<std::size_t>(m)];
-      sign > 0 ? f += u.need : f -= u.need;
-      fits_ += count(m);
-    }
-    Resources& left = beyond_[static_cast<std::size_t>(u.team)];
-    sign > 0 ? left -= total(u) : left += total(u);
+  int tasks_fitting(int position) const {
+    return usable(position) ? input_.need.times_in(free_[index_of(position)]) : 0;
   }
-  const QuotaReclaimInput& in_;
-  int zone_;
-  std::vector<Resources> free_, beyond_;
-  int fits_ = 0;
+
+  const QuotaReclaimInput& input_;
+  std::optional<int> zone_;
+  std::vector<Resources> free_;
+  std::vector<Resources> over_guarantee_;
+  int fitting_tasks_ = 0;
 };
 
-std::optional<std::vector<int>> choose_in(const QuotaReclaimInput& in, int zone) {
-  FreeCapacity room(in, zone);
-  std::vector<int> order(in.units.size()), taken;
+/// All units, those that lose least first.
+std::vector<int> units_by_loss(const QuotaReclaimInput& input) {
+  std::vector<int> order(input.units.size());
   std::iota(order.begin(), order.end(), 0);
-  std::sort(order.begin(), order.end(), [&](int a, int b) {
-    const auto &x = in.units[static_cast<std::size_t>(a)], &y = in.units[static_cast<std::size_t>(b)];
-    return x.lost != y.lost ? x.lost < y.lost : a < b;
+  std::sort(order.begin(), order.end(), [&](int left, int right) {
+    const double left_lost = input.units[index_of(left)].lost;
+    const double right_lost = input.units[index_of(right)].lost;
+    return left_lost != right_lost ? left_lost < right_lost : left < right;
   });
-  for (int i : order) {
-    if (room.enough()) break;
-    const auto& u = in.units[static_cast<std::size_t>(i)];
-    if (!room.allowed(u) || !room.touches(u)) continue;
-    room.take(u);
-    taken.push_back(i);
-  }
-  if (!room.enough()) return std::nullopt;
-  // Guards against stopping more than the claim needs: what was taken on the way and is not missed goes back,
-  // the dearest first. Room only grows with what is stopped, so one walk leaves none that could be left out.
+  return order;
+}
+
+/// Guards against stopping more than the claim needs: what was taken on the way and is not missed goes back,
+/// the dearest first. Room only grows with what is stopped, so one walk leaves none that could be left out.
+void put_back_unneeded(const QuotaReclaimInput& input, ClaimedCapacity& capacity, std::vector<int>& taken) {
   for (auto it = taken.rbegin(); it != taken.rend();) {
-    const auto& u = in.units[static_cast<std::size_t>(*it)];
-    room.put_back(u);
-    if (room.enough()) {
+    const PreemptionUnit& unit = input.units[index_of(*it)];
+    capacity.put_back(unit);
+    if (capacity.enough()) {
       it = std::make_reverse_iterator(taken.erase(std::next(it).base()));
     } else {
-      room.take(u);
+      capacity.take(unit);
       ++it;
     }
   }
+}
+
+std::optional<std::vector<int>> choose_in_zone(const QuotaReclaimInput& input, std::optional<int> zone) {
+  ClaimedCapacity capacity(input, zone);
+  std::vector<int> taken;
+  for (int position : units_by_loss(input)) {
+    if (capacity.enough()) break;
+    const PreemptionUnit& unit = input.units[index_of(position)];
+    if (!capacity.allowed(unit) || !capacity.frees_usable_place(unit)) continue;
+    capacity.take(unit);
+    taken.push_back(position);
+  }
+  if (!capacity.enough()) return std::nullopt;
+  put_back_unneeded(input, capacity, taken);
   return taken;
 }
 
+double total_lost(const QuotaReclaimInput& input, const std::vector<int>& units) {
+  double lost = 0;
+  for (int position : units) lost += input.units[index_of(position)].lost;
+  return lost;
+}
+
 }  // namespace
 
-std::optional<std::vector<int>> choose_reclaim(const QuotaReclaimInput& in) {
-  if (!in.one_zone) return choose_in(in, -1);
+std::optional<std::vector<int>> choose_reclaim(const QuotaReclaimInput& input) {
+  if (!input.one_zone) return choose_in_zone(input, std::nullopt);
   int zones = 0;
-  for (const auto& p : in.places) zones = std::max(zones, p.zone + 1);
-  std::optional<std::vector<int>> best;
-  double least = 0;
-  for (int z = 0; z < zones; ++z) {
-    auto here = choose_in(in, z);
-    if (!here) continue;
-    double lost = 0;
-    for (int i : *here) lost += in.units[static_cast<std::size_t>(i)].lost;
-    if (!best || lost < least) best = std::move(here), least = lost;
+  for (const auto& place : input.places) zones = std::max(zones, place.zone + 1);
+  std::optional<std::vector<int>> cheapest;
+  double least_lost = 0;
+  for (int zone = 0; zone < zones; ++zone) {
+    auto units = choose_in_zone(input, zone);
+    if (!units) continue;
+    const double lost = total_lost(input, *units);
+    if (cheapest && lost >= least_lost) continue;
+    cheapest = std::move(units);
+    least_lost = lost;
   }
-  return best;
+  return cheapest;
 }
 
 }  // namespace corkmux
--- a/src/scheduler/reserved_capacity.h
+++ b/src/scheduler/reserved_capacity.h
@@ -1,51 +1,88 @@
-// A floor for every class and team: which of them would be served by less than half as things go, and how
-// many machines are kept for them until that has passed.
+// Starvation protection for classes and teams: which of them would be served by less than half as things go,
+// and how many machines are reserved for them until that has passed.
 //
-// Owns how much of each class and team was served of late and how far it is in arrears. It is told what waits
+// Owns how much of each class and team was served of late and how large its deficit is. It is told what waits
 // and for how long it will, and looks at nothing else; so a new leader, who remembers nothing served, knows
-// the same arrears within kReservationRise. Which work is kept out of kept machines is the book's
-// (Cluster::excluded_by_reservation).
+// the same deficits within kReservationRise. It never decides which work is kept out of reserved machines:
+// that is MachineReservations'.
 #pragma once
+#include <cstddef>
 #include <map>
+#include <optional>
 #include <string>
 #include <vector>
 
+#include "time_constants.h"
+
 namespace corkmux {
+namespace constants {
+
+inline constexpr double kDeficitFrom =
+    450.0;  // s until its end, waiting included, from which a job is in deficit
+inline constexpr double kDeficitFull = 600.0;        // s; by then all tiers are reserved
+inline constexpr double kServiceWindow = 600.0;      // s over which what was served counts
+inline constexpr double kServedShareTarget = 0.65;   // of what came; half is promised, the rest is margin
+inline constexpr double kReservationUsageCap = 0.2;  // of the fleet; whoever uses more has its share
+inline constexpr double kStarvedAfter = 120.0;       // s without anything running while some waits: one tier
+inline constexpr double kReservationInterval = 1.0;  // s between updates
+inline constexpr double kReservationRise = 30.0;     // s until all tiers are reserved; short bursts pass
+inline constexpr double kReservationFall = 60.0;  // s until none is; slower than the rise, against flapping
+inline constexpr double kReservationTierShare = 0.08;  // of the machines in one tier, about
+inline constexpr int kReservationTiers = 2;            // each makes pools of its own in the capacity index
+inline constexpr std::size_t kReservationGroupsRemembered = 1000;  // classes or teams remembered as served
+
+}  // namespace constants
 
 class ReservedCapacity {
  public:
-  struct Waiting {
-    const std::string *job_class = nullptr, *team = nullptr;
-    double waited_s = 0, ends_s = 0;     // so far; and from its beginning until its end as things go
-    double class_has = 0, team_has = 0;  // of the fleet that they use now, 0 to 1
+  /// A job that waits, as the deficits are computed from it.
+  struct WaitingJob {
+    const std::string* job_class = nullptr;
+    const std::string* team = nullptr;
+    double waited_s = 0;     // so far
+    double ends_s = 0;       // from its beginning until its end as things go
+    double class_share = 0;  // of the fleet that its class uses now, 0 to 1
+    double team_share = 0;   // of the fleet that its team uses now, 0 to 1
   };
   /// A job of theirs is done.
   void served(const std::string& job_class, const std::string& team, double now);
-  /// How things stand; every kReservationInterval s or more.
-  void look(const std::vector<Waiting>& waiting, double now);
-  /// Whether machines are kept for such work.
-  bool holds(const std::string& job_class, const std::string& team) const;
-  /// Shelves of machines that are kept: 0 to kReservationTiers.
+  /// Computes deficits anew from all that waits, at most once in kReservationInterval.
+  void update(const std::vector<WaitingJob>& waiting, double now);
+  /// Whether machines are reserved for such work.
+  bool is_starving(const std::string& job_class, const std::string& team) const;
+  /// How many tiers of machines are reserved: 0 to kReservationTiers.
   int reservation_tiers() const { return reservation_tiers_; }
-  /// The shelf that a machine is on for good, from 1; most are on none: 0.
+  /// The tier that a machine is in for good, from 1; most are in none: 0.
   static int reservation_tier(const std::string& machine);
-  /// Classes and teams that are held, for the log.
+  /// Classes and teams in deficit, for the log.
   std::vector<std::string> starving() const;
 
  private:
+  /// A class or a team.
   struct Group {
-    double served = 0, served_at = -1e9;  // decaying
-    double unserved = 0, ends_s = 0;      // of what waits and is in arrears: how many jobs, how long together
-    double level = 0;                     // 0: none kept, 1: all shelves
-    bool waits = false;                   // as of the last look
-    double has = 0;                       // the same
-    double idle_since = -1;               // s; since when it waits and nothing of it runs
-    bool shut_out = false;
+    double served = 0;  // jobs, decaying
+    double served_at = kLongAgo;
+    // Of the last update:
+    bool waits = false;
+    double share_used = 0;
+    int unserved = 0;                  // waiting jobs in deficit
+    double ends_s = 0;                 // of these together
+    double deficit = 0;                // 0: nothing is reserved, 1: all tiers
+    std::optional<double> idle_since;  // since when it waits and nothing of it runs
+    bool starved = false;              // for longer than kStarvedAfter, and not served enough since
   };
-  static double decayed(const Group& g, double now);
-  static double wanted(Group& g, double now);
-  std::map<std::string, Group> classes_, teams_;
-  double looked_at_ = -1e9;
+  using Groups = std::map<std::string, Group>;
+  static double decayed_served(const Group& group, double now);
+  static void count_served(Groups& groups, const std::string& name, double now);
+  static void count_waiting(Group& group, const WaitingJob& job, double share_used);
+  static double target_deficit(Group& group, double now);
+  static void update_deficits(Groups& groups, double passed_s, double now);
+  static double largest_deficit(const Groups& groups);
+  static bool in_deficit(const Groups& groups, const std::string& name);
+
+  Groups classes_;
+  Groups teams_;
+  std::optional<double> updated_at_;
   int reservation_tiers_ = 0;
 };
 
--- a/src/scheduler/scaling.cc
+++ b/src/scheduler/scaling.cc
@@ -9,114 +9,179 @@
 namespace c = constants;
 namespace {
 
-struct Stock {
-  int busy = 0, idle = 0, coming = 0;
-  std::map<std::string, int> in_zone;
+constexpr double kRounding = 1e-9;
+
+/// What there is of one machine type, and what the waiting work wants of it.
+struct TypeDemand {
+  int busy = 0;
+  int idle = 0;
+  int booting = 0;
+  std::map<std::string, int> machines_in_zone;
   std::vector<const Machine*> returnable;
-  double want = 0;
-  bool spot_fits = false;
+  double wanted = 0;  // machines for waiting tasks
+  bool spot_allowed = false;
 };
 
-}  // namespace
+using DemandByType = std::map<std::string, TypeDemand>;
 
-ScalingPlan plan_scaling(const Scheduler& cluster, const OperatorChoices& choices,
-                         const std::map<std::tuple<std::string, std::string, bool>, double>& refused,
-                         double now) {
-  ScalingPlan out;
-  if (!choices.manage_fleet) return out;
-  // Without any unfinished job for several of the usual gaps between jobs, nothing is kept in reserve.
-  double patience =
-      std::min(choices.idle_return_s, std::max(c::kIdleMinimum, c::kIdleGaps * cluster.arrival_gap()));
-  bool quiet = cluster.idle_for(now) > patience;
-  double idle_limit = quiet ? patience : choices.idle_return_s;
-  std::map<std::string, Stock> stock;
-  for (const auto& [name, m] : cluster.machines()) {
-    if (m.decommissioning || m.faulty || m.gone_at >= 0) continue;
-    Stock& s = stock[m.type];
-    const auto* t = cluster.type(m.type);
-    if (!m.up) {
-      // A boot that takes far longer than the catalog says no longer counts as a machine to come.
-      if (t && now - m.provisioned_at < 2 * t->boot_s + c::kBootGrace) ++s.coming, ++s.in_zone[m.zone];
-      continue;
-    }
-    ++s.in_zone[m.zone];
-    if (m.tasks.empty()) {
-      ++s.idle;
-      if (now - m.idle_since > idle_limit && cluster.usable(m, now)) s.returnable.push_back(&m);
-    } else {
-      ++s.busy;
-    }
+/// When idle machines are returned.
+struct IdlePolicy {
+  bool quiet = false;  // no job has come for long: nothing is kept in reserve
+  double limit_s = 0;  // an idle machine is returned after that
+};
+
+IdlePolicy idle_policy(const Scheduler& scheduler, const OperatorChoices& choices, double now) {
+  const double usual_pause = std::max(c::kIdleMinimum, c::kIdleGaps * scheduler.arrival_gap());
+  const double patience = std::min(choices.idle_return_s, usual_pause);
+  const bool quiet = scheduler.idle_for(now) > patience;
+  return {quiet, quiet ? patience : choices.idle_return_s};
+}
+
+/// A boot that takes far longer than the catalog says no longer counts as a machine to come.
+bool may_still_boot(const Machine& machine, const MachineType* type, double now) {
+  return type && now - machine.provisioned_at < 2 * type->boot_s + c::kBootGrace;
+}
+
+void count_machine(const Scheduler& scheduler, const Machine& machine, double idle_limit_s, double now,
+                   TypeDemand& demand) {
+  if (!machine.up) {
+    if (!may_still_boot(machine, scheduler.type(machine.type), now)) return;
+    ++demand.booting;
+    ++demand.machines_in_zone[machine.zone];
+    return;
+  }
+  ++demand.machines_in_zone[machine.zone];
+  if (!machine.tasks.empty()) {
+    ++demand.busy;
+    return;
   }
-  // Machines for waiting work, on the cheapest type that may run it; types are tried in that order.
-  auto types_for = [&](const JobSpec& spec) {
-    std::vector<const MachineType*> fit;
-    for (const auto& t : cluster.catalog()) {
-      if (spec.allows_type(t.name) && spec.need.times_in(t.size) > 0) fit.push_back(&t);
-    }
-    std::sort(fit.begin(), fit.end(), [&](auto* a, auto* b) {
-      return a->price / spec.need.times_in(a->size) < b->price / spec.need.times_in(b->size);
-    });
-    return fit;
-  };
-  std::map<std::string, const MachineType*> overflow_to;
-  for (const auto& [id, job] : cluster.jobs()) {
+  ++demand.idle;
+  if (now - machine.idle_since > idle_limit_s && scheduler.usable(machine, now))
+    demand.returnable.push_back(&machine);
+}
+
+/// The types that may run the job, the cheapest per task first.
+std::vector<const MachineType*> types_by_cost(const Scheduler& scheduler, const JobSpec& spec) {
+  std::vector<const MachineType*> types;
+  for (const auto& type : scheduler.catalog())
+    if (spec.allows_type(type.name) && spec.need.times_in(type.size) > 0) types.push_back(&type);
+  auto cost_per_task = [&](const MachineType& type) { return type.price / spec.need.times_in(type.size); };
+  std::sort(types.begin(), types.end(), [&](const MachineType* left, const MachineType* right) {
+    return cost_per_task(*left) < cost_per_task(*right);
+  });
+  return types;
+}
+
+/// Counts what waiting jobs want of the cheapest type that may run them, and returns the second cheapest by
+/// the cheapest's name.
+std::map<std::string, const MachineType*> add_waiting_jobs(const Scheduler& scheduler, double now,
+                                                           DemandByType& demand_by_type) {
+  std::map<std::string, const MachineType*> overflow_types;
+  for (const auto& [id, job] : scheduler.jobs()) {
     if (!job.ready()) continue;
-    auto fit = types_for(job.spec);
-    if (fit.empty()) continue;
-    Stock& s = stock[fit[0]->name];
-    if (job.spec.spot) s.spot_fits = true;
-    if (fit.size() > 1) overflow_to[fit[0]->name] = fit[1];
+    const auto types = types_by_cost(scheduler, job.spec);
+    if (types.empty()) continue;
+    const MachineType& cheapest = *types[0];
+    TypeDemand& demand = demand_by_type[cheapest.name];
+    if (job.spec.spot) demand.spot_allowed = true;
+    if (types.size() > 1) overflow_types[cheapest.name] = types[1];
     if (job.queued > 0 && job.not_before <= now)
-      s.want += static_cast<double>(job.queued) / job.spec.need.times_in(fit[0]->size);
+      demand.wanted += static_cast<double>(job.queued) / job.spec.need.times_in(cheapest.size);
   }
-  auto types = cluster.catalog();
-  std::sort(types.begin(), types.end(), [](const auto& a, const auto& b) { return a.price < b.price; });
-  for (const auto& t : types) {
-    Stock& s = stock[t.name];
-    double busy = s.busy + std::ceil(s.want - 1e-9);
-    if (busy <= 0) busy = 0;
-    int target = static_cast<int>(std::ceil(busy * (1 + choices.headroom_share) - 1e-9)) +
-                 (busy > 0 ? choices.headroom_machines : 0);
-    int have = s.busy + s.idle + s.coming;
-    int missing = target - have;
-    if (missing > 0) {
-      // Spread over zones, ordinary machines first, then such as the cloud may take back.
-      bool asked = false;
-      for (bool spot : {false, true}) {
-        if (spot && !s.spot_fits) continue;
-        std::vector<std::string> zones;
-        for (const auto& z : t.zones) {
-          auto r = refused.find({t.name, z, spot});
-          if (r == refused.end() || r->second <= now) zones.push_back(z);
-        }
-        if (zones.empty()) continue;
-        std::map<std::string, int> add;
-        auto in_zone = s.in_zone;
-        for (int i = 0; i < std::min(missing, c::kMaxScaleOut); ++i) {
-          auto z = *std::min_element(zones.begin(), zones.end(),
-                                     [&](const auto& a, const auto& b) { return in_zone[a] < in_zone[b]; });
-          ++add[z];
-          ++in_zone[z];
-        }
-        for (const auto& [z, n] : add) out.scale_out.push_back({t.name, z, spot, n});
-        asked = true;
-        break;
-      }
-      // What cannot be had of this type is wanted of the next that may run the work.
-      if (!asked)
-        if (auto o = overflow_to.find(t.name); o != overflow_to.end() && o->second->price > t.price)
-          stock[o->second->name].want += missing / (1 + choices.headroom_share);
-    } else if (int spare = quiet ? 0 : 1; missing < -spare) {
-      int surplus = -missing - spare;
-      std::sort(s.returnable.begin(), s.returnable.end(),
-                [](auto* a, auto* b) { return a->idle_since < b->idle_since; });
-      for (const auto* m : s.returnable) {
-        if (surplus-- <= 0) break;
-        out.scale_in.push_back(m->name);
-      }
-    }
+  return overflow_types;
+}
+
+/// Machines of the type beyond those there are; negative if there are more than are wanted.
+int missing_machines(const TypeDemand& demand, const OperatorChoices& choices) {
+  const double in_use = std::max(0.0, demand.busy + std::ceil(demand.wanted - kRounding));
+  const int headroom = in_use > 0 ? choices.headroom_machines : 0;
+  const int target =
+      static_cast<int>(std::ceil(in_use * (1 + choices.headroom_share) - kRounding)) + headroom;
+  return target - (demand.busy + demand.idle + demand.booting);
+}
+
+/// The type's zones in which the cloud has not refused such machines of late.
+std::vector<std::string> open_zones(const MachineType& type, bool spot, const RefusedUntil& refused_until,
+                                    double now) {
+  std::vector<std::string> zones;
+  for (const auto& zone : type.zones) {
+    auto refused = refused_until.find({type.name, zone, spot});
+    if (refused == refused_until.end() || refused->second <= now) zones.push_back(zone);
+  }
+  return zones;
+}
+
+/// How many of the missing machines to ask for in each zone, so that zones end up with equally many.
+std::map<std::string, int> spread_over_zones(const std::vector<std::string>& zones, int missing,
+                                             std::map<std::string, int> machines_in_zone) {
+  std::map<std::string, int> requested;
+  for (int i = 0; i < std::min(missing, c::kMaxScaleOut); ++i) {
+    const auto& zone =
+        *std::min_element(zones.begin(), zones.end(), [&](const std::string& left, const std::string& right) {
+          return machines_in_zone[left] < machines_in_zone[right];
+        });
+    ++requested[zone];
+    ++machines_in_zone[zone];
+  }
+  return requested;
+}
+
+/// Asks for ordinary machines first, then for such as the cloud may take back. Returns whether any zone is
+/// left to ask in.
+bool request_machines(const MachineType& type, const TypeDemand& demand, int missing,
+                      const RefusedUntil& refused_until, double now, ScalingPlan& plan) {
+  for (bool spot : {false, true}) {
+    if (spot && !demand.spot_allowed) continue;
+    const auto zones = open_zones(type, spot, refused_until, now);
+    if (zones.empty()) continue;
+    for (const auto& [zone, count] : spread_over_zones(zones, missing, demand.machines_in_zone))
+      plan.scale_out.push_back({type.name, zone, spot, count});
+    return true;
+  }
+  return false;
+}
+
+/// Returns those that have been idle for longest.
+void return_idle(std::vector<const Machine*>& returnable, int surplus, ScalingPlan& plan) {
+  std::sort(returnable.begin(), returnable.end(),
+            [](const Machine* left, const Machine* right) { return left->idle_since < right->idle_since; });
+  for (const Machine* machine : returnable) {
+    if (surplus <= 0) return;
+    --surplus;
+    plan.scale_in.push_back(machine->name);
+  }
+}
+
+}  // namespace
+
+ScalingPlan plan_scaling(const Scheduler& scheduler, const OperatorChoices& choices,
+                         const RefusedUntil& refused_until, double now) {
+  ScalingPlan plan;
+  if (!choices.manage_fleet) return plan;
+  const IdlePolicy idle = idle_policy(scheduler, choices, now);
+  DemandByType demand_by_type;
+  for (const auto& [name, machine] : scheduler.machines()) {
+    if (machine.decommissioning || machine.faulty || machine.gone_at >= 0) continue;
+    count_machine(scheduler, machine, idle.limit_s, now, demand_by_type[machine.type]);
+  }
+  const auto overflow_types = add_waiting_jobs(scheduler, now, demand_by_type);
+
+  auto types = scheduler.catalog();
+  std::sort(types.begin(), types.end(),
+            [](const MachineType& left, const MachineType& right) { return left.price < right.price; });
+  const int kept_in_reserve = idle.quiet ? 0 : 1;
+  for (const auto& type : types) {
+    TypeDemand& demand = demand_by_type[type.name];
+    const int missing = missing_machines(demand, choices);
+    if (missing < -kept_in_reserve) return_idle(demand.returnable, -missing - kept_in_reserve, plan);
+    if (missing <= 0) continue;
+    if (request_machines(type, demand, missing, refused_until, now, plan)) continue;
+    // What cannot be had of this type is wanted of the next that may run the work.
+    auto overflow = overflow_types.find(type.name);
+    if (overflow != overflow_types.end() && overflow->second->price > type.price)
+      demand_by_type[overflow->second->name].wanted += missing / (1 + choices.headroom_share);
   }
-  return out;
+  return plan;
 }
 
 }  // namespace corkmux
--- a/src/scheduler/scheduler.h
+++ b/src/scheduler/scheduler.h
@@ -21,6 +21,7 @@
 #include "job_index.h"
 #include "model.h"
 #include "reserved_capacity.h"
+#include "time_constants.h"
 
 namespace corkmux {
 
@@ -70,8 +71,6 @@
   int after = -1;  // split: written only once the shard that starts there is stored
 };
 
-inline constexpr double kNever = 1e18;  // s of the steady clock
-
 struct Job {
   JobSpec spec;
   std::uint64_t revision = 0;  // of its record in the state service
@@ -356,7 +355,7 @@
   /// How long each waiting job will have waited, and whom the floor holds by that. In the order of the bids.
   void update_reserved_capacity(const std::vector<const Job*>& order, double now);
   bool is_starving(const Job& job) const {
-    return reserved_capacity_.holds(job.spec.job_class, job.spec.team);
+    return reserved_capacity_.is_starving(job.spec.job_class, job.spec.team);
   }
   /// Whether machines like that are kept for others than this job.
   bool excluded_by_reservation(const Job& job, const std::string& type, int reservation_tier) const;
--- a/src/scheduler/scheduler_constants.h
+++ b/src/scheduler/scheduler_constants.h
@@ -50,27 +50,7 @@
 inline constexpr double kZoneHoldLimit =
     5.0;  // s; what is kept idle meanwhile costs more than the gang's wait beyond
 
-// --- a floor for every class and team (docs/balance.md) ---
-inline constexpr double kDeficitFrom =
-    450.0;  // s until its end that work takes, waiting included, until it counts as in arrears: the operators
-            // count by days of some ten minutes, and what ends within three quarters of one is served
-inline constexpr double kDeficitFull = 600.0;  // s; by then all shelves
-inline constexpr std::size_t kReservationGroupsRemembered =
-    1000;  // classes or teams remembered as served; users name classes
-inline constexpr double kReservationUsageCap =
-    0.2;  // of the fleet; whoever uses more has its floor: all shelves and a third
-inline constexpr double kStarvedAfter =
-    120.0;  // s in which nothing at all of a class or team runs while some of it waits: one shelf
-inline constexpr double kServiceWindow = 600.0;  // s; such a day, over which what was served counts
-inline constexpr double kServedShareTarget =
-    0.65;  // of what came; the operators' mark is half, the rest is for luck
-inline constexpr double kReservationInterval = 1.0;  // s between looks
-inline constexpr double kReservationRise =
-    30.0;  // s until all shelves are kept; a burst's first seconds pass
-inline constexpr double kReservationFall =
-    60.0;  // s until none is; slower than it comes, so that it does not flap
-inline constexpr double kReservationTierShare = 0.08;  // of the machines on one shelf, about
-inline constexpr int kReservationTiers = 2;  // some 15% of the machines at most; each makes pools of its own
+// --- starvation protection ---
 inline constexpr double kDefaultJobEstimate =
     60.0;  // s; work without one counts as so long for those behind it
 
@@ -85,29 +65,18 @@
 inline constexpr double kFreshStart = 30.0;  // s; PROTOCOL counts a start only if it is left alone that long
 inline constexpr double kNominationTime = 8.0;  // s a machine is kept for the job that work was stopped for
 
-// --- sick machines and bad jobs ---
-inline constexpr double kFaultyWeight = 1.5;  // two jobs that failed nowhere else, with half a one to spare
+// --- faulty machines ---
 inline constexpr double kFaultyDelay = 10.0;  // s that a machine's failures are weighed before it is given
                                               // up; jobs are tried elsewhere meanwhile
 inline constexpr std::size_t kFailedJobsRemembered =
-    8;  // of a machine that are remembered; two or three decide
-inline constexpr int kFailingJobMachines =
-    3;                                       // machines a job failed on before it is held to be its own fault
+    8;                                       // of a machine that are remembered; two or three decide
 inline constexpr double kCordonTime = 60.0;  // s a machine with one error is avoided
-inline constexpr double kErrorBackoff = 2.0;      // s, doubled per failure of a job
-inline constexpr double kErrorBackoffMax = 60.0;  // s
 
 // --- fleet ---
-inline constexpr double kBootLate = 3.0;    // times the catalog's boot time before a boot counts as dead
-inline constexpr double kBootGrace = 15.0;  // s beyond that
-// Machines stay through the pauses between jobs, since a returned one loses its images. Once no job has been
-// there for several of the usual gaps, though, more waiting is more likely to cost than to spare a boot.
-inline constexpr double kIdleGaps = 4.0;  // usual gaps; under steady arrivals one in fifty pauses is longer
-inline constexpr double kIdleMinimum =
-    30.0;  // s; half of the minute that every rental costs at least (PROTOCOL)
+inline constexpr double kBootLate = 3.0;      // times the catalog's boot time before a boot counts as dead
+inline constexpr double kBootGrace = 15.0;    // s beyond that
 inline constexpr double kGapSmoothing = 0.2;  // weight of the newest gap; about the last five jobs count
 inline constexpr double kFreshArrival = 5.0;  // s; a job older than that when we first see it was loaded
-inline constexpr int kMaxScaleOut = 50;       // machines; PROTOCOL
 
 // --- memory bounds ---
 inline constexpr std::size_t kFinalCache = 4000;     // finished jobs remembered (about 100 bytes each)
--- a/tests/failure_attribution_test.cc
+++ b/tests/failure_attribution_test.cc
@@ -3,27 +3,27 @@
 
 #include <gtest/gtest.h>
 
-#include "scheduler_constants.h"
 #include "scheduler_model.h"
 
 namespace corkmux {
 namespace {
 namespace c = constants;
 
-TEST(Blame, AFailureSpeaksAgainstTheMachineAsFarAsTheJobDoesWellElsewhere) {
-  auto sick = [](std::vector<MachineFailures> all) {
+TEST(FailureAttribution, AFailureSpeaksAgainstTheMachineAsFarAsTheJobDoesWellElsewhere) {
+  auto faulty = [](const std::vector<MachineFailures>& failures) {
     double sum = 0;
-    for (const auto& f : all) sum += weight_against_machine(f);
+    for (const auto& of_job : failures) sum += weight_against_machine(of_job);
     return sum >= c::kFaultyWeight;
   };
-  EXPECT_FALSE(sick({{40, 0, false}})) << "one job, however often";
-  EXPECT_TRUE(sick({{1, 0, false}, {1, 0, false}}));
-  EXPECT_FALSE(sick({{1, 3, false}, {1, 3, false}, {1, 2, false}})) << "jobs that fail everywhere";
-  EXPECT_TRUE(sick({{2, 0, true}})) << "of a job that does well";
-  EXPECT_FALSE(sick({{1, 0, true}})) << "a single task's bad luck";
+  EXPECT_FALSE(faulty({{40, 0, false}})) << "one job, however often";
+  EXPECT_TRUE(faulty({{1, 0, false}, {1, 0, false}}));
+  EXPECT_FALSE(faulty({{1, 3, false}, {1, 3, false}, {1, 2, false}})) << "jobs that fail everywhere";
+  EXPECT_TRUE(faulty({{2, 0, true}})) << "of a job that does well";
+  EXPECT_FALSE(faulty({{1, 0, true}})) << "a single task's bad luck";
   EXPECT_TRUE(fails_by_itself(c::kFailingJobMachines));
   EXPECT_FALSE(fails_by_itself(c::kFailingJobMachines - 1));
-  for (int n = 0; n < 40; ++n) EXPECT_LE(pause_of_failing(n), c::kErrorBackoffMax);
+  for (int machines = 0; machines < 40; ++machines)
+    EXPECT_LE(pause_of_failing(machines), c::kErrorBackoffMax);
 }
 
 class Seeds : public ::testing::TestWithParam<unsigned> {};
--- a/tests/quota_reclaim_test.cc
+++ b/tests/quota_reclaim_test.cc
@@ -15,7 +15,7 @@
 
 bool holds(const QuotaReclaimInput& in, const std::vector<int>& stopped) {
   auto places = in.places;
-  auto left = in.beyond;
+  auto left = in.over_guarantee;
   for (int i : stopped) {
     const auto& u = in.units[static_cast<std::size_t>(i)];
     for (int m : u.members) {
@@ -53,8 +53,8 @@
     in.units.push_back(unit);
   }
   for (int t = 0; t < 2; ++t)
-    in.beyond.push_back(tight_budget ? Resources{2.0 * up_to(10), 1.0 * up_to(4), 0}
-                                     : Resources{1e6, 1e6, 0});
+    in.over_guarantee.push_back(tight_budget ? Resources{2.0 * up_to(10), 1.0 * up_to(4), 0}
+                                             : Resources{1e6, 1e6, 0});
   return in;
 }
 
--- a/tests/reserved_capacity_test.cc
+++ b/tests/reserved_capacity_test.cc
@@ -1,9 +1,8 @@
-// Who is in arrears, what is kept for them, and what that does to whole queues.
+// Which classes and teams are in deficit, what is reserved for them, and what that does to whole queues.
 #include "reserved_capacity.h"
 
 #include <gtest/gtest.h>
 
-#include "scheduler_constants.h"
 #include "scheduler_model.h"
 
 namespace corkmux {
@@ -12,90 +11,88 @@
 
 const std::string kHot = "hot", kSlow = "slow", kRed = "red", kBlue = "blue";
 
-std::vector<ReservedCapacity::Waiting> jobs(int n, double ends_s, double waited_s = 0, double has = 0.1) {
-  return std::vector<ReservedCapacity::Waiting>(static_cast<std::size_t>(n),
-                                                {&kSlow, &kBlue, waited_s, ends_s, has, has});
+std::vector<ReservedCapacity::WaitingJob> jobs(int n, double ends_s, double waited_s = 0, double has = 0.1) {
+  return std::vector<ReservedCapacity::WaitingJob>(static_cast<std::size_t>(n),
+                                                   {&kSlow, &kBlue, waited_s, ends_s, has, has});
 }
 
-TEST(ReservedCapacity, KeepsNothingForAQueueThatClearsOrAClassThatIsServed) {
-  ReservedCapacity floor;
-  for (double now = 0; now < 300; ++now) floor.look(jobs(40, c::kDeficitFrom * 0.9), now);
-  EXPECT_EQ(floor.reservation_tiers(), 0);
-  for (int i = 0; i < 90; ++i) floor.served(kSlow, kBlue, 300);
-  for (double now = 300; now < 400; ++now) floor.look(jobs(20, 2 * c::kDeficitFull), now);
-  EXPECT_EQ(floor.reservation_tiers(), 0) << "four in five are served";
-  EXPECT_FALSE(floor.holds(kSlow, kBlue));
+TEST(ReservedCapacity, ReservesNothingForAQueueThatClearsOrAClassThatIsServed) {
+  ReservedCapacity reserved;
+  for (double now = 0; now < 300; ++now) reserved.update(jobs(40, c::kDeficitFrom * 0.9), now);
+  EXPECT_EQ(reserved.reservation_tiers(), 0);
+  for (int i = 0; i < 90; ++i) reserved.served(kSlow, kBlue, 300);
+  for (double now = 300; now < 400; ++now) reserved.update(jobs(20, 2 * c::kDeficitFull), now);
+  EXPECT_EQ(reserved.reservation_tiers(), 0) << "four in five are served";
+  EXPECT_FALSE(reserved.is_starving(kSlow, kBlue));
 }
 
-// Found on a day of six times as many urgent jobs: they counted as in arrears themselves, entered what was
-// kept for others, and 0.21 of these were served.
-TEST(ReservedCapacity, AFloodDoesNotCountAsInArrears) {
-  ReservedCapacity floor;
-  for (double now = 0; now < 300; ++now) floor.look(jobs(400, 2 * c::kDeficitFull, 200, 0.9), now);
-  EXPECT_EQ(floor.reservation_tiers(), 0);
+// Otherwise a burst of urgent jobs would count as in deficit itself and fill what is reserved for others.
+TEST(ReservedCapacity, AFloodIsNotInDeficit) {
+  ReservedCapacity reserved;
+  for (double now = 0; now < 300; ++now) reserved.update(jobs(400, 2 * c::kDeficitFull, 200, 0.9), now);
+  EXPECT_EQ(reserved.reservation_tiers(), 0);
 }
 
-TEST(ReservedCapacity, ANewLeaderKnowsArrearsWithinItsRiseAndForgetsThemSlowly) {
-  ReservedCapacity floor;
+TEST(ReservedCapacity, ANewLeaderKnowsDeficitsWithinTheRiseAndForgetsThemSlowly) {
+  ReservedCapacity reserved;
   double now = 0, known = -1, gone = -1;
   for (; now < 200 && known < 0; ++now) {
-    floor.look(jobs(40, 2 * c::kDeficitFull), now);
-    if (floor.reservation_tiers() == c::kReservationTiers) known = now;
+    reserved.update(jobs(40, 2 * c::kDeficitFull), now);
+    if (reserved.reservation_tiers() == c::kReservationTiers) known = now;
   }
   EXPECT_GT(known, 0);
   EXPECT_LE(known, c::kReservationRise + 2);
-  EXPECT_TRUE(floor.holds(kSlow, kRed)) << "its class";
-  EXPECT_TRUE(floor.holds(kHot, kBlue)) << "its team";
-  EXPECT_FALSE(floor.holds(kHot, kRed));
+  EXPECT_TRUE(reserved.is_starving(kSlow, kRed)) << "its class";
+  EXPECT_TRUE(reserved.is_starving(kHot, kBlue)) << "its team";
+  EXPECT_FALSE(reserved.is_starving(kHot, kRed));
   double from = now;
   for (; now < from + 200 && gone < 0; ++now) {
-    floor.look({}, now);
-    if (floor.reservation_tiers() == 0) gone = now;
+    reserved.update({}, now);
+    if (reserved.reservation_tiers() == 0) gone = now;
   }
   EXPECT_GT(gone - from, c::kReservationFall / 2);
   EXPECT_LE(gone - from, c::kReservationFall + 2);
 }
 
 TEST(ReservedCapacity, DoesNotComeAndGoWithEachJob) {
-  ReservedCapacity floor;
+  ReservedCapacity reserved;
   int changes = 0, before = 0;
   for (double now = 0; now < 600; ++now) {
     // On either side of the edge in turn.
-    floor.look(jobs(20, static_cast<int>(now) % 2 ? 0.5 * c::kDeficitFrom : 1.1 * c::kDeficitFrom), now);
-    changes += floor.reservation_tiers() != std::exchange(before, floor.reservation_tiers());
+    reserved.update(jobs(20, static_cast<int>(now) % 2 ? 0.5 * c::kDeficitFrom : 1.1 * c::kDeficitFrom), now);
+    changes += reserved.reservation_tiers() != std::exchange(before, reserved.reservation_tiers());
   }
   EXPECT_LE(changes, 40);
 }
 
-// A class of guests of which nothing had run for 350 s while more urgent work kept every machine (a hunted
-// day).
-TEST(ReservedCapacity, WhoIsShutOutGetsOneShelfUntilEnoughIsServed) {
-  ReservedCapacity floor;
+// A class of which nothing runs while more urgent work uses every machine.
+TEST(ReservedCapacity, AStarvedClassGetsOneTierUntilEnoughIsServed) {
+  ReservedCapacity reserved;
   double now = 0;
   for (; now < c::kStarvedAfter; ++now) {
-    floor.look(jobs(6, 200, now, 0), now);
-    EXPECT_EQ(floor.reservation_tiers(), 0);
+    reserved.update(jobs(6, 200, now, 0), now);
+    EXPECT_EQ(reserved.reservation_tiers(), 0);
   }
-  for (; now < c::kStarvedAfter + c::kReservationRise; ++now) floor.look(jobs(6, 200, now, 0), now);
-  EXPECT_EQ(floor.reservation_tiers(), 1);
-  for (; now < 300; ++now) floor.look(jobs(6, 200, now, 0.05), now);
-  EXPECT_EQ(floor.reservation_tiers(), 1) << "though some of it runs by now";
-  for (int i = 0; i < 12; ++i) floor.served(kSlow, kBlue, now);
-  for (; now < 300 + c::kReservationFall; ++now) floor.look(jobs(6, 200, now, 0.05), now);
-  EXPECT_EQ(floor.reservation_tiers(), 0);
+  for (; now < c::kStarvedAfter + c::kReservationRise; ++now) reserved.update(jobs(6, 200, now, 0), now);
+  EXPECT_EQ(reserved.reservation_tiers(), 1);
+  for (; now < 300; ++now) reserved.update(jobs(6, 200, now, 0.05), now);
+  EXPECT_EQ(reserved.reservation_tiers(), 1) << "though some of it runs by now";
+  for (int i = 0; i < 12; ++i) reserved.served(kSlow, kBlue, now);
+  for (; now < 300 + c::kReservationFall; ++now) reserved.update(jobs(6, 200, now, 0.05), now);
+  EXPECT_EQ(reserved.reservation_tiers(), 0);
 }
 
-// Found on the same day: a team in arrears let its part of the flood in.
-TEST(ReservedCapacity, ATeamsFloorIsNotForWhatFloodsTheFleet) {
-  ReservedCapacity floor;
+// Otherwise a team in deficit would let its part of the flood in.
+TEST(ReservedCapacity, WhatIsReservedForATeamIsNotForAClassThatFloodsTheFleet) {
+  ReservedCapacity reserved;
   auto all = jobs(40, 2 * c::kDeficitFull, 0, 0.05);
   for (int i = 0; i < 400; ++i) all.push_back({&kHot, &kBlue, 200, 2 * c::kDeficitFull, 0.9, 0.05});
-  for (double now = 0; now < 100; ++now) floor.look(all, now);
-  EXPECT_TRUE(floor.holds(kSlow, kBlue));
-  EXPECT_FALSE(floor.holds(kHot, kBlue));
+  for (double now = 0; now < 100; ++now) reserved.update(all, now);
+  EXPECT_TRUE(reserved.is_starving(kSlow, kBlue));
+  EXPECT_FALSE(reserved.is_starving(kHot, kBlue));
 }
 
-TEST(ReservedCapacity, ShelvesHoldTheirShareOfAnyNames) {
+TEST(ReservedCapacity, TiersHoldTheirShareOfAnyNames) {
   for (const char* prefix : {"n-", "worker-", "m"}) {
     int on = 0;
     for (int i = 0; i < 20000; ++i) {
@@ -109,7 +106,7 @@
 
 class Flooded : public ::testing::TestWithParam<unsigned> {};
 
-TEST_P(Flooded, WhatIsNotUrgentIsServedAllTheSameAndNothingStaysKept) {
+TEST_P(Flooded, WhatIsNotUrgentIsServedAllTheSameAndNothingStaysReserved) {
   Model model(GetParam(), 0);
   model.flood();
   EXPECT_GE(model.ended["slow"], 0.5 * model.came["slow"]);
