--- a/src/scheduler/placement.cc
+++ b/src/scheduler/placement.cc
@@ -1,587 +1,260 @@
-// Which waiting task goes to which machine: DESIGN's zone draw, sampled pick and arbitration.
+#include "placement.h"
+
 #include <spdlog/fmt/fmt.h>
 
 #include <algorithm>
 #include <cmath>
-#include <iterator>
 #include <limits>
-#include <numeric>
-
-#include "constants.h"
-#include "scheduler.h"
-#include "scheduler_constants.h"
 
 namespace corkmux {
 namespace c = constants;
-using Stage = ActiveTask::Stage;
-
-bool Scheduler::takes_work(const Machine& m) const {
-  return m.up && !m.decommissioning && !m.faulty && m.gone_at < 0 && m.size.cpus > 0 &&
-         m.observed_token >= (term_ << c::kTermShift) && m.observed_token >= m.wanted;
-}
-
-bool Scheduler::usable(const Machine& m, double now) const {
-  return takes_work(m) && now >= m.no_capacity_until &&
-         now < m.last_heard + c::kSilentReports * config_.report_s;
-}
-
-bool Scheduler::allowed(const JobSpec& spec, const std::string& type, const std::string& zone,
-                        bool spot) const {
-  return spec.allows_type(type) && (!spec.zone || *spec.zone == zone) && (spec.spot || !spot);
-}
-
-bool Scheduler::allowed(const JobSpec& spec, const Machine& m) const {
-  return allowed(spec, m.type, m.zone, m.spot);
-}
-
-double Scheduler::fetch_time(const JobSpec& spec, const Machine& m) const {
-  if (std::find(m.images.begin(), m.images.end(), spec.image) != m.images.end()) return 0;
-  const auto* t = type(m.type);
-  return t ? spec.image_gb / t->fetch_gb_per_s : spec.image_gb;
-}
-
-void Scheduler::note_image(Machine& m, const JobSpec& spec) {
-  if (!m.images.empty() && m.images.front() == spec.image) return;
-  if (std::erase(m.images, spec.image)) {  // the same images, only in another order
-    m.images.push_front(spec.image);
-    return;
-  }
-  capacity_index_.take_out(m);
-  m.images.push_front(spec.image);
-  m.image_gb[spec.image] = spec.image_gb;
-  const auto* t = type(m.type);
-  double total = 0;
-  for (std::size_t i = 0; i < m.images.size(); ++i) {
-    total += m.image_gb[m.images[i]];
-    if (t && total > t->cache_gb && i > 0) {
-      for (std::size_t k = i; k < m.images.size(); ++k) m.image_gb.erase(m.images[k]);
-      m.images.resize(i);
-      break;
-    }
-  }
-}
-
-double Scheduler::slack(const Machine& m, const Resources& free) const {
-  double s = 1;
-  if (m.size.cpus > 0) s = std::min(s, free.cpus / m.size.cpus);
-  if (m.size.gpus > 0) s = std::min(s, free.gpus / m.size.gpus);
-  if (m.size.memory_gb > 0) s = std::min(s, free.memory_gb / m.size.memory_gb);
-  return std::max(0.0, s);
-}
-
-double Scheduler::utility(const Machine& m, double now) const {
-  double age = std::max(0.0, now - m.last_heard);
-  double s = std::max(0.0, slack(m, m.free) + age * m.slack_slope);
-  double h = std::max(0.0, m.heat + age * m.heat_slope);
-  return std::log2(1 + s) - c::kGamma * std::log2(1 + h) - c::kFetchWeight * m.fetch_s;
-}
+namespace {
 
-bool Scheduler::within_limit(const std::string& name, const Resources& more) const {
-  auto t = teams_.find(name);
-  if (t == teams_.end()) return false;
-  Resources use = team_use(name);
-  use += more;
-  return t->second.allows(use);
-}
-
-/// Of one bid on one machine, so a gang's size is that of a member (paper III-B: the mass of a task).
-double Scheduler::weight(const Job& job) const {
-  static constexpr double kPriorityWeight[] = {1, 4, 16, 64};
-  double largest = 1;
-  for (const auto& t : types_) largest = std::max(largest, t.size.cpus);
-  double size = std::max({job.spec.need.cpus / largest, job.spec.need.gpus, 1 / largest});
-  return kPriorityWeight[static_cast<int>(job.priority)] * size *
-         (job.indexed.guaranteed ? c::kGuaranteeBoost : 1);
-}
+/// Tasks of the job that one zone may take.
+int most_in_zone(const JobSpec& spec) { return spec.spread ? (spec.tasks + 1) / 2 : spec.tasks; }
 
-Scheduler::Shape Scheduler::shape(const Job& job) const {
-  const JobSpec& s = job.spec;
-  return {s.need.cpus,
-          s.need.gpus,
-          s.need.memory_gb,
-          s.one_zone,
-          s.spread,
-          s.spot,
-          s.kind == JobKind::Gang,
-          static_cast<int>(job.priority),
-          s.zone.value_or(""),
-          s.types.value_or(std::vector<std::string>{}),
-          is_starving(job)};
+/// A value that drifts between heartbeats, as it would be by now.
+double extrapolated(double value, double slope, const Machine& machine, double now) {
+  const double age = std::max(0.0, now - machine.last_heard);
+  return std::max(0.0, value + age * slope);
 }
 
-bool Scheduler::known_not_to_fit(const Job& job, double now) const {
-  // A job that room was made for sees machines that others do not; nor is one bound to a zone by its own
-  // tasks like the rest.
-  if (now - job.preempted_at < c::kNominationTime || !job.active.empty()) return false;
-  auto it = not_fitting_.find(shape(job));
-  return it != not_fitting_.end() && (job.spec.kind != JobKind::Gang || job.spec.tasks >= it->second);
+double utility(const Machine& machine, double fetch_s, double now) {
+  const double slack = extrapolated(machine.slack(), machine.slack_slope, machine, now);
+  const double heat = extrapolated(machine.heat, machine.heat_slope, machine, now);
+  return std::log2(1 + slack) - c::kGamma * std::log2(1 + heat) - c::kFetchWeight * fetch_s;
 }
 
-void Scheduler::note_not_fitting(const Job& job, double now) {
-  if (now - job.preempted_at < c::kNominationTime || !job.active.empty()) return;
-  auto [it, fresh] = not_fitting_.try_emplace(shape(job), job.spec.tasks);
-  if (!fresh) it->second = std::min(it->second, job.spec.tasks);
+bool gang_waits(Job& job) {
+  job.why = std::string("waiting: no ") + (job.spec.one_zone ? "zone has" : "zones have") +
+            " room for all its tasks at once";
+  return false;
 }
 
-void Scheduler::note_freed(const std::string& zone, const Resources& need, double now) {
-  Freed& f = freed_[zone];
-  double keep = std::exp(-std::max(0.0, now - f.at) / c::kFreeingWindow);
-  f.sum.cpus = keep * f.sum.cpus + need.cpus;
-  f.sum.gpus = keep * f.sum.gpus + need.gpus;
-  f.at = std::max(f.at, now);
+/// The first task that is queued; none if there is none.
+std::optional<int> next_queued(Job& job) {
+  while (job.cursor < job.spec.tasks && job.phase[static_cast<std::size_t>(job.cursor)] != TaskPhase::Queued)
+    ++job.cursor;
+  if (job.cursor >= job.spec.tasks) return std::nullopt;
+  return job.cursor;
 }
 
-/// A gang of many waits for as many places at once, and work that needs fewer takes each as it becomes free.
-/// Once it is due, one zone is kept for it if the missing places will be free soon, at the rate at which the
-/// zone's have been of late: where many tasks end each second that costs next to nothing, where few do it
-/// would idle half a zone.
-void Scheduler::hold_zone_for_gang(const Job& job, double now) {
-  const JobSpec& spec = job.spec;
-  if (spec.kind != JobKind::Gang || !spec.one_zone || !job.active.empty()) return;
-  std::string best;
-  int most = 0;
-  for (const auto& [zone, room] : free_capacity_by_zone(spec, fitting(job, false, now), now))
-    if (room.places > most && !held_zones_.count(zone)) best = zone, most = room.places;
-  auto f = freed_.find(best);
-  if (f == freed_.end()) return;
-  double decay = std::exp(-std::max(0.0, now - f->second.at) / c::kFreeingWindow) / c::kFreeingWindow;
-  bool by_gpus = spec.need.gpus > 0;
-  double rate = decay * (by_gpus ? f->second.sum.gpus : f->second.sum.cpus);
-  double missing = (spec.tasks - most) * (by_gpus ? spec.need.gpus : spec.need.cpus);
-  if (missing <= rate * c::kZoneHoldLimit) held_zones_[best] = spec.id;
-}
+}  // namespace
 
-bool Scheduler::overdue(const Job& job, double now) const {
-  return job.spec.kind != JobKind::Gang && job.spec.tasks >= c::kBeginTasks && job.active.empty() &&
-         job.done == 0 && now - job.ready_at > c::kBeginShare * c::kBeginWithin;
-}
+// ---------------------------------------------------------------- zones
 
-Scheduler::StartAim Scheduler::start_aim(const Job& job, double now) const {
-  StartAim out;
-  auto aims = config_.start_within.find(job.spec.job_class);
-  if (aims == config_.start_within.end() || !job.active.empty() || job.done > 0) return out;
-  double waited = now - job.ready_at;
-  for (double within : aims->second) out.missed += waited > within;
-  double last = aims->second.back();
-  out.due = waited > c::kDueShare * last && waited <= last;
-  if (out.due) out.at = job.ready_at + last;
-  return out;
+double Placement::fetch_time(const JobSpec& spec, const CandidateGroup& group) const {
+  if (group.single) return state_.fetch_time(spec, *group.single);
+  if (group.bucket->images.contains(spec.image)) return 0;
+  const MachineType* type = state_.type(group.pool->type);
+  return type ? spec.image_gb / type->fetch_gb_per_s : spec.image_gb;
 }
 
-/// The levels of a pool that the job's tasks fit on. They are in falling order of accelerators and CPUs, so
-/// those with too little are not even looked at; and no more than kBucketsExamined once there is room for all
-/// that is placed at once, the emptiest.
-void Scheduler::level_slots(
-    const Job& job, const CapacityIndex::Pool& pool, const CapacityIndex::CapacityBuckets& levels,
-    const std::map<const CapacityIndex::CapacityBucket*, std::vector<std::size_t>>& failed, double most_gpus,
-    std::vector<Slot>& out) {
-  const Resources& need = job.spec.need;
-  const int enough = job.spec.kind == JobKind::Gang ? job.spec.tasks : 1;
-  int looked = 0, places = 0;
-  for (auto it = levels.begin(); it != levels.end();) {
-    ++steps_;
-    const auto& [room, level] = *it;
-    if (need.gpus > level.free.gpus + 1e-6 || (looked >= c::kBucketsExamined && places >= enough)) return;
-    if (need.cpus > level.free.cpus + 1e-6) {  // nor do the next: on to those with fewer accelerators
-      it = levels.upper_bound({room[0], std::numeric_limits<long long>::min(), 0});
-      continue;
-    }
-    ++it;
-    if (!need.fits(level.free) || level.free.gpus > most_gpus) continue;
-    Slot slot{&pool, &level, nullptr, {}, level.machines.size(), need.times_in(level.free)};
-    if (auto f = failed.find(&level); f != failed.end()) {
-      slot.without = f->second;
-      std::sort(slot.without.begin(), slot.without.end());
-      slot.count -= slot.without.size();
-    }
-    if (slot.count == 0) continue;
-    ++looked;
-    places += static_cast<int>(std::min<std::size_t>(slot.count, 1000000)) * slot.times;
-    out.push_back(std::move(slot));
-  }
-}
-
-std::vector<Scheduler::Slot> Scheduler::fitting(const Job& job, bool include_suspect, double now,
-                                                const std::string* zone) {
-  const JobSpec& spec = job.spec;
-  if (spec.one_zone && !job.active.empty()) zone = &job.active.begin()->second.zone;
-  std::vector<Slot> in_reserved_tier, plain, with_gpus, suspect;
-  const bool held = is_starving(job);
-  // Accelerators never stall behind work that does not need them: it takes no machine with more of them free.
-  double most_gpus = 1e18;
-  if (spec.need.gpus <= 0 && accelerator_users_ && job.priority <= *accelerator_users_)
-    most_gpus = accelerators_wanted_
-                    ? -1
-                    : capacity_index_.free_gpus() - c::kAcceleratorReserve * capacity_index_.all_gpus();
-  auto closed = [&](const std::string& z) {
-    auto g = held_zones_.find(z);
-    return (zone && z != *zone) || (g != held_zones_.end() && g->second != spec.id);
-  };
-  auto single = [&](Machine& m, std::vector<Slot>& out) {
-    ++steps_;
-    if (!allowed(spec, m) || closed(m.zone) || !spec.need.fits(m.free)) return;
-    if (m.size.gpus > 0 && m.free.gpus > most_gpus) return;
-    if (excluded_by_reservation(job, m.type, m.index_entry.pool->reservation_tier)) return;
-    out.push_back({m.index_entry.pool, nullptr, &m, {}, 1, spec.need.times_in(m.free)});
-  };
-  std::map<const CapacityIndex::CapacityBucket*, std::vector<std::size_t>> failed;
-  for (const auto& name : job.failed_on) {
-    Machine* m = machine(name);
-    if (!m || m->index_entry.use != MachineCapacity::Use::Ready) continue;
-    failed[m->index_entry.level].push_back(m->index_entry.position);
-    single(*m, suspect);
-  }
-  for (const auto& [key, pool] : capacity_index_.pools()) {
-    ++steps_;
-    if (closed(pool.zone) || !spec.need.fits(pool.size) || !allowed(spec, pool.type, pool.zone, pool.spot) ||
-        excluded_by_reservation(job, pool.type, pool.reservation_tier))
-      continue;
-    const bool gpus = spec.need.gpus <= 0 && pool.size.gpus > 0;
-    // Work that machines are kept for fills these first, so that others find the rest.
-    const bool first =
-        held && pool.reservation_tier > 0 && pool.reservation_tier <= reserved_capacity_.reservation_tiers();
-    std::vector<Slot>& out = first && spec.kind != JobKind::Gang ? in_reserved_tier
-                             : gpus                              ? with_gpus
-                                                                 : plain;
-    const double most = pool.size.gpus > 0 ? most_gpus : 1e18;
-    level_slots(job, pool, pool.ready, failed, most, out);
-    level_slots(job, pool, pool.suspect, {}, most, suspect);
-  }
-  for (Machine* m : capacity_index_.kept_for(spec.id)) {
-    bool gpus = spec.need.gpus <= 0 && m->size.gpus > 0;
-    single(*m, gpus ? with_gpus : now < m->cordoned_until || job.failed_on.count(m->name) ? suspect : plain);
-  }
-  if (spec.kind == JobKind::Gang) {
-    // Whole machines for gangs: all fitting machines are looked at, those without accelerators first.
-    std::move(with_gpus.begin(), with_gpus.end(), std::back_inserter(plain));
-    if (include_suspect) std::move(suspect.begin(), suspect.end(), std::back_inserter(plain));
-    return plain;
+void Placement::add_group(const JobSpec& spec, const CandidateGroup& group, double now,
+                          ZoneCapacity& zone) const {
+  const auto machines = static_cast<double>(group.machine_count);
+  zone.machines += machines;
+  zone.places += static_cast<int>(machines) * group.tasks_per_machine;
+  zone.fetch_s = std::min(zone.fetch_s, fetch_time(spec, group));
+  if (group.single) {
+    const Machine& machine = *group.single;
+    zone.slack += extrapolated(machine.slack(), machine.slack_slope, machine, now);
+    zone.heat += extrapolated(machine.heat, machine.heat_slope, machine, now);
+    return;
   }
-  if (!in_reserved_tier.empty()) return in_reserved_tier;
-  // Work that needs no accelerator takes accelerator machines only when nothing else fits.
-  if (!plain.empty()) return plain;
-  if (!with_gpus.empty()) return with_gpus;
-  return suspect;
+  const double share = machines / static_cast<double>(group.bucket->machines.size());
+  zone.slack += share * std::max(0.0, group.bucket->slack.at(now));
+  zone.heat += share * std::max(0.0, group.bucket->heat.at(now));
 }
 
-std::map<std::string, Scheduler::ZoneCapacity> Scheduler::free_capacity_by_zone(
-    const JobSpec& spec, const std::vector<Slot>& slots, double now) const {
-  std::map<std::string, ZoneCapacity> zones;
-  for (const auto& s : slots) {
-    ZoneCapacity& z = zones[s.pool->zone];
-    auto n = static_cast<double>(s.count);
-    z.machines += n;
-    z.places += static_cast<int>(n) * s.times;
-    if (s.one) {
-      double age = std::max(0.0, now - s.one->last_heard);
-      z.slack += std::max(0.0, slack(*s.one, s.one->free) + age * s.one->slack_slope);
-      z.heat += std::max(0.0, s.one->heat + age * s.one->heat_slope);
-      z.fetch_s = std::min(z.fetch_s, fetch_time(spec, *s.one));
-      continue;
-    }
-    double share = n / static_cast<double>(s.level->machines.size());
-    z.slack += share * std::max(0.0, s.level->slack.at(now));
-    z.heat += share * std::max(0.0, s.level->heat.at(now));
-    const auto* t = type(s.pool->type);
-    double fetch = s.level->images.count(spec.image) ? 0
-                   : t                               ? spec.image_gb / t->fetch_gb_per_s
-                                                     : spec.image_gb;
-    z.fetch_s = std::min(z.fetch_s, fetch);
-  }
+Placement::CapacityByZone Placement::capacity_by_zone(const JobSpec& spec,
+                                                      const std::vector<CandidateGroup>& groups,
+                                                      double now) const {
+  CapacityByZone zones;
+  for (const auto& group : groups) add_group(spec, group, now, zones[group.pool->zone]);
   return zones;
 }
 
-std::vector<std::string> Scheduler::draw_zones(const JobSpec& spec,
-                                               const std::map<std::string, ZoneCapacity>& zones) {
-  bool whole = spec.kind == JobKind::Gang && spec.one_zone;
-  std::vector<std::pair<std::string, double>> odds;
-  for (const auto& [name, z] : zones) {
-    if (whole && z.places < spec.tasks) continue;
-    double u =
-        std::log2(1 + z.slack / z.machines) - c::kGamma * std::log2(1 + z.heat) - c::kFetchWeight * z.fetch_s;
-    odds.push_back({name, std::exp2(u / c::kTau)});
+/// All zones, drawn one after the other by softmax of their utility. A gang that keeps to one zone is drawn
+/// only such as have room for all of it.
+std::vector<std::string> Placement::draw_zones(const JobSpec& spec, const CapacityByZone& zones) {
+  const bool needs_whole_zone = spec.kind == JobKind::Gang && spec.one_zone;
+  std::vector<std::string> names;
+  std::vector<double> weights;
+  for (const auto& [name, zone] : zones) {
+    if (needs_whole_zone && zone.places < spec.tasks) continue;
+    const double zone_utility = std::log2(1 + zone.slack / zone.machines) -
+                                c::kGamma * std::log2(1 + zone.heat) - c::kFetchWeight * zone.fetch_s;
+    names.push_back(name);
+    weights.push_back(std::exp2(zone_utility / c::kTau));
   }
   std::vector<std::string> order;
-  while (!odds.empty()) {
-    double total = 0;
-    for (auto& o : odds) total += o.second;
-    double x = std::uniform_real_distribution<double>(0, total)(rng_);
-    std::size_t i = 0;
-    while (i + 1 < odds.size() && x >= odds[i].second) x -= odds[i++].second;
-    order.push_back(odds[i].first);
-    odds.erase(odds.begin() + static_cast<long>(i));
+  while (!names.empty()) {
+    const std::size_t drawn = random_.draw_weighted(weights);
+    order.push_back(std::move(names[drawn]));
+    names.erase(names.begin() + static_cast<std::ptrdiff_t>(drawn));
+    weights.erase(weights.begin() + static_cast<std::ptrdiff_t>(drawn));
   }
   return order;
 }
 
-std::vector<std::size_t> Scheduler::sample(std::size_t all, std::size_t most) {
-  std::vector<std::size_t> out;
-  if (all <= most) {
-    out.resize(all);
-    std::iota(out.begin(), out.end(), 0);
-    return out;
-  }
-  // Floyd's: each set of `most` is as likely as any other, without a list of all.
-  std::set<std::size_t> taken;
-  for (std::size_t j = all - most; j < all; ++j) {
-    std::size_t t = std::uniform_int_distribution<std::size_t>(0, j)(rng_);
-    out.push_back(taken.insert(t).second ? t : j);
-    taken.insert(out.back());
-  }
-  return out;
-}
+// ---------------------------------------------------------------- machines
 
-Machine* Scheduler::pick(const JobSpec& spec, const std::vector<Slot>& slots, double now) {
+/// The best of a sample of the candidates, with a little noise so that not all leaders of a moment choose
+/// alike.
+Placement::Choice Placement::pick(const JobSpec& spec, const std::vector<CandidateGroup>& groups,
+                                  double now) {
   std::normal_distribution<double> noise(0, c::kScoreNoise);
-  Machine* best = nullptr;
-  double best_score = -1e18;
-  std::size_t all = 0;
-  for (const auto& s : slots) all += s.count;
-  for (std::size_t k : sample(all, c::kSampleSize)) {
+  Choice best;
+  double best_score = -std::numeric_limits<double>::infinity();
+  std::size_t machines = 0;
+  for (const auto& group : groups) machines += group.machine_count;
+  for (std::size_t position : random_.sample(machines, c::kSampleSize)) {
     ++steps_;
-    const Slot* s = slots.data();
-    for (; k >= s->count; ++s) k -= s->count;
-    for (std::size_t hole : s->without) k += hole <= k;
-    Machine* m = s->one ? s->one : s->level->machines[k];
-    m->fetch_s = fetch_time(spec, *m);
-    double score = utility(*m, now) + noise(rng_);
-    if (spec.need.gpus <= 0 && m->size.gpus > 0) score -= c::kAcceleratorPenalty;
-    if (score > best_score) best = m, best_score = score;
+    const CandidateGroup* group = groups.data();
+    for (; position >= group->machine_count; ++group) position -= group->machine_count;
+    Machine& machine = group->machine(position);
+    const double fetch_s = state_.fetch_time(spec, machine);
+    double score = utility(machine, fetch_s, now) + noise(random_.generator());
+    if (spec.need.gpus <= 0 && machine.size.gpus > 0) score -= c::kAcceleratorPenalty;
+    if (score <= best_score) continue;
+    best = {&machine, fetch_s};
+    best_score = score;
   }
   return best;
 }
 
-bool Scheduler::place_gang(Job& job, bool include_suspect, double now) {
+// ---------------------------------------------------------------- gangs
+
+bool Placement::place_gang(Job& job, double now) {
   const JobSpec& spec = job.spec;
-  if (!within_limit(spec.team, spec.at_once())) {
+  if (!state_.within_limit(spec.team, spec.at_once())) {
     job.why = "waiting: the team's limit leaves no room for the whole gang";
     return false;
   }
-  auto no_room = [&] {
-    job.why = "waiting: no " + std::string(spec.one_zone ? "zone has" : "zones have") +
-              " room for all its tasks at once";
-    return false;
-  };
-  if (!include_suspect && known_not_to_fit(job, now)) return no_room();
-  const auto zones = free_capacity_by_zone(spec, fitting(job, include_suspect, now), now);
-  const int most = spec.spread ? (spec.tasks + 1) / 2 : spec.tasks;  // in one zone
-  auto order = draw_zones(spec, zones);
-  // Its tasks are alike, so a zone takes as many as it has places, whichever machine comes first.
-  int places = 0;
-  for (const auto& zone : order)
-    places = std::max(spec.one_zone ? places : 0,
-                      (spec.one_zone ? 0 : places) + std::min(most, zones.at(zone).places));
-  if (places < spec.tasks) {
-    // Machines on which something failed lately are better than waiting for ever.
-    if (!include_suspect) return place_gang(job, true, now);
-    note_not_fitting(job, now);
-    return no_room();
-  }
-  const auto attempt = next_number();
-  double fetch = 0;
-  int next = 0;
-  for (const auto& zone : order)
-    for (int here = 0; here < most && next < spec.tasks; ++here) {
-      auto slots = fitting(job, include_suspect, now, &zone);
-      Machine* m = slots.empty() ? nullptr : pick(spec, slots, now);
-      if (!m) break;
-      fetch = std::max(fetch, m->fetch_s);
-      assign(job, next++, *m, attempt, now);
+  if (search_.known_not_to_fit(job, now)) return gang_waits(job);
+  // Machines on which something failed lately are better than waiting for ever.
+  for (Suspects suspects : {Suspects::LastResort, Suspects::Included}) {
+    const CapacityByZone zones = capacity_by_zone(spec, search_.find(job, suspects, now), now);
+    const std::vector<std::string> order = draw_zones(spec, zones);
+    // Its tasks are alike, so a zone takes as many as it has places, whichever machine comes first.
+    int places = 0;
+    for (const auto& zone : order) {
+      const int in_zone = std::min(most_in_zone(spec), zones.at(zone).places);
+      places = spec.one_zone ? std::max(places, in_zone) : places + in_zone;
     }
-  if (next < spec.tasks) {  // all or none
-    abort_gang(job, now);
-    return no_room();
+    if (places >= spec.tasks) return assign_gang(job, suspects, order, now);
   }
-  if (config_.details)
-    details_.push_back(
-        fmt::format("job {} ({}): {} tasks placed in {} after {:.1f} s, slowest fetch {:.1f} s", spec.id,
-                    spec.job_class, spec.tasks, job.active.begin()->second.zone, now - job.ready_at, fetch));
-  return true;
+  search_.note_not_fitting(job, now);
+  return gang_waits(job);
 }
 
-int Scheduler::place_tasks(Job& job, int budget, double now) {
+bool Placement::assign_gang(Job& job, Suspects suspects, const std::vector<std::string>& zones, double now) {
   const JobSpec& spec = job.spec;
-  int placed = 0;
-  std::map<std::string, int> in_zone;
-  for (const auto& [i, a] : job.active) ++in_zone[a.zone];
-  const auto attempt = next_number();  // of all that this call places; a task is placed at most once in it
-  // What fails by itself shows it with one task as well as with all.
-  if (job.bad) budget = job.active.empty() ? 1 : 0;
-  while (placed < budget && job.queued > 0) {
-    if (!within_limit(spec.team, spec.need)) {
-      job.why = "waiting: the team is at its limit";
-      break;
-    }
-    std::vector<Slot> slots;
-    if (!known_not_to_fit(job, now)) slots = fitting(job, true, now);
-    if (spec.spread)
-      std::erase_if(slots, [&](const Slot& s) { return in_zone[s.pool->zone] + 1 > (spec.tasks + 1) / 2; });
-    if (slots.empty()) {
-      note_not_fitting(job, now);
-      job.why = "waiting: no machine it may use has room";
-      break;
+  const std::uint64_t attempt = state_.next_number();
+  double slowest_fetch_s = 0;
+  int assigned = 0;
+  for (const auto& zone : zones)
+    for (int in_zone = 0; in_zone < most_in_zone(spec) && assigned < spec.tasks; ++in_zone) {
+      const auto groups = search_.find(job, suspects, now, &zone);
+      const Choice choice = pick(spec, groups, now);
+      if (!choice.machine) break;
+      slowest_fetch_s = std::max(slowest_fetch_s, choice.fetch_s);
+      assigner_.assign(job, assigned, *choice.machine, attempt, now);
+      ++assigned;
     }
-    auto zone = draw_zones(spec, free_capacity_by_zone(spec, slots, now)).front();
-    std::erase_if(slots, [&](const Slot& s) { return s.pool->zone != zone; });
-    Machine* m = pick(spec, slots, now);
-    if (!m) break;
-    while (job.cursor < spec.tasks && job.phase[static_cast<std::size_t>(job.cursor)] != TaskPhase::Queued)
-      ++job.cursor;
-    if (job.cursor >= spec.tasks) break;
-    assign(job, job.cursor, *m, attempt, now);
-    ++in_zone[m->zone];
-    ++placed;
+  if (assigned < spec.tasks) {
+    assigner_.abort_gang(job, now);
+    return gang_waits(job);
   }
-  return placed;
+  note_gang_placed(job, slowest_fetch_s, now);
+  return true;
 }
 
-bool Scheduler::excluded_by_reservation(const Job& job, const std::string& type, int reservation_tier) const {
-  return reservation_tier > 0 && reservation_tier <= reserved_capacity_.reservation_tiers() &&
-         reserved_types_.count(type) && !is_starving(job);
+void Placement::note_gang_placed(const Job& job, double slowest_fetch_s, double now) {
+  if (!state_.config().details) return;
+  details_.push_back(fmt::format("job {} ({}): {} tasks placed in {} after {:.1f} s, slowest fetch {:.1f} s",
+                                 job.spec.id, job.spec.job_class, job.spec.tasks,
+                                 job.active.begin()->second.zone, now - job.ready_at, slowest_fetch_s));
 }
 
-void Scheduler::update_reserved_capacity(const std::vector<const Job*>& order, double now) {
-  Resources ahead;  // processor and accelerator seconds
-  const Resources all{std::max(1.0, capacity_index_.all_cpus()), std::max(1.0, capacity_index_.all_gpus()),
-                      0};
-  auto has = [&](const Resources& use) { return std::max(use.cpus / all.cpus, use.gpus / all.gpus); };
-  auto run_s = [](const JobSpec& s) { return s.estimate_s > 0 ? s.estimate_s : c::kDefaultJobEstimate; };
-  std::vector<ReservedCapacity::WaitingJob> waiting;
-  for (const Job* job : order) {
-    const JobSpec& s = job->spec;
-    // What its own team's limit holds back waits for no other; what fails is not kept from being served.
-    if (within_limit(s.team, s.at_once()) && !job->bad) {
-      double wait = ahead.cpus / all.cpus;
-      if (s.need.gpus > 0) wait = std::max(wait, ahead.gpus / all.gpus);
-      const double waited = now - job->ready_at;
-      auto use = class_use_.find(s.job_class);
-      waiting.push_back({&s.job_class, &s.team, waited, waited + wait + run_s(s),
-                         has(use == class_use_.end() ? Resources{} : use->second), has(team_use(s.team))});
-    }
-    double seconds = job->queued * run_s(s);
-    ahead += {seconds * s.need.cpus, seconds * s.need.gpus, 0};
-  }
-  reserved_capacity_.update(waiting, now);
-  if (auto held = reserved_capacity_.starving(); held != logged_starving_) {
-    logged_starving_ = std::move(held);
-    std::string all;
-    for (const auto& name : logged_starving_) all += (all.empty() ? "" : ", ") + name;
-    notes_.push_back(all.empty()
-                         ? "no class or team is in arrears any more: no machines are kept"
-                         : "less than half would be served of " + all + ": machines are kept for them");
-  }
-  reserved_types_.clear();
-  if (reserved_capacity_.reservation_tiers() == 0) return;
-  for (const Job* job : order) {
-    if (!is_starving(*job)) continue;
-    const JobSpec& s = job->spec;
-    bool plain = false;  // where it fits without accelerators it needs none
-    auto usable_type = [&](const MachineType& t) { return s.allows_type(t.name) && s.need.fits(t.size); };
-    for (const auto& t : types_) plain |= usable_type(t) && t.size.gpus <= 0;
-    for (const auto& t : types_)
-      if (usable_type(t) && !(plain && t.size.gpus > 0)) reserved_types_.insert(t.name);
+/// A gang of many waits for as many places at once, and work that needs fewer takes each as it becomes free.
+/// Once it is due, one zone is held for it if the missing places will be free soon, at the rate at which the
+/// zone's have been of late: where many tasks end each second that costs next to nothing, where few do it
+/// would idle half a zone.
+void Placement::hold_zone_for_gang(const Job& job, double now) {
+  const JobSpec& spec = job.spec;
+  if (!job.is_gang() || !spec.one_zone || !job.active.empty()) return;
+  std::string best;
+  int most_places = 0;
+  for (const auto& [name, zone] : capacity_by_zone(spec, search_.find(job, Suspects::LastResort, now), now)) {
+    if (zone.places <= most_places || search_.is_held(name)) continue;
+    best = name;
+    most_places = zone.places;
   }
+  auto found = freed_by_zone_.find(best);
+  if (found == freed_by_zone_.end()) return;
+  const Freed& freed = found->second;
+  const double decay = std::exp(-std::max(0.0, now - freed.at) / c::kFreeingWindow) / c::kFreeingWindow;
+  const bool by_gpus = spec.need.gpus > 0;
+  const double rate = decay * (by_gpus ? freed.sum.gpus : freed.sum.cpus);
+  const double missing = (spec.tasks - most_places) * (by_gpus ? spec.need.gpus : spec.need.cpus);
+  if (missing <= rate * c::kZoneHoldLimit) search_.hold_zone(best, spec.id);
 }
 
-void Scheduler::schedule(double now) {
-  wants_cycle_ = false;
-  not_fitting_.clear();
-  held_zones_.clear();
-  for (Machine* m : capacity_index_.due(now)) reindex(*m, now);
-  keep_promises(now);
-  auto late = [this](const Job& job, double at) {
-    auto aim = config_.finish_within.find(job.spec.job_class);
-    return aim != config_.finish_within.end() ? at - job.ready_at > aim->second : at > job.due_at;
-  };
-  auto left = [](const Job& job) { return job.queued * std::max(1.0, job.spec.estimate_s); };
-  struct Bid {
-    double weight;
-    StartAim aim;
-    bool overdue;  // of an array that has waited long nothing has begun
-    bool late;
-    double left;
-    Job* job;
-  };
-  std::vector<Bid> order;
-  for (Job* job : job_index_.waiting()) {
-    ++steps_;
-    if (now < job->not_before) continue;
-    bool is_late = late(*job, now);
-    order.push_back(
-        {weight(*job), start_aim(*job, now), overdue(*job, now), is_late, is_late ? 0 : left(*job), job});
-  }
-  // The highest priority times size wins a machine: bids are settled in that order. Of equals, first those
-  // that are about to miss a start aim, the earliest first; then those that have missed the fewest and can
-  // still end in time, and of these the one with the least left to start: that way the fewest jobs are late
-  // when there is too little room, and none waits for ever behind smaller ones.
-  std::sort(order.begin(), order.end(), [](const Bid& a, const Bid& b) {
-    if (a.weight != b.weight) return a.weight > b.weight;
-    if (a.aim.due != b.aim.due) return a.aim.due;
-    if (a.aim.due && a.aim.at != b.aim.at) return a.aim.at < b.aim.at;
-    if (a.overdue != b.overdue) return a.overdue;
-    if (a.overdue) return a.job->ready_at < b.job->ready_at;
-    return std::tie(a.aim.missed, a.late, a.left, a.job->order) <
-           std::tie(b.aim.missed, b.late, b.left, b.job->order);
+void Placement::note_freed(const std::string& zone, const Resources& need, double now) {
+  Freed& freed = freed_by_zone_[zone];
+  const double keep = std::exp(-std::max(0.0, now - freed.at) / c::kFreeingWindow);
+  freed.sum.cpus = keep * freed.sum.cpus + need.cpus;
+  freed.sum.gpus = keep * freed.sum.gpus + need.gpus;
+  freed.at = std::max(freed.at, now);
+}
+
+// ---------------------------------------------------------------- single tasks
+
+std::vector<CandidateGroup> Placement::candidates_for_task(const Job& job,
+                                                           const std::map<std::string, int>& tasks_in_zone,
+                                                           double now) {
+  if (search_.known_not_to_fit(job, now)) return {};
+  auto groups = search_.find(job, Suspects::Included, now);
+  if (!job.spec.spread) return groups;
+  std::erase_if(groups, [&](const CandidateGroup& group) {
+    auto tasks = tasks_in_zone.find(group.pool->zone);
+    return tasks != tasks_in_zone.end() && tasks->second >= most_in_zone(job.spec);
   });
-  std::vector<const Job*> bids;
-  for (const Bid& bid : order) bids.push_back(bid.job);
-  update_reserved_capacity(bids, now);
-  accelerators_wanted_ = false;
-  accelerator_users_ = job_index_.accelerator_users();
-  for (const Bid& bid : order)
-    accelerators_wanted_ |=
-        bid.job->spec.need.gpus > 0 && within_limit(bid.job->spec.team, bid.job->spec.need);
-  int budget = c::kBidsPerCycle, preemptors = 0;
-  bool claimed = false;
-  // Looking for work to stop is dear; it is left out where nothing of lower priority runs.
-  const Priority lowest = job_index_.lowest_stoppable().value_or(Priority::Production);
-  std::map<std::string, Priority> held;  // teams whose limit keeps a more urgent job waiting
-  for (const Bid& bid : order) {
-    Job* job = bid.job;
-    if (within_limit(job->spec.team, job->spec.at_once())) continue;
-    auto [h, fresh] = held.try_emplace(job->spec.team, job->priority);
-    if (!fresh) h->second = std::max(h->second, job->priority);
-  }
-  for (const Bid& bid : order) {
-    Job* job = bid.job;
-    if (budget <= 0) {
-      wants_cycle_ = true;
+  return groups;
+}
+
+int Placement::place_tasks(Job& job, int budget, double now) {
+  const JobSpec& spec = job.spec;
+  int placed = 0;
+  std::map<std::string, int> tasks_in_zone;
+  for (const auto& [index, task] : job.active) ++tasks_in_zone[task.zone];
+  // One attempt for all that this call places: a task is placed at most once in it.
+  const std::uint64_t attempt = state_.next_number();
+  // What fails by itself shows it with one task as well as with all.
+  if (job.fails_by_itself) budget = job.active.empty() ? 1 : 0;
+  while (placed < budget && job.queued > 0) {
+    if (!state_.within_limit(spec.team, spec.need)) {
+      job.why = "waiting: the team is at its limit";
       break;
     }
-    const JobSpec& spec = job->spec;
-    // Guards against work that waits for ever under its team's limit: what is more urgent may never fit in
-    // what is left, or may follow without end, and can stop it all the same. One task at a time goes on.
-    const auto h = held.find(spec.team);
-    const bool behind = h != held.end() && job->priority < h->second;
-    if (behind && (now - job->ready_at < c::kHeldPatience || !job->active.empty())) {
-      job->why = "waiting: room under the team's limit is kept for more urgent work";
-      continue;
-    }
-    bool gang = spec.kind == JobKind::Gang;
-    if (gang && !job->active.empty()) continue;
-    if (gang && place_gang(*job, false, now))
-      budget -= spec.tasks;
-    else if (gang && bid.aim.due)
-      hold_zone_for_gang(*job, now);
-    else if (!gang)
-      budget -= place_tasks(*job, bid.overdue || behind ? 1 : budget, now);
-    // A guarantee is claimed once waiting alone would miss its aim; one claim a pass bounds the pass's time.
-    if (job->queued > 0 && job->promise == Job::Promise::Given && !claimed &&
-        now - job->ready_at >= c::kClaimAfter * config_.guarantee_within &&
-        now - job->reclaimed_at >= config_.gang_peer_s + c::kNominationTime) {
-      claimed = true;
-      job->reclaimed_at = now;
-      if (reclaim(*job, now)) continue;
-    }
-    if (job->queued == 0 || job->priority <= lowest) continue;
-    if (!within_limit(spec.team, spec.at_once())) {
-      auto [h, fresh] = held.try_emplace(spec.team, job->priority);
-      if (!fresh) h->second = std::max(h->second, job->priority);
+    auto groups = candidates_for_task(job, tasks_in_zone, now);
+    if (groups.empty()) {
+      search_.note_not_fitting(job, now);
+      job.why = "waiting: no machine it may use has room";
+      break;
     }
-    // Guards against stopping ever more: what was stopped for a job gets the time to end before more is.
-    if (now - job->preempted_at < c::kNominationTime) continue;
-    if (preemptors++ < c::kPreemptorsPerCycle && preempt_for(*job, now)) job->preempted_at = now;
+    const std::string zone = draw_zones(spec, capacity_by_zone(spec, groups, now)).front();
+    std::erase_if(groups, [&](const CandidateGroup& group) { return group.pool->zone != zone; });
+    const Choice choice = pick(spec, groups, now);
+    const std::optional<int> index = next_queued(job);
+    if (!choice.machine || !index) break;
+    assigner_.assign(job, *index, *choice.machine, attempt, now);
+    ++tasks_in_zone[choice.machine->zone];
+    ++placed;
   }
+  return placed;
 }
 
 }  // namespace corkmux
--- a/src/scheduler/scaling.cc
+++ b/src/scheduler/scaling.cc
@@ -161,7 +161,7 @@
   const IdlePolicy idle = idle_policy(scheduler, choices, now);
   DemandByType demand_by_type;
   for (const auto& [name, machine] : scheduler.machines()) {
-    if (machine.decommissioning || machine.faulty || machine.gone_at >= 0) continue;
+    if (machine.decommissioning || machine.faulty || machine.gone_at) continue;
     count_machine(scheduler, machine, idle.limit_s, now, demand_by_type[machine.type]);
   }
   const auto overflow_types = add_waiting_jobs(scheduler, now, demand_by_type);
--- a/tests/index_consistency_test.cc
+++ b/tests/index_consistency_test.cc
@@ -11,7 +11,7 @@
 
 using Use = MachineCapacity::Use;
 
-struct Chaos {
+struct RandomEvents {
   std::mt19937 rng;
   SchedulerConfig config;
   std::unique_ptr<Scheduler> scheduler;
@@ -20,7 +20,7 @@
   double now = 1;
   int jobs = 0, placed = 0, suspect = 0, kept = 0, stopping = 0, guaranteed = 0, beyond = 0;
 
-  explicit Chaos(unsigned seed) : rng(seed) {
+  explicit RandomEvents(unsigned seed) : rng(seed) {
     config.zones = {"a", "b"};
     config.report_s = 1;
     config.guarantee_within = 2;
@@ -32,10 +32,14 @@
   }
   int up_to(int n) { return static_cast<int>(rng() % static_cast<unsigned>(n)); }
   void fresh_worker() {
-    Heartbeat r;
-    r.machine = "n-" + std::to_string(++revision), r.address = "x", r.type = up_to(2) ? "plain" : "gpu";
-    r.zone = up_to(2) ? "a" : "b", r.spot = up_to(4) == 0, r.worker_epoch = 1;
-    workers[r.machine] = r;
+    Heartbeat heartbeat;
+    heartbeat.machine = "n-" + std::to_string(++revision);
+    heartbeat.address = "x";
+    heartbeat.type = up_to(2) ? "plain" : "gpu";
+    heartbeat.zone = up_to(2) ? "a" : "b";
+    heartbeat.spot = up_to(4) == 0;
+    heartbeat.worker_epoch = 1;
+    workers[heartbeat.machine] = heartbeat;
   }
   Heartbeat* some_worker() {
     if (workers.empty()) return nullptr;
@@ -44,41 +48,49 @@
     return &it->second;
   }
   void submit() {
-    JobSpec s;
-    s.id = "run-" + std::to_string(++jobs);
-    s.team = std::string(1, "xyzq"[up_to(4)]);
-    s.kind = static_cast<JobKind>(up_to(2)), s.priority = static_cast<Priority>(up_to(4));
-    s.tasks = 1 + up_to(5), s.one_zone = s.kind == JobKind::Gang && up_to(2);
-    s.need = {1.0 + up_to(9), up_to(3) == 0 ? 1.0 : 0.0, 1.0 + up_to(30)};
-    s.image = "i" + std::to_string(up_to(6)), s.image_gb = 2, s.spot = up_to(2);
-    s.checkpoint_s = up_to(2) * 10, s.save_s = 1;
-    if (jobs > 1 && up_to(4) == 0) s.dependencies = {"run-" + std::to_string(1 + up_to(jobs - 1))};
-    scheduler->put_job(s, ++revision, false, now);
+    JobSpec spec;
+    spec.id = "run-" + std::to_string(++jobs);
+    spec.team = std::string(1, "xyzq"[up_to(4)]);
+    spec.kind = static_cast<JobKind>(up_to(2));
+    spec.priority = static_cast<Priority>(up_to(4));
+    spec.tasks = 1 + up_to(5);
+    spec.one_zone = spec.kind == JobKind::Gang && up_to(2);
+    spec.need = {1.0 + up_to(9), up_to(3) == 0 ? 1.0 : 0.0, 1.0 + up_to(30)};
+    spec.image = "i" + std::to_string(up_to(6));
+    spec.image_gb = 2;
+    spec.spot = up_to(2);
+    spec.checkpoint_s = up_to(2) * 10;
+    spec.save_s = 1;
+    if (jobs > 1 && up_to(4) == 0) spec.dependencies = {"run-" + std::to_string(1 + up_to(jobs - 1))};
+    scheduler->put_job(spec, ++revision, false, now);
   }
-  void report(Heartbeat& r) {
-    ++r.seq;
-    for (auto& t : r.tasks) {
-      if (t.state == TaskState::Exited) continue;
+  void report(Heartbeat& heartbeat) {
+    ++heartbeat.seq;
+    for (auto& task : heartbeat.tasks) {
+      if (task.state == TaskState::Exited) continue;
       int dice = up_to(20);
-      if (dice == 0) t.state = TaskState::Exited, t.why = ExitReason::Error;
-      if (dice == 1) t.state = TaskState::Exited, t.why = ExitReason::NoRoom;
-      if (dice == 2) t.state = TaskState::Exited, t.why = ExitReason::Done;
-      if (dice > 10) t.state = TaskState::Running;
+      if (dice == 0) task.state = TaskState::Exited, task.why = ExitReason::Error;
+      if (dice == 1) task.state = TaskState::Exited, task.why = ExitReason::NoRoom;
+      if (dice == 2) task.state = TaskState::Exited, task.why = ExitReason::Done;
+      if (dice > 10) task.state = TaskState::Running;
     }
-    auto result = scheduler->on_heartbeat(r, Scheduler::Channel::Heartbeat, now);
-    r.fencing_token = std::max(r.fencing_token, result.fencing_token);
-    for (const auto& c : result.commands) obey(r, c);
-    scheduler->answered(r.machine, now);
+    auto result = scheduler->on_heartbeat(heartbeat, Scheduler::Channel::Heartbeat, now);
+    heartbeat.fencing_token = std::max(heartbeat.fencing_token, result.fencing_token);
+    for (const auto& command : result.commands) obey(heartbeat, command);
+    scheduler->answered(heartbeat.machine, now);
   }
-  void obey(Heartbeat& r, const TaskCommand& c) {
-    auto it = std::find_if(r.tasks.begin(), r.tasks.end(),
-                           [&](const TaskStatus& t) { return t.job == c.job && t.index == c.index; });
-    if (c.op == TaskCommand::Op::Start)
-      r.tasks.push_back({c.job, c.index, c.attempt, TaskState::Fetching, ExitReason::None, false});
-    else if (it != r.tasks.end() && c.op == TaskCommand::Op::Stop && it->state != TaskState::Exited)
+  void obey(Heartbeat& heartbeat, const TaskCommand& command) {
+    auto it = std::find_if(heartbeat.tasks.begin(), heartbeat.tasks.end(), [&](const TaskStatus& task) {
+      return task.job == command.job && task.index == command.index;
+    });
+    if (command.op == TaskCommand::Op::Start)
+      heartbeat.tasks.push_back(
+          {command.job, command.index, command.attempt, TaskState::Fetching, ExitReason::None, false});
+    else if (it != heartbeat.tasks.end() && command.op == TaskCommand::Op::Stop &&
+             it->state != TaskState::Exited)
       it->state = TaskState::Exited, it->why = ExitReason::Stopped;
-    else if (it != r.tasks.end() && c.op == TaskCommand::Op::Forget)
-      r.tasks.erase(it);
+    else if (it != heartbeat.tasks.end() && command.op == TaskCommand::Op::Forget)
+      heartbeat.tasks.erase(it);
   }
   void event() {
     now += 0.01 * up_to(40);
@@ -101,18 +113,18 @@
         }
         return;
       case 4:
-        if (Heartbeat* r = some_worker()) {
+        if (Heartbeat* heartbeat = some_worker()) {
           switch (up_to(8)) {
             case 0:
-              scheduler->deleted({r->machine}, now);
-              workers.erase(r->machine);
+              scheduler->deleted({heartbeat->machine}, now);
+              workers.erase(heartbeat->machine);
               fresh_worker();
               return;
             case 1:
-              scheduler->decommission(r->machine, now);
+              scheduler->decommission(heartbeat->machine, now);
               return;
             case 2:
-              ++r->worker_epoch, r->seq = 0, r->tasks.clear();
+              ++heartbeat->worker_epoch, heartbeat->seq = 0, heartbeat->tasks.clear();
               return;
             default:
               now += 2;
@@ -127,10 +139,11 @@
         for (const auto& name : scheduler->machines_with_commands()) {
           auto command_batch = scheduler->take_commands(name, now);
           auto outcome = static_cast<Scheduler::DispatchOutcome>(up_to(6) ? 0 : up_to(4));
-          auto w = workers.find(name);
-          if (w != workers.end() && outcome == Scheduler::DispatchOutcome::Executed) {
-            w->second.fencing_token = std::max(w->second.fencing_token, command_batch.fencing_token);
-            for (const auto& c : command_batch.commands) obey(w->second, c);
+          auto worker = workers.find(name);
+          if (worker != workers.end() && outcome == Scheduler::DispatchOutcome::Executed) {
+            worker->second.fencing_token =
+                std::max(worker->second.fencing_token, command_batch.fencing_token);
+            for (const auto& command : command_batch.commands) obey(worker->second, command);
           }
           scheduler->dispatch_done(name, command_batch, outcome, now);
         }
@@ -140,7 +153,7 @@
         scheduler->tick(now);
         return;
       default:
-        if (Heartbeat* r = some_worker()) report(*r);
+        if (Heartbeat* heartbeat = some_worker()) report(*heartbeat);
     }
   }
 
@@ -154,8 +167,8 @@
       bool waits = job.ready() && job.queued > 0;
       waiting += waits;
       EXPECT_EQ(index.waiting().count(const_cast<Job*>(&job)), waits) << id;
-      promising +=
-          job.promise == Job::Promise::Given || (job.promise == Job::Promise::Unknown && job.ready());
+      promising += job.guarantee_admission == Job::GuaranteeAdmission::Granted ||
+                   (job.guarantee_admission == Job::GuaranteeAdmission::Undecided && job.ready());
       if (job.ready() && job.spec.need.gpus > 0)
         accelerators = std::max(accelerators.value_or(job.priority), job.priority);
       if (!job.active.empty() && job.spec.kind != JobKind::Gang)
@@ -181,7 +194,8 @@
           ++running[within];
           EXPECT_EQ(index.running(team.name, within).count(const_cast<Job*>(job)), 1u) << job->spec.id;
         }
-        guaranteed += within, beyond += !within;
+        guaranteed += within;
+        beyond += !within;
       }
       for (bool within : {false, true}) EXPECT_EQ(index.running(team.name, within).size(), running[within]);
     }
@@ -189,41 +203,47 @@
   void compare_room() {
     double free_gpus = 0, all_gpus = 0;
     std::map<const CapacityIndex::CapacityBucket*, std::vector<const Machine*>> members;
-    for (const auto& [name, m] : scheduler->machines()) {
-      if (!m.up) continue;
-      MachineCapacity should = scheduler->machine_capacity(m, now);
-      ASSERT_NE(m.index_entry.pool, nullptr) << name;
-      EXPECT_EQ(m.index_entry.use, should.use) << name;
-      EXPECT_EQ(m.index_entry.kept_for, should.kept_for) << name;
-      if (should.use != Use::Out) free_gpus += m.free.gpus, all_gpus += m.size.gpus;
-      kept += should.use == Use::Kept, suspect += should.use == Use::Suspect;
-      EXPECT_EQ(scheduler->capacity_index().kept_for(should.kept_for).count(const_cast<Machine*>(&m)),
+    for (const auto& [name, machine] : scheduler->machines()) {
+      if (!machine.up) continue;
+      MachineCapacity should = scheduler->machine_capacity(machine, now);
+      ASSERT_NE(machine.index_entry.pool, nullptr) << name;
+      EXPECT_EQ(machine.index_entry.use, should.use) << name;
+      EXPECT_EQ(machine.index_entry.kept_for, should.kept_for) << name;
+      if (should.use != Use::Out) free_gpus += machine.free.gpus, all_gpus += machine.size.gpus;
+      kept += should.use == Use::Kept;
+      suspect += should.use == Use::Suspect;
+      EXPECT_EQ(scheduler->capacity_index().kept_for(should.kept_for).count(const_cast<Machine*>(&machine)),
                 should.use == Use::Kept);
       bool levels = should.use == Use::Ready || should.use == Use::Suspect;
-      ASSERT_EQ(m.index_entry.level != nullptr, levels) << name;
+      ASSERT_EQ(machine.index_entry.bucket != nullptr, levels) << name;
       if (levels) {
-        EXPECT_EQ(m.index_entry.levels,
-                  should.use == Use::Ready ? &m.index_entry.pool->ready : &m.index_entry.pool->suspect);
-        EXPECT_EQ(m.index_entry.level->machines.at(m.index_entry.position), &m);
-        EXPECT_NEAR(m.index_entry.level->free.cpus, m.free.cpus, 1e-5) << name;
-        EXPECT_NEAR(m.index_entry.level->free.gpus, m.free.gpus, 1e-5) << name;
-        EXPECT_NEAR(m.index_entry.level->free.memory_gb, m.free.memory_gb, 1e-5) << name;
-        members[m.index_entry.level].push_back(&m);
+        EXPECT_EQ(machine.index_entry.buckets, should.use == Use::Ready ? &machine.index_entry.pool->ready
+                                                                        : &machine.index_entry.pool->suspect);
+        EXPECT_EQ(machine.index_entry.bucket->machines.at(machine.index_entry.position), &machine);
+        EXPECT_NEAR(machine.index_entry.bucket->free.cpus, machine.free.cpus, 1e-5) << name;
+        EXPECT_NEAR(machine.index_entry.bucket->free.gpus, machine.free.gpus, 1e-5) << name;
+        EXPECT_NEAR(machine.index_entry.bucket->free.memory_gb, machine.free.memory_gb, 1e-5) << name;
+        members[machine.index_entry.bucket].push_back(&machine);
       }
-      int lowest = -1, on_their_way_out = 0;
-      for (const auto& [id, i] : m.tasks) {
+      std::optional<Priority> lowest;
+      int on_their_way_out = 0;
+      for (const auto& [id, i] : machine.tasks) {
         const Job& job = scheduler->jobs().at(id);
         ++placed;
         if (job.active.at(i).stop)
           ++on_their_way_out;
         else if (job.spec.kind != JobKind::Gang)
-          lowest =
-              lowest < 0 ? static_cast<int>(job.priority) : std::min(lowest, static_cast<int>(job.priority));
+          lowest = std::min(lowest.value_or(job.priority), job.priority);
       }
       stopping += on_their_way_out;
-      EXPECT_EQ(m.index_entry.lowest, lowest) << name;
-      EXPECT_EQ(m.stopping, on_their_way_out) << name;
-      EXPECT_EQ(m.index_entry.pool->stopping.count(const_cast<Machine*>(&m)), on_their_way_out > 0) << name;
+      EXPECT_EQ(machine.index_entry.lowest_stoppable.has_value(), lowest.has_value()) << name;
+      if (lowest) {
+        EXPECT_EQ(machine.index_entry.lowest_stoppable, static_cast<std::size_t>(*lowest)) << name;
+      }
+      EXPECT_EQ(machine.stopping, on_their_way_out) << name;
+      EXPECT_EQ(machine.index_entry.pool->stopping.count(const_cast<Machine*>(&machine)),
+                on_their_way_out > 0)
+          << name;
     }
     EXPECT_NEAR(scheduler->capacity_index().free_gpus(), free_gpus, 1e-6);
     EXPECT_NEAR(scheduler->capacity_index().all_gpus(), all_gpus, 1e-6);
@@ -235,10 +255,10 @@
       EXPECT_EQ(level->machines.size(), machines.size());
       double heat = 0;
       std::map<std::string, int> images;
-      for (const auto* m : machines) {
-        double slope = m->heat <= 0 ? std::max(0.0, m->heat_slope) : m->heat_slope;
-        heat += m->heat + (now - m->last_heard) * slope;
-        for (const auto& image : m->images) ++images[image];
+      for (const auto* machine : machines) {
+        double slope = machine->heat <= 0 ? std::max(0.0, machine->heat_slope) : machine->heat_slope;
+        heat += machine->heat + (now - machine->last_heard) * slope;
+        for (const auto& image : machine->images) ++images[image];
       }
       EXPECT_NEAR(level->heat.at(now), heat, 1e-6);
       EXPECT_EQ((std::map<std::string, int>(level->images.begin(), level->images.end())), images);
@@ -249,19 +269,22 @@
 TEST(Index, SaysWhatAWalkOverAllJobsAndMachinesSays) {
   int placed = 0, suspect = 0, kept = 0, stopping = 0, guaranteed = 0, beyond = 0;
   for (unsigned seed = 1; seed <= 40 && !::testing::Test::HasFailure(); ++seed) {
-    Chaos simulation(seed);
+    RandomEvents events(seed);
     for (int i = 0; i < 400 && !::testing::Test::HasFailure(); ++i) {
       SCOPED_TRACE("seed " + std::to_string(seed) + ", event " + std::to_string(i));
-      simulation.event();
-      simulation.compare_jobs();
+      events.event();
+      events.compare_jobs();
       if (i % 3) continue;
-      simulation.scheduler->schedule(simulation.now);
-      simulation.compare_room();
-      simulation.compare_jobs();
+      events.scheduler->schedule(events.now);
+      events.compare_room();
+      events.compare_jobs();
     }
-    placed += simulation.placed, suspect += simulation.suspect, kept += simulation.kept,
-        stopping += simulation.stopping;
-    guaranteed += simulation.guaranteed, beyond += simulation.beyond;
+    placed += events.placed;
+    suspect += events.suspect;
+    kept += events.kept;
+    stopping += events.stopping;
+    guaranteed += events.guaranteed;
+    beyond += events.beyond;
   }
   // Each of the states was there to be compared.
   for (int seen : {placed, suspect, kept, stopping, guaranteed, beyond}) EXPECT_GT(seen, 100);
--- a/tests/scheduling_cost_test.cc
+++ b/tests/scheduling_cost_test.cc
@@ -9,32 +9,43 @@
 namespace corkmux {
 namespace {
 
-struct Grown {
+struct LargeCluster {
   SchedulerConfig config;
   std::unique_ptr<Scheduler> scheduler;
   int machines;
   std::uint64_t revision = 0;
-  explicit Grown(int n) : machines(n) {
+  explicit LargeCluster(int n) : machines(n) {
     config.zones = {"a", "b"};
     config.teams = {{"x", 1000, 0, 0, 0}, {"y", 0, 0, 0, 0}};
     scheduler = std::make_unique<Scheduler>(config, 1, 0, 5);
     scheduler->set_catalog({{"plain", {32, 0, 128}, 60, 0.5, 2, 1, 15, {"a", "b"}},
                             {"gpu", {32, 4, 128}, 150, 1, 14, 4, 60, {"a", "b"}}});
     for (int i = 0; i < n; ++i) {
-      Heartbeat r;
-      r.machine = "n-" + std::to_string(i), r.address = "x", r.type = i % 5 < 3 ? "plain" : "gpu";
-      r.zone = i % 2 ? "a" : "b", r.worker_epoch = 1, r.seq = 1;
-      r.fencing_token = scheduler->on_heartbeat(r, Scheduler::Channel::Heartbeat, 0).fencing_token, r.seq = 2;
-      scheduler->on_heartbeat(r, Scheduler::Channel::Heartbeat, 0);
+      Heartbeat heartbeat;
+      heartbeat.machine = "n-" + std::to_string(i);
+      heartbeat.address = "x";
+      heartbeat.type = i % 5 < 3 ? "plain" : "gpu";
+      heartbeat.zone = i % 2 ? "a" : "b";
+      heartbeat.worker_epoch = 1;
+      heartbeat.seq = 1;
+      heartbeat.fencing_token =
+          scheduler->on_heartbeat(heartbeat, Scheduler::Channel::Heartbeat, 0).fencing_token;
+      heartbeat.seq = 2;
+      scheduler->on_heartbeat(heartbeat, Scheduler::Channel::Heartbeat, 0);
     }
   }
   void add(JobKind kind, Priority priority, int tasks, double gpus, Resources need = {15, 0, 51}) {
-    JobSpec s;
-    s.id = "run-" + std::to_string(++revision), s.team = gpus > 0 ? "y" : "x", s.kind = kind,
-    s.priority = priority;
-    s.tasks = tasks, s.need = gpus > 0 ? Resources{6, gpus, 24} : need;
-    s.one_zone = kind == JobKind::Gang, s.image = "i" + std::to_string(revision % 20), s.image_gb = 3;
-    scheduler->put_job(s, revision, false, 0);
+    JobSpec spec;
+    spec.id = "run-" + std::to_string(++revision);
+    spec.team = gpus > 0 ? "y" : "x";
+    spec.kind = kind;
+    spec.priority = priority;
+    spec.tasks = tasks;
+    spec.need = gpus > 0 ? Resources{6, gpus, 24} : need;
+    spec.one_zone = kind == JobKind::Gang;
+    spec.image = "i" + std::to_string(revision % 20);
+    spec.image_gb = 3;
+    scheduler->put_job(spec, revision, false, 0);
   }
   /// Work of one pass.
   std::uint64_t pass(double now) {
@@ -57,7 +68,7 @@
 // Guards against passes that look at every machine for every waiting job: on a full site with a long queue
 // that kept the leader busy for 400 ms at a time.
 TEST(Scale, AFullSiteWithALongQueueCostsAPassAboutOneLookAtEachMachine) {
-  Grown site(600);
+  LargeCluster site(600);
   for (int i = 0; i < 400; ++i) site.add(JobKind::Gang, Priority::High, 1 + i % 16, 0);
   for (int i = 0; i < 60; ++i) site.pass(0.1 * i);
   EXPECT_GT(site.started(), 1000u);
@@ -74,7 +85,7 @@
 TEST(Scale, APassOverTheSameQueueLooksAtNoMoreOnALargerFleet) {
   std::map<int, std::uint64_t> placing, stopping, waiting;
   for (int n : {1000, 5000, 20000}) {
-    Grown site(n);
+    LargeCluster site(n);
     double now = 0;
     auto run = [&] {
       for (const auto& name : site.scheduler->machines_with_commands()) {
@@ -121,7 +132,7 @@
 
 // Room for an urgent gang is found with one walk over machines and tasks, whatever its size.
 TEST(Scale, MakingRoomCostsOneWalkOverMachinesAndTasks) {
-  Grown site(600);
+  LargeCluster site(600);
   for (int i = 0; i < 30; ++i) site.add(JobKind::Array, Priority::Normal, 100, 0);
   for (int i = 0; i < 60; ++i) site.pass(0.1 * i);
   auto tasks = site.started();
@@ -143,7 +154,7 @@
 
 // What a report changes is looked at, not all machines.
 TEST(Scale, OrdersAreLookedForOnlyWhereSomethingChanged) {
-  Grown site(600);
+  LargeCluster site(600);
   site.scheduler->machines_with_commands();
   EXPECT_TRUE(site.scheduler->machines_with_commands().empty());
   site.add(JobKind::Array, Priority::Normal, 1, 0);
@@ -154,7 +165,7 @@
 // PROTOCOL's largest job: 100,000 tasks, in records that fit, started within a few passes as far as room
 // goes.
 TEST(Scale, AJobOfAHundredThousandTasksIsShardedAndStarts) {
-  Grown site(600);
+  LargeCluster site(600);
   site.add(JobKind::Array, Priority::Normal, 100000, 0);
   for (int i = 0; i < 60; ++i) {
     site.scheduler->schedule(0.1 * i);
