--- a/src/leader/machine_provisioner.h
+++ b/src/leader/machine_provisioner.h
@@ -30,7 +30,6 @@
   void start();
 
  private:
-  using MachineKind = decltype(ScaleOutRequest{}.key());  // type, zone, spot
   /// A request to the cloud that is not settled yet. It is repeated under its name, so that nothing is
   /// provisioned twice.
   struct PendingRequest {
@@ -69,7 +68,7 @@
   bool deleting_ = false;
   bool listing_ = false;
   double listed_at_ = kLongAgo;
-  std::map<MachineKind, double> refused_until_;  // s of the steady clock
+  RefusedUntil refused_until_;  // s of the steady clock
   std::map<MachineKind, PendingRequest> pending_;
   std::set<MachineKind> in_flight_;
   int requests_ = 0;
--- a/src/scheduler/job.h
+++ b/src/scheduler/job.h
@@ -11,7 +11,7 @@
 #include "model.h"
 #include "task.h"
 #include "task_record.h"
-#include "time_points.h"
+#include "time_constants.h"
 
 namespace corkmux {
 
--- a/src/scheduler/machine.h
+++ b/src/scheduler/machine.h
@@ -12,7 +12,7 @@
 #include "capacity_index.h"
 #include "model.h"
 #include "task.h"
-#include "time_points.h"
+#include "time_constants.h"
 
 namespace corkmux {
 
@@ -74,7 +74,6 @@
   double seen_slack = 1;  // as of the last heartbeat, like the next two
   double seen_heat = 0;
   double seen_at = kLongAgo;
-  double fetch_s = 0;              // of the image of the job that Scheduler::pick() last looked at it for
   std::deque<std::string> images;  // most recent first
   std::map<std::string, double> image_gb;
   CapacityIndex::IndexEntry index_entry;
--- a/src/scheduler/scheduler.cc
+++ b/src/scheduler/scheduler.cc
@@ -12,7 +12,15 @@
 using Stage = ActiveTask::Stage;
 
 Scheduler::Scheduler(SchedulerConfig config, std::uint64_t term, double now, std::uint64_t seed)
-    : state_(std::move(config), term, now), rng_(seed), last_job_at_(now) {
+    : state_(std::move(config), term, now),
+      reservations_(state_),
+      random_(seed),
+      search_(state_, reservations_),
+      placement_(state_, search_, random_, *this),
+      preemption_(state_, search_, random_),
+      claims_(state_, search_, preemption_),
+      cycle_(state_, reservations_, search_, placement_, preemption_, claims_),
+      last_job_at_(now) {
   const SchedulerConfig& settings = state_.config();
   record_room_ = static_cast<std::size_t>((settings.record_kb > 0 ? settings.record_kb : settings.value_kb) *
                                           1024 * c::kRecordShare);
@@ -103,7 +111,7 @@
 void Scheduler::unassign(Job& job, int index, double now) {
   auto it = job.active.find(index);
   if (it == job.active.end()) return;
-  note_freed(it->second.zone, job.spec.need, now);
+  placement_.note_freed(it->second.zone, job.spec.need, now);
   state_.vacate(job, index, now);
   if (job.phase[index] == TaskPhase::Active) {
     job.phase[index] = TaskPhase::Queued;
@@ -149,7 +157,7 @@
   for (int i = 0; job.gang_completed() && i < job.spec.tasks; ++i)
     if (all || job.phase[i] == TaskPhase::Queued) finish(i);
   job.why.clear();
-  if (job.over() && ends(job.spec.id)) reserved_capacity_.served(job.spec.job_class, job.spec.team, now);
+  if (job.over() && ends(job.spec.id)) reservations_.served(job.spec.job_class, job.spec.team, now);
 }
 
 void Scheduler::exited(Job& job, int index, const TaskStatus& t, Machine& m, double now) {
--- a/src/scheduler/scheduler.h
+++ b/src/scheduler/scheduler.h
@@ -8,7 +8,6 @@
 #include <functional>
 #include <map>
 #include <nlohmann/json.hpp>
-#include <random>
 #include <set>
 #include <string>
 #include <tuple>
@@ -16,12 +15,18 @@
 #include <unordered_set>
 #include <vector>
 
+#include "candidate_search.h"
 #include "cluster_state.h"
 #include "constants.h"
-#include "reserved_capacity.h"
+#include "guarantee_claims.h"
+#include "machine_reservations.h"
+#include "placement.h"
+#include "preemption.h"
+#include "random_source.h"
 #include "scheduler_config.h"
+#include "scheduling_cycle.h"
 #include "task_record.h"
-#include "time_points.h"
+#include "time_constants.h"
 
 namespace corkmux {
 
@@ -32,7 +37,7 @@
   std::vector<std::uint64_t> attempts;
 };
 
-class Scheduler {
+class Scheduler : private TaskAssigner {
  public:
   Scheduler(SchedulerConfig config, std::uint64_t term, double now, std::uint64_t seed);
 
@@ -90,7 +95,8 @@
   /// Whether some machine has been silent for longer than its reports explain: a keeper may be answering it.
   bool any_silent() const { return any_silent_; }
   void lease_expired(const std::string& machine, double now);
-  void schedule(double now);
+  /// One scheduling cycle.
+  void schedule(double now) { cycle_.run(now); }
 
   // --- the store ---
   /// From now on records are written in the second form: every controller reads it.
@@ -137,8 +143,12 @@
   /// Jobs whose displayed state changed since the last call.
   std::unordered_set<std::string> take_changed() { return state_.take_changed(); }
   bool wants_cycle() const { return state_.wants_cycle(); }
-  /// Jobs, kinds of room, machines and tasks looked at by passes so far: the work done, counted not timed.
-  std::uint64_t steps() const { return steps_ + job_index().steps(); }
+  /// Jobs, buckets of free capacity, machines and tasks looked at by scheduling cycles so far: the work done,
+  /// counted not timed.
+  std::uint64_t steps() const {
+    return cycle_.steps() + claims_.steps() + preemption_.steps() + placement_.steps() + search_.steps() +
+           job_index().steps();
+  }
   const JobIndex& job_index() const { return state_.job_index(); }
   const CapacityIndex& capacity_index() const { return state_.capacity_index(); }
   /// What the index of room has to say of a machine.
@@ -148,16 +158,16 @@
   /// One line per event worth an operator's attention; the actor logs them.
   std::vector<std::string> take_notes() { return state_.take_notes(); }
   /// One line per placed gang, when the configuration asks for it.
-  std::vector<std::string> take_details() { return std::exchange(details_, {}); }
+  std::vector<std::string> take_details() { return placement_.take_details(); }
 
  private:
-  void assign(Job& job, int index, Machine& m, std::uint64_t attempt, double now);
+  void assign(Job& job, int index, Machine& m, std::uint64_t attempt, double now) override;
   void unassign(Job& job, int index, double now);
   void exited(Job& job, int index, const TaskStatus& heartbeat, Machine& m, double now);
   void task_done(Job& job, int index, double now);
   void gone(const TaskId& key, const char* why, double now);
   void lose_all_tasks(Machine& m, const char* why, double now, std::uint64_t before_epoch = kTokenOfNoWorker);
-  void abort_gang(Job& job, double now);
+  void abort_gang(Job& job, double now) override;
   void drain(Machine& m, double now);
   // (cluster_blame.cc)
   void failed(Machine& m, Job& job, double now);
@@ -192,78 +202,15 @@
   static std::string waiting_for(const Job& job);
   void inherit(Job& job);
   double step_s(const Job& job) const;
-  /// For the job that its `fetch_s` is about.
-  double utility(const Machine& m, double now) const;
-  double weight(const Job& job) const;
-  bool place_gang(Job& job, bool include_suspect, double now);
-  /// Keeps a zone's free machines for a gang that is due, where the rest it needs is about to be free.
-  void hold_zone_for_gang(const Job& job, double now);
-  /// How long a job has until it misses its next start aim, and how many it has missed; none for one that has
-  /// started.
-  struct StartAim {
-    int missed = 0;
-    bool due = false;    // most of its time is over
-    double at = kNever;  // when it will be missed
-  };
-  /// A large array or service of which nothing has begun though it has waited for long.
-  bool overdue(const Job& job, double now) const;
-  StartAim start_aim(const Job& job, double now) const;
-  int place_tasks(Job& job, int budget, double now);
-  bool preempt_for(Job& job, double now);
-  /// Machines on which work could be stopped for a job, by zone if it keeps to one: a bounded number.
-  std::map<std::string, std::vector<Machine*>> stop_candidates(const Job& job, double now);
-  void preempt(const TaskId& victim, const std::string& why);
-  /// Stops what other teams run beyond their guarantees for a job within its team's, see reclaim.h.
-  bool reclaim(Job& job, double now);
-  struct QuotaReclaimCase;
-  QuotaReclaimCase reclaim_case(const Job& job, double now);
-  void keep_reclaimed(const Job& job, const QuotaReclaimCase& c, const std::vector<int>& chosen, double now);
-  /// Until then the machine takes no other job's work.
-  void nominate(Machine& m, const Job& job, double until, double now);
-  void keep_promises(double now);
-  bool saves_when_stopped(const JobSpec& spec) const;
-  bool open_to(const Job& job, const Machine& m, double now) const;
-  /// How long each waiting job will have waited, and whom the floor holds by that. In the order of the bids.
-  void update_reserved_capacity(const std::vector<const Job*>& order, double now);
-  bool is_starving(const Job& job) const {
-    return reserved_capacity_.holds(job.spec.job_class, job.spec.team);
-  }
-  /// Whether machines like that are kept for others than this job.
-  bool excluded_by_reservation(const Job& job, const std::string& type, int reservation_tier) const;
-
-  /// Machines that a task fits on and that are alike to a placement: a level, less some of its machines, or a
-  /// single one.
-  struct Slot {
-    const CapacityIndex::Pool* pool = nullptr;
-    const CapacityIndex::CapacityBucket* level = nullptr;
-    Machine* one = nullptr;
-    std::vector<std::size_t> without;  // positions in the level, rising
-    std::size_t count = 0;             // of machines
-    int times = 0;                     // how often the task fits on each
-  };
-  struct ZoneCapacity {
-    double slack = 0, heat = 0, fetch_s = 1e9;
-    double machines = 0;
-    int places = 0;
-  };
-  std::vector<Slot> fitting(const Job& job, bool include_suspect, double now,
-                            const std::string* zone = nullptr);
-  void level_slots(const Job& job, const CapacityIndex::Pool& pool,
-                   const CapacityIndex::CapacityBuckets& levels,
-                   const std::map<const CapacityIndex::CapacityBucket*, std::vector<std::size_t>>& failed,
-                   double most_gpus, std::vector<Slot>& out);
-  std::map<std::string, ZoneCapacity> free_capacity_by_zone(const JobSpec& spec,
-                                                            const std::vector<Slot>& slots, double now) const;
-  std::vector<std::string> draw_zones(const JobSpec& spec, const std::map<std::string, ZoneCapacity>& zones);
-  /// Of 0 and up to `all`, at most `most`, drawn without any twice.
-  std::vector<std::size_t> sample(std::size_t all, std::size_t most);
-  Machine* pick(const JobSpec& spec, const std::vector<Slot>& slots, double now);
-  /// Room only shrinks within a pass: what found none leaves none for the like of it.
-  bool known_not_to_fit(const Job& job, double now) const;
-  void note_not_fitting(const Job& job, double now);
   ClusterState state_;
+  MachineReservations reservations_;
+  RandomSource random_;
+  CandidateSearch search_;
+  Placement placement_;
+  Preemption preemption_;
+  GuaranteeClaims claims_;
+  SchedulingCycle cycle_;
   double listened_since_ = kLongAgo;  // silence before it is our own
-  std::mt19937_64 rng_;
   /// zone -> its silent machines are attributed to the network until then
   std::map<std::string, double> cut_until_;
   std::set<std::string> returned_;   // late reports and old lists still speak of them
@@ -281,27 +228,8 @@
   std::set<std::string> unknown_;
   std::unordered_map<std::string, std::pair<Outcome, double>> outcomes_;
   std::deque<std::string> outcome_order_;
-  std::vector<std::string> details_;
   double last_job_at_ = 0, last_arrival_ = -1, arrival_gap_ = 0;
-  using Shape = std::tuple<double, double, double, bool, bool, bool, bool, int, std::string,
-                           std::vector<std::string>, bool>;
-  Shape shape(const Job& job) const;
-  std::map<Shape, int> not_fitting_;  // of this pass: the fewest tasks at once that found no room
-  std::uint64_t steps_ = 0;
-  /// CPUs and accelerators that tasks have given back in a zone of late, decaying.
-  struct Freed {
-    Resources sum;
-    double at = kLongAgo;
-  };
-  void note_freed(const std::string& zone, const Resources& need, double now);
-  std::map<std::string, Freed> freed_;
-  std::map<std::string, std::string> held_zones_;  // of this pass: zone -> the job it is kept for
-  ReservedCapacity reserved_capacity_;
-  std::set<std::string> reserved_types_;  // of machines that those it holds can use
-  std::vector<std::string> logged_starving_;
-  bool accelerators_wanted_ = false;
   bool any_silent_ = false;
-  std::optional<Priority> accelerator_users_;
 };
 
 }  // namespace corkmux
