--- a/src/controller/controller.cc
+++ b/src/controller/controller.cc
@@ -4,6 +4,9 @@
 #include "leader_constants.h"
 
 namespace corkmux {
+namespace {
+using BatchAnswers = std::optional<std::vector<fanin::HeartbeatAnswer>>;
+}
 
 Controller::Controller(Loop& loop, const Settings& settings, const OperatorChoices& choices)
     : settings_(settings),
@@ -18,7 +21,7 @@
       lease_proxy_(loop, settings, state_),
       store_relay_(loop, settings, state_,
                    [this](std::string body, StoreRelay::Reply reply) {
-                     worker_endpoint_.relayed(body, std::move(reply), Leader::Way::StoreRelay);
+                     worker_endpoint_.relayed(body, std::move(reply), HeartbeatRoute::StoreRelay);
                    }),
       forwarder_(loop, settings.label,
                  [this](const std::string& label, std::string body, std::function<void(http::Result)> done) {
@@ -71,7 +74,7 @@
   };
   callbacks.view = [this](const codec::JobView& view) { status_cache_.update(view); };
   callbacks.heartbeat = [this](std::string body, std::function<void(int, std::string)> reply) {
-    worker_endpoint_.relayed(body, std::move(reply), Leader::Way::Direct);
+    worker_endpoint_.relayed(body, std::move(reply), HeartbeatRoute::Direct);
   };
   callbacks.cancelled = [this](const std::vector<std::string>& jobs) {
     leader_.tell([jobs](Leader& leader) { leader.cancelled(jobs); });
@@ -82,7 +85,9 @@
   callbacks.dependency_barrier_at = [this] { return leader_.dependency_barrier_at(); };
   callbacks.heartbeats = [this](fanin::HeartbeatBatch batch, std::function<void(int, std::string)> reply) {
     leader_.tell([batch = std::move(batch), reply = std::move(reply)](Leader& leader) mutable {
-      leader.batch(std::move(batch), std::move(reply));
+      leader.batch(std::move(batch), [reply = std::move(reply)](BatchAnswers answers) {
+        answers ? reply(200, fanin::pack(*answers)) : reply(503, "");
+      });
     });
   };
   callbacks.commands = [this](const fanin::ForwardedCommandBatch& batch) { return delivery_.deliver(batch); };
@@ -104,8 +109,8 @@
   if (label != own_label_) return peer_exchange_.post_heartbeats(label, std::move(body), std::move(done));
   auto parsed = fanin::parse_heartbeats(body);
   leader_.tell([batch = std::move(parsed->message), done = std::move(done)](Leader& leader) mutable {
-    leader.batch(std::move(batch), [done = std::move(done)](int status, std::string answers) {
-      done({status, std::move(answers), true});
+    leader.batch(std::move(batch), [done = std::move(done)](BatchAnswers answers) {
+      answers ? done({200, fanin::pack(*answers), true}) : done({503, "", true});
     });
   });
 }
--- a/src/controller/job_reader.cc
+++ b/src/controller/job_reader.cc
@@ -1,5 +1,6 @@
 #include "job_reader.h"
 
+#include "job_record.h"
 #include "store_keys.h"
 
 namespace corkmux {
@@ -10,7 +11,7 @@
     if (reply.ok()) {
       auto stored = codec::parse_value(reply.body);
       if (!stored) return done(std::nullopt);
-      JobRecord record(std::move(stored->value));
+      StoredJobRecord record(std::move(stored->value));
       bool cancelled = record.cancelled();
       if (cancelled) status_cache_.note_cancelled(job);
       found = {cancelled ? job_phase::kCancelled : job_phase::kQueued, stored->revision, std::move(record)};
@@ -28,7 +29,8 @@
                if (reply.status == StateStatus::Missing) return done(std::move(so_far));
                auto stored = reply.ok() ? codec::parse_value(reply.body) : std::nullopt;
                if (!stored) return done(std::nullopt);
-               JobEnd end = parse_job_end(stored->value);
+               auto outcome = parse_job_outcome(stored->value);
+               JobEnd end{std::move(outcome.phase), outcome.tasks_done};
                if (end.phase == job_phase::kCancelled) status_cache_.note_cancelled(job);
                status_cache_.remember_end(job, end);
                StoredJob ended;
--- a/src/controller/job_reader.h
+++ b/src/controller/job_reader.h
@@ -7,9 +7,9 @@
 #include <string>
 
 #include "job_admission.h"
-#include "job_record.h"
 #include "job_status_cache.h"
 #include "state_client.h"
+#include "stored_job_record.h"
 
 namespace corkmux {
 
@@ -17,7 +17,7 @@
 struct StoredJob {
   std::string phase;           // as users are told; empty: never accepted
   std::uint64_t revision = 0;  // of the record of an unfinished job
-  JobRecord record;            // of an unfinished job
+  StoredJobRecord record;      // of an unfinished job
   bool accepted() const { return !phase.empty(); }
   bool unfinished() const { return phase == job_phase::kQueued; }
   /// Whether it is unfinished and depends on other jobs, or may.
--- a/src/controller/job_status_cache.h
+++ b/src/controller/job_status_cache.h
@@ -10,10 +10,16 @@
 #include <unordered_set>
 
 #include "codec.h"
-#include "job_record.h"
+#include "stored_job_record.h"
 
 namespace corkmux {
 
+/// How a job ended.
+struct JobEnd {
+  std::string phase;  // job_phase::kDone or kCancelled
+  int tasks_done = 0;
+};
+
 class JobStatusCache {
  public:
   struct Callbacks {
--- a/src/controller/job_writer.cc
+++ b/src/controller/job_writer.cc
@@ -1,7 +1,7 @@
 #include "job_writer.h"
 
-#include "job_record.h"
 #include "store_keys.h"
+#include "stored_job_record.h"
 
 namespace corkmux {
 namespace {
@@ -17,29 +17,30 @@
 }
 
 void JobWriter::store_whole(const JobPtr& job, int tries, Callback done) {
-  auto record = JobRecord::for_new_job(*job);
+  auto record = StoredJobRecord::for_new_job(*job);
   // Before the upgrade is over another version reads only whole records, and such are still taken; nothing
   // that depends on others is submitted then.
   auto limit = job->dependencies.empty() ? static_cast<std::size_t>(settings_.value_kb * 1024)
                                          : admission_.record_size_limit();
   if (tries == 0 || record.size() > limit)
     return store_in_pieces(job, steady_now() + constants::kSubmitTime, std::move(done));
-  state_.txn(never_accepted(job->id), {{kJobs + job->id, record.json(), 0}},
-             [this, job, tries, done = std::move(done)](StateReply reply) {
-               switch (reply.status) {
-                 case StateStatus::Ok:
-                   return done({Status::Stored, codec::parse_revision(reply.body)});
-                 case StateStatus::Conflict:
-                   return done({Status::Exists});
-                 case StateStatus::Refused:
-                   if (tries > 1 && admission_.state_reachable()) return store_whole(job, tries - 1, done);
-                   return done({Status::Refused});
-                 case StateStatus::Invalid:  // the service's limits have fallen
-                   return store_whole(job, 0, done);
-                 default:
-                   return done({Status::Unanswered});
-               }
-             });
+  state_.transaction(never_accepted(job->id), {{kJobs + job->id, record.json(), 0}},
+                     [this, job, tries, done = std::move(done)](StateReply reply) {
+                       switch (reply.status) {
+                         case StateStatus::Ok:
+                           return done({Status::Stored, codec::parse_revision(reply.body)});
+                         case StateStatus::Conflict:
+                           return done({Status::Exists});
+                         case StateStatus::Refused:
+                           if (tries > 1 && admission_.state_reachable())
+                             return store_whole(job, tries - 1, done);
+                           return done({Status::Refused});
+                         case StateStatus::Invalid:  // the service's limits have fallen
+                           return store_whole(job, 0, done);
+                         default:
+                           return done({Status::Unanswered});
+                       }
+                     });
 }
 
 /// A description too long for one value: pieces of its text first, then the record that makes it a job.
@@ -66,8 +67,8 @@
     if (has_room && !stored.count(key)) writes.push_back({key, piece_record(text.substr(at, piece_size)), 0});
   }
   bool last = writes.empty();
-  if (last) writes.push_back({kJobs + job->id, JobRecord::for_new_job_in_pieces(pieces).json(), 0});
-  state_.txn(never_accepted(job->id), writes, [this, job, until, last, done](StateReply reply) {
+  if (last) writes.push_back({kJobs + job->id, StoredJobRecord::for_new_job_in_pieces(pieces).json(), 0});
+  state_.transaction(never_accepted(job->id), writes, [this, job, until, last, done](StateReply reply) {
     if (reply.status == StateStatus::Conflict) return done({Status::Exists});
     if (!reply.ok() || (!last && steady_now() > until)) return done({Status::Refused});
     if (last) return done({Status::Stored, codec::parse_revision(reply.body)});
--- a/src/controller/job_record.h
+++ b/src/controller/stored_job_record.h
@@ -1,10 +1,11 @@
-// The records of a job in the state store as the user API reads and writes them: the unfinished job's under
-// kJobs, its end's under kFinals. The only file of this folder that knows their fields.
+// The record of an unfinished job as it stands in the state store (kJobs), for front ends that look at few of
+// its fields and write it back as a whole. `job_record.h` of the state store's folder reads it in full.
 #pragma once
 #include <cstddef>
 #include <string>
 
 #include "codec.h"
+#include "model.h"
 
 namespace corkmux {
 
@@ -17,14 +18,14 @@
 }  // namespace job_phase
 
 /// The record of an unfinished job. Fields that this version does not know are kept when it is written back.
-class JobRecord {
+class StoredJobRecord {
  public:
-  JobRecord() = default;
-  explicit JobRecord(codec::Json stored) : stored_(std::move(stored)) {}
+  StoredJobRecord() = default;
+  explicit StoredJobRecord(codec::Json stored) : stored_(std::move(stored)) {}
   /// Of a job that is submitted now.
-  static JobRecord for_new_job(const JobSpec& job);
+  static StoredJobRecord for_new_job(const JobSpec& job);
   /// Of a job whose description stands in `pieces` records of its own.
-  static JobRecord for_new_job_in_pieces(int pieces);
+  static StoredJobRecord for_new_job_in_pieces(int pieces);
   bool cancelled() const;
   /// Whether it depends on other jobs, or may: the pieces of a long record are not read for it.
   bool has_dependencies() const;
@@ -41,15 +42,6 @@
 codec::Json piece_record(std::string text);
 /// The mark of a cancelled job whose own record cannot be written any more.
 codec::Json cancel_mark_record();
-/// The end of a job that is cancelled now.
-codec::Json cancelled_end_record();
-
-/// How a job ended.
-struct JobEnd {
-  std::string phase;
-  int tasks_done = 0;
-};
-JobEnd parse_job_end(const codec::Json& record);
 /// Steady time at which the dependency barrier stood, by the record under kDependencyBarrierKey.
 double parse_dependency_barrier(const codec::Json& record);
 
--- a/src/controller/user_api.cc
+++ b/src/controller/user_api.cc
@@ -2,6 +2,7 @@
 
 #include <spdlog/spdlog.h>
 
+#include "job_record.h"
 #include "mutation.h"
 #include "store_keys.h"
 
@@ -158,11 +159,12 @@
     // What the first version stored may be over a limit that has fallen since: then the cancel gets a key of
     // its own.
     if (place == MarkPlace::BesideRecord) mark = {kJobs + job + "/c", cancel_mark_record(), 0};
-    state_.txn({{kJobs + job, found.revision}, {kFinals + job, 0}},
-               {std::move(mark), {kFinals + job, cancelled_end_record(), 0}},
-               [this, caller, job, tries, place](const StateReply& reply) {
-                 answer_cancel(caller, job, tries, place, reply.status);
-               });
+    state_.transaction({{kJobs + job, found.revision}, {kFinals + job, 0}},
+                       {std::move(mark),
+                        {kFinals + job, to_json(JobOutcomeRecord{job_phase::kCancelled, 0, wall_now()}), 0}},
+                       [this, caller, job, tries, place](const StateReply& reply) {
+                         answer_cancel(caller, job, tries, place, reply.status);
+                       });
   });
 }
 
--- a/src/controller/worker_endpoint.cc
+++ b/src/controller/worker_endpoint.cc
@@ -41,11 +41,11 @@
             [worker](int status, std::string answer) { worker.pass_on(status, std::move(answer)); });
 }
 
-void WorkerEndpoint::relayed(const std::string& body, ReplyCallback reply, Leader::Way way) {
+void WorkerEndpoint::relayed(const std::string& body, ReplyCallback reply, HeartbeatRoute route) {
   auto parsed = parse(body);
   if (!parsed) return reply(400, "");
   if (!leads()) return reply(503, "");
-  to_own_leader(std::move(*parsed), way, std::move(reply));
+  to_own_leader(std::move(*parsed), route, std::move(reply));
 }
 
 // ---------------------------------------------------------------- changes
@@ -111,7 +111,7 @@
 
 void WorkerEndpoint::to_leader(Heartbeat heartbeat, const std::string& body, bool unknown_worker,
                                ReplyCallback reply) {
-  if (leads()) return to_own_leader(std::move(heartbeat), Leader::Way::Direct, std::move(reply));
+  if (leads()) return to_own_leader(std::move(heartbeat), HeartbeatRoute::Direct, std::move(reply));
   if (!leader_label_.empty()) return to_known_leader(std::move(heartbeat), body, unknown_worker, reply);
   // Without a leader a worker of our shard waits for the next one; others find it by themselves.
   if (!sharding_.contains(settings_.label)) return reply(503, "");
@@ -140,10 +140,13 @@
       });
 }
 
-void WorkerEndpoint::to_own_leader(Heartbeat heartbeat, Leader::Way way, ReplyCallback reply) {
+void WorkerEndpoint::to_own_leader(Heartbeat heartbeat, HeartbeatRoute route, ReplyCallback reply) {
   routes_.leader.tell(
-      [heartbeat = std::move(heartbeat), reply = std::move(reply), way](Leader& leader) mutable {
-        leader.heartbeat(std::move(heartbeat), way, std::move(reply));
+      [heartbeat = std::move(heartbeat), reply = std::move(reply), route](Leader& leader) mutable {
+        leader.heartbeat(std::move(heartbeat), route, [reply = std::move(reply)](HeartbeatReply answer) {
+          bool answered = answer.status == HeartbeatReply::Status::Answered;
+          reply(answered ? 200 : 503, std::move(answer.commands));
+        });
       });
 }
 
--- a/src/controller/worker_endpoint.h
+++ b/src/controller/worker_endpoint.h
@@ -47,7 +47,7 @@
   // Requests.
   void heartbeat(const Responder& worker, const std::string& body);
   /// A heartbeat that a peer passed on because its worker could not reach us.
-  void relayed(const std::string& body, ReplyCallback reply, Leader::Way way);
+  void relayed(const std::string& body, ReplyCallback reply, HeartbeatRoute route);
 
   // Changes.
   /// Empty: no leader is known.
@@ -77,7 +77,7 @@
   void to_leader(Heartbeat heartbeat, const std::string& body, bool unknown_worker, ReplyCallback reply);
   void to_known_leader(Heartbeat heartbeat, const std::string& body, bool unknown_worker,
                        const ReplyCallback& reply);
-  void to_own_leader(Heartbeat heartbeat, Leader::Way way, ReplyCallback reply);
+  void to_own_leader(Heartbeat heartbeat, HeartbeatRoute route, ReplyCallback reply);
   void forward(Heartbeat heartbeat, const std::string& body, ReplyCallback reply);
   void renew_by_proxy(Heartbeat heartbeat, ReplyCallback reply);
   void leader_replied(Heartbeat heartbeat, int status, std::string body, const ReplyCallback& reply);
--- a/src/kube/api.cc
+++ b/src/kube/api.cc
@@ -267,7 +267,7 @@
   if (!checked.job) return invalid({{"spec", checked.error}});
   if (auto refused = admission_.check(*checked.job)) return invalid({{"spec", refused->text}});
   auto record = to_record(stored).dump().size();
-  if (std::max(record, JobRecord::for_new_job(job).size()) > admission_.record_size_limit())
+  if (std::max(record, StoredJobRecord::for_new_job(job).size()) > admission_.record_size_limit())
     return fail(call,
                 {413, "RequestEntityTooLarge", "the object is larger than a record may be", "", "", {}, ""});
   if (auto dry = call->query.find("dryRun"); dry != call->query.end()) {
@@ -292,7 +292,7 @@
   auto at = key(call->space, call->name);
   state_.txn(
       {{at, 0}, {kJobs + job.id, 0}, {kFinals + job.id, 0}},
-      {{at, to_record(stored), 0}, {kJobs + job.id, JobRecord::for_new_job(job).json(), 0}},
+      {{at, to_record(stored), 0}, {kJobs + job.id, StoredJobRecord::for_new_job(job).json(), 0}},
       [this, call, stored, job, warnings](StateReply reply) {
         switch (reply.status) {
           case StateStatus::Ok: {
