--- a/src/scheduler/cluster_state.cc
+++ b/src/scheduler/cluster_state.cc
@@ -43,9 +43,20 @@
   return found == jobs_.end() ? nullptr : &found->second;
 }
 
-std::pair<Job&, bool> ClusterState::add_job(const std::string& id) {
-  auto [entry, fresh] = jobs_.try_emplace(id);
-  return {entry->second, fresh};
+std::pair<Job&, bool> ClusterState::add_job(const JobSpec& spec, std::uint64_t revision, double accepted_at) {
+  auto [entry, fresh] = jobs_.try_emplace(spec.id);
+  Job& job = entry->second;
+  job.revision = revision;
+  if (fresh) {
+    job.spec = spec;
+    job.priority = spec.priority;
+    job.order = revision;
+    job.accepted_at = accepted_at;
+    job.ready_at = accepted_at;
+    job.phase.assign(static_cast<std::size_t>(spec.tasks), TaskPhase::Queued);
+    job.queued = spec.tasks;
+  }
+  return {job, fresh};
 }
 
 void ClusterState::remove_job(const std::string& id) {
--- a/src/scheduler/cluster_state.h
+++ b/src/scheduler/cluster_state.h
@@ -46,8 +46,8 @@
   /// None if there is no such job.
   Job* job(const std::string& id);
   const Job* job(const std::string& id) const;
-  /// The job, and whether it was added now, empty.
-  std::pair<Job&, bool> add_job(const std::string& id);
+  /// The job, with this revision, and whether it was added now, with all its tasks queued.
+  std::pair<Job&, bool> add_job(const JobSpec& spec, std::uint64_t revision, double accepted_at);
   /// It must have no task on any machine.
   void remove_job(const std::string& id);
   /// To be called after every change of what the index knows of a job.
--- a/src/scheduler/heartbeat_reconciler.cc
+++ b/src/scheduler/heartbeat_reconciler.cc
@@ -1,307 +1,225 @@
-// The book's side of the workers' protocol: reports, orders, leases and what proves a place empty.
+#include "heartbeat_reconciler.h"
+
 #include <algorithm>
 
-#include "constants.h"
 #include "mutation.h"
-#include "scheduler.h"
 #include "scheduler_constants.h"
 
 namespace corkmux {
 namespace c = constants;
 using Stage = ActiveTask::Stage;
 
-Scheduler::HeartbeatResult Scheduler::on_heartbeat(const Heartbeat& r, Channel channel, double now) {
-  // Guards against ghosts: a held-back report of a machine that was returned must not revive it.
-  if (returned_.count(r.machine)) return {};
-  Machine& m = state_.add_machine(r.machine, now).first;
-  if (!m.up || m.type.empty()) {
-    state_.remove_from_index(m);
-    m.up = true;
-    m.type = r.type;
-    m.zone = r.zone;
-    m.spot = r.spot;
-    Resources used;
-    for (const auto& key : m.tasks) used += state_.jobs().at(key.job).spec.need;
-    if (const auto* t = state_.type(r.type)) m.size = t->size;
-    m.free = m.size;
-    m.free -= used;
-    m.idle_since = now;
-    state_.request_cycle();
-  }
-  if (!r.address.empty()) m.address = r.address;
-  state_.mark_for_dispatch(m.name);
-  HeartbeatResult result;
-  result.fencing_token = m.fencing_token;
-  if (r.fencing_token > m.fencing_token && state_.superseded_by(r.fencing_token)) {
-    result.superseded = true;
-    return result;
-  }
-  // Late and reordered reports say nothing about the present.
-  bool stale = r.worker_epoch < m.worker_epoch || (r.worker_epoch == m.worker_epoch && r.seq <= m.seq);
-  if (stale) return result;
-  if (r.worker_epoch > m.worker_epoch) {
-    if (m.worker_epoch) state_.note("machine " + m.name + " began session " + std::to_string(r.worker_epoch));
-    lose_all_tasks(m, "lost its lease", now, r.worker_epoch);
-    state_.clear_images(m);
-    m.worker_epoch = r.worker_epoch;
-    m.seq = 0;
-  }
-  if (now - m.last_heard > c::kSilentReports * state_.config().report_s) state_.request_cycle();
-  m.seq = r.seq;
-  m.last_heard = now;
-  bool newly_fenced =
-      m.observed_token < (state_.first_number()) && r.fencing_token >= (state_.first_number());
-  m.observed_token = std::max(m.observed_token, r.fencing_token);
-  if (newly_fenced) {
-    m.fencing_token_raised_at = now;
-    state_.request_cycle();
-  }
-  if (r.notice_s && !m.gone_at) {
-    m.gone_at = now + *r.notice_s;
-    state_.note("machine " + m.name + " is taken back in " + std::to_string(static_cast<int>(*r.notice_s)) +
-                " s: drained");
-  }
+namespace {
 
-  std::set<TaskId> present;
-  std::vector<TaskCommand> forget;
-  for (const auto& t : r.tasks) {
-    TaskId key{t.job, t.index};
-    Job* job = state_.job(t.job);
-    ActiveTask* a = nullptr;
-    if (job)
-      if (auto f = job->active.find(t.index); f != job->active.end()) a = &f->second;
-    bool ours = a && a->machine == m.name && a->attempt == t.attempt;
-    if (t.state == TaskState::Exited) {
-      if (ours) {
-        present.insert(key);
-        exited(*job, t.index, t, m, now);
-        a = nullptr;
-      }
-      // `done` is stored before it is cleared; all other ends may be cleared at once.
-      bool keep = false;
-      if (t.why == ExitReason::Done && job && !job->cancelled && t.index < job->spec.tasks &&
-          job->phase[t.index] == TaskPhase::Done) {
-        const TaskRecord& s = record_of(*job, t.index).second;
-        keep = s.persisted_generation < s.generation;
-      }
-      if (!keep) forget.push_back({TaskCommand::Op::Forget, t.job, t.index, t.attempt, 0});
-      continue;
-    }
-    if (!ours) {
-      // Nothing we hold stored says that this may run: a cancelled, finished or superseded attempt.
-      result.commands.push_back({TaskCommand::Op::Stop, t.job, t.index, t.attempt, 0});
-      continue;
-    }
-    present.insert(key);
-    Stage before = a->stage;
-    switch (t.state) {
-      case TaskState::Fetching:
-        a->stage = Stage::Fetching;
-        break;
-      case TaskState::Waiting:
-        a->stage = Stage::Waiting;
-        break;
-      case TaskState::Running:
-        a->stage = Stage::Running;
-        break;
-      default:
-        a->stage = Stage::Saving;
-        break;
-    }
-    if (a->stage == Stage::Running && !a->running_at) a->running_at = now;
-    a->worker_epoch = r.worker_epoch;
-    a->minimum_token = 0;
-    a->after_seq = 0;
-    if (a->stage == Stage::Waiting || a->stage == Stage::Running) state_.note_image(m, job->spec);
-    if (before != a->stage) state_.mark_changed(t.job);
-    if (a->stop && (a->grace_s <= 0 || a->stage != Stage::Saving))
-      result.commands.push_back({TaskCommand::Op::Stop, t.job, t.index, t.attempt, a->grace_s});
-  }
+constexpr double kShortestSlopeInterval = 0.05;  // s between heartbeats that a slope is taken over
 
-  // Guards against a late copy of orders that were carried out: once it has cleared an attempt, the worker
-  // would start it again. So what clears it carries a token above that of all launches, and waits while any
-  // are on their way; until then the worker knows the attempt, and a copy does nothing.
-  if (channel == Channel::Heartbeat && !forget.empty() && !m.dispatch_in_flight) {
-    if (m.last_launch_token == m.fencing_token && !mutation_enabled("what was cleared can be launched again"))
-      m.fencing_token = state_.next_number();
-    result.commands.insert(result.commands.end(), forget.begin(), forget.end());
+Stage stage_of(TaskState state) {
+  switch (state) {
+    case TaskState::Fetching:
+      return Stage::Fetching;
+    case TaskState::Waiting:
+      return Stage::Waiting;
+    case TaskState::Running:
+      return Stage::Running;
+    default:
+      return Stage::Saving;
   }
+}
 
-  std::vector<TaskId> absent;
-  for (const auto& key : m.tasks)
-    if (!present.count(key)) absent.push_back(key);
-  for (const auto& key : absent) {
-    Job* job = state_.job(key.job);
-    if (!job) continue;
-    auto f = job->active.find(key.index);
-    if (f == job->active.end()) continue;
-    const ActiveTask& a = f->second;
-    if (a.stage == Stage::Assigned) continue;
-    // Absence is proof only once no launch of ours can still arrive: a launch whose fate is unknown raised
-    // the machine's token, and this worker has seen it; a launch in a report's answer is settled by the next
-    // report.
-    if (r.fencing_token < a.minimum_token) continue;
-    if (a.after_seq && (channel != Channel::Heartbeat || r.seq <= a.after_seq)) continue;
-    gone(key, "no longer has it", now);
-  }
+TaskCommand command(TaskCommand::Op op, const TaskStatus& status, double grace_s = 0) {
+  return {op, status.job, status.index, status.attempt, grace_s};
+}
 
-  m.heat = 0;
-  for (const auto& key : m.tasks) {
-    auto stage = state_.jobs().at(key.job).active.at(key.index).stage;
-    m.heat += stage != Stage::Running && stage != Stage::Saving;
-  }
-  double s = m.slack();
-  if (m.seen_at > 0 && now > m.seen_at + 0.05) {
-    double w = c::kSlopeSmoothing, dt = now - m.seen_at;
-    m.slack_slope = (1 - w) * m.slack_slope + w * (s - m.seen_slack) / dt;
-    m.heat_slope = (1 - w) * m.heat_slope + w * (m.heat - m.seen_heat) / dt;
-  }
-  m.seen_slack = s;
-  m.seen_heat = m.heat;
-  m.seen_at = now;
+}  // namespace
+
+HeartbeatResult HeartbeatReconciler::reconcile(const Heartbeat& heartbeat, HeartbeatChannel channel,
+                                               double now) {
+  // Guards against ghosts: a held-back heartbeat of a machine that was returned must not revive it.
+  if (machines_.was_returned(heartbeat.machine)) return {};
+  Machine& machine = adopt_machine(heartbeat, now);
+  HeartbeatResult refusal;
+  refusal.fencing_token = machine.fencing_token;
+  refusal.superseded = is_superseded(heartbeat, machine);
+  if (refusal.superseded || is_stale(heartbeat, machine)) return refusal;
+
+  if (heartbeat.worker_epoch > machine.worker_epoch) begin_epoch(heartbeat, machine, now);
+  if (state_.silent(machine, now)) state_.request_cycle();
+  machine.seq = heartbeat.seq;
+  machine.last_heard = now;
+  observe_token(heartbeat, machine, now);
+  note_spot_notice(heartbeat, machine, now);
+
+  Reconciliation pass{heartbeat, channel, now, machine, {}, {}, {}};
+  for (const TaskStatus& status : heartbeat.tasks) apply_status(pass, status);
+  acknowledge_ended_tasks(pass);
+  prove_absences(pass);
+  update_load(machine, now);
+  attach_launches(pass);
+  state_.reindex(machine, now);
+  if (machine.gone_at) machines_.drain(machine, now);
+  pass.result.fencing_token = machine.fencing_token;
+  return std::move(pass.result);
+}
 
-  if (channel == Channel::Heartbeat) {
-    // A machine we cannot reach gets its launches with the answer; its next report settles them.
-    if (!m.direct && !m.dispatch_in_flight && state_.usable(m, now)) {
-      for (const auto& [id, index] : std::exchange(m.outbox, {})) {
-        Job* job = state_.job(id);
-        auto f = job ? job->active.find(index) : decltype(job->active.find(0)){};
-        if (!job || f == job->active.end() || f->second.worker_epoch != m.worker_epoch || f->second.stop) {
-          if (job && f != job->active.end()) unassign(*job, index, now);
-          continue;
-        }
-        f->second.stage = Stage::Sent;
-        f->second.minimum_token = 0;
-        f->second.after_seq = r.seq;
-        m.last_launch = now;
-        result.commands.push_back({TaskCommand::Op::Start, id, index, f->second.attempt, 0});
-      }
-    }
-  }
-  state_.reindex(m, now);
-  if (m.gone_at) drain(m, now);
-  result.fencing_token = m.fencing_token;
-  return result;
+Machine& HeartbeatReconciler::adopt_machine(const Heartbeat& heartbeat, double now) {
+  Machine& machine = state_.add_machine(heartbeat.machine, now).first;
+  if (!machine.up || machine.type.empty()) take_in(heartbeat, machine, now);
+  if (!heartbeat.address.empty()) machine.address = heartbeat.address;
+  state_.mark_for_dispatch(machine.name);
+  return machine;
 }
 
-void Scheduler::answered(const std::string& name, double now) {
-  if (Machine* m = state_.machine(name)) m->last_answered = now;
+void HeartbeatReconciler::take_in(const Heartbeat& heartbeat, Machine& machine, double now) {
+  state_.remove_from_index(machine);
+  machine.up = true;
+  machine.type = heartbeat.type;
+  machine.zone = heartbeat.zone;
+  machine.spot = heartbeat.spot;
+  if (const MachineType* type = state_.type(heartbeat.type)) machine.size = type->size;
+  Resources used;
+  for (const TaskId& id : machine.tasks) used += state_.jobs().at(id.job).spec.need;
+  machine.free = machine.size;
+  machine.free -= used;
+  machine.idle_since = now;
+  state_.request_cycle();
 }
 
-void Scheduler::set_unreachable(const std::string& name, double now) {
-  if (Machine* m = state_.machine(name)) {
-    m->direct = false;
-    m->next_probe_at = now + 2 * state_.config().report_s;
-  }
+bool HeartbeatReconciler::is_superseded(const Heartbeat& heartbeat, const Machine& machine) const {
+  return heartbeat.fencing_token > machine.fencing_token && state_.superseded_by(heartbeat.fencing_token);
 }
 
-bool Scheduler::has_commands(const Machine& m) const {
-  if (m.dispatch_in_flight || !m.up || m.address.empty()) return false;
-  return m.direct && (!m.outbox.empty() || m.needs_dispatch || m.observed_token < m.required_token);
+// Late and reordered heartbeats say nothing about the present.
+bool HeartbeatReconciler::is_stale(const Heartbeat& heartbeat, const Machine& machine) {
+  if (heartbeat.worker_epoch != machine.worker_epoch) return heartbeat.worker_epoch < machine.worker_epoch;
+  return heartbeat.seq <= machine.seq;
 }
 
-std::vector<std::string> Scheduler::machines_with_commands() {
-  std::vector<std::string> out;
-  for (const auto& name : state_.take_dispatch_candidates())
-    if (const Machine* m = state_.machine(name); m && has_commands(*m)) out.push_back(name);
-  return out;
+void HeartbeatReconciler::begin_epoch(const Heartbeat& heartbeat, Machine& machine, double now) {
+  const std::uint64_t epoch = heartbeat.worker_epoch;
+  if (machine.worker_epoch)
+    state_.note("machine " + machine.name + " began worker epoch " + std::to_string(epoch));
+  lifecycle_.lose_all(machine, "lost its lease", now, epoch);
+  state_.clear_images(machine);
+  machine.worker_epoch = epoch;
+  machine.seq = 0;
 }
 
-CommandBatch Scheduler::take_commands(const std::string& name, double now) {
-  CommandBatch out;
-  Machine& m = state_.machines().at(name);
-  m.dispatch_in_flight = true;
-  m.needs_dispatch = false;
-  out.fencing_token = m.fencing_token;
-  out.worker_epoch = m.worker_epoch;
-  for (const auto& [id, index] : m.tasks) {
-    const ActiveTask& a = state_.jobs().at(id).active.at(index);
-    if (a.stop && a.stage != Stage::Assigned && (a.grace_s <= 0 || a.stage != Stage::Saving))
-      out.commands.push_back({TaskCommand::Op::Stop, id, index, a.attempt, a.grace_s});
-  }
-  for (const auto& [id, index] : std::exchange(m.outbox, {})) {
-    Job* job = state_.job(id);
-    if (!job) continue;
-    auto f = job->active.find(index);
-    if (f == job->active.end()) continue;
-    ActiveTask& a = f->second;
-    if (a.worker_epoch != m.worker_epoch || a.stop || m.decommissioning) {
-      unassign(*job, index, now);
-      if (job->spec.kind == JobKind::Gang) abort_gang(*job, now);
-      continue;
-    }
-    a.stage = Stage::Sent;
-    a.minimum_token = kTokenOfNoWorker;  // in flight: no report can prove absence
-    m.last_launch = now;
-    out.launches.push_back({id, index});
-    out.attempts.push_back(a.attempt);
-    out.commands.push_back({TaskCommand::Op::Start, id, index, a.attempt, 0});
-  }
-  if (!out.launches.empty()) m.last_launch_token = m.fencing_token;
-  return out;
+void HeartbeatReconciler::observe_token(const Heartbeat& heartbeat, Machine& machine, double now) {
+  const std::uint64_t first_of_term = state_.first_number();
+  const bool newly_ours = machine.observed_token < first_of_term && heartbeat.fencing_token >= first_of_term;
+  machine.observed_token = std::max(machine.observed_token, heartbeat.fencing_token);
+  if (!newly_ours) return;
+  machine.fencing_token_raised_at = now;
+  state_.request_cycle();
 }
 
-void Scheduler::dispatch_done(const std::string& name, const CommandBatch& command_batch,
-                              DispatchOutcome outcome, double now) {
-  Machine* m = state_.machine(name);
-  if (!m) return;
-  m->dispatch_in_flight = false;
-  state_.mark_for_dispatch(name);
-  if (outcome == DispatchOutcome::Unanswered) {
-    // The launch may still arrive, minutes late: only a higher token that the worker has seen shuts it out.
-    state_.raise_fencing_token(*m);
-    state_.reindex(*m, now);
-  }
-  if (outcome == DispatchOutcome::Unsent || outcome == DispatchOutcome::Unanswered) {
-    m->direct = false;
-    m->next_probe_at = now + 2 * state_.config().report_s;
-    if (!command_batch.commands.empty()) m->needs_dispatch = true;
-  } else {
-    m->direct = true;
-  }
-  for (std::size_t i = 0; i < command_batch.launches.size(); ++i) {
-    const auto& [id, index] = command_batch.launches[i];
-    Job* job = state_.job(id);
-    if (!job) continue;
-    auto f = job->active.find(index);
-    if (f == job->active.end() || f->second.attempt != command_batch.attempts[i] ||
-        f->second.stage != Stage::Sent)
-      continue;
-    switch (outcome) {
-      case DispatchOutcome::Executed:
-        f->second.minimum_token = 0;
-        break;
-      case DispatchOutcome::Unanswered:
-        f->second.minimum_token = m->fencing_token;
-        break;
-      case DispatchOutcome::Refused:
-      case DispatchOutcome::Unsent:
-        unassign(*job, index, now);
-        if (job->spec.kind == JobKind::Gang) abort_gang(*job, now);
-        break;
-    }
+void HeartbeatReconciler::note_spot_notice(const Heartbeat& heartbeat, Machine& machine, double now) {
+  if (!heartbeat.notice_s || machine.gone_at) return;
+  const double notice_s = *heartbeat.notice_s;
+  machine.gone_at = now + notice_s;
+  state_.note("machine " + machine.name + " is taken back in " + std::to_string(static_cast<int>(notice_s)) +
+              " s: drained");
+}
+
+void HeartbeatReconciler::apply_status(Reconciliation& pass, const TaskStatus& status) {
+  Machine& machine = pass.machine;
+  Job* job = state_.job(status.job);
+  ActiveTask* task = job ? job->find_active(status.index) : nullptr;
+  const bool assigned = task && task->machine == machine.name && task->attempt == status.attempt;
+  if (status.state == TaskState::Exited) {
+    apply_exit(pass, status, job, assigned);
+    return;
+  }
+  if (!assigned) {
+    // Nothing we hold stored says that this may run: a cancelled, finished or superseded attempt.
+    pass.result.commands.push_back(command(TaskCommand::Op::Stop, status));
+    return;
+  }
+  pass.present.insert({status.job, status.index});
+  const Stage before = task->stage;
+  task->stage = stage_of(status.state);
+  if (task->stage == Stage::Running && !task->running_at) task->running_at = pass.now;
+  task->worker_epoch = pass.heartbeat.worker_epoch;
+  task->minimum_token = 0;
+  task->after_seq = 0;
+  if (task->stage == Stage::Waiting || task->stage == Stage::Running) state_.note_image(machine, job->spec);
+  if (before != task->stage) state_.mark_changed(status.job);
+  if (CommandQueue::needs_stop(*task))
+    pass.result.commands.push_back(command(TaskCommand::Op::Stop, status, task->grace_s));
+}
+
+void HeartbeatReconciler::apply_exit(Reconciliation& pass, const TaskStatus& status, Job* job,
+                                     bool assigned) {
+  if (assigned) {
+    pass.present.insert({status.job, status.index});
+    lifecycle_.exited(*job, status, pass.machine, pass.now);
   }
+  if (!must_keep(status, job)) pass.ended.push_back(command(TaskCommand::Op::Forget, status));
+}
+
+// `done` is stored before the worker forgets it; all other ends may be forgotten at once.
+bool HeartbeatReconciler::must_keep(const TaskStatus& status, Job* job) {
+  return status.why == ExitReason::Done && job && !job->cancelled && status.index < job->spec.tasks &&
+         job->phase[static_cast<std::size_t>(status.index)] == TaskPhase::Done &&
+         !records_.is_persisted(*job, status.index);
 }
 
-void Scheduler::drain(Machine& m, double now) {
-  for (const auto& [id, index] : std::set<TaskId>(m.tasks)) {
-    Job* job = state_.job(id);
-    if (!job) continue;
-    auto f = job->active.find(index);
-    if (f == job->active.end() || f->second.stop || job->spec.checkpoint_s <= 0) continue;
-    ActiveTask& a = f->second;
-    if (a.stage != Stage::Running && a.stage != Stage::Waiting && a.stage != Stage::Fetching) continue;
-    if (m.gone_at && *m.gone_at - now < job->spec.save_s && !m.faulty) continue;
-    double grace = job->spec.save_s + c::kCancelReserve;
-    if (job->spec.kind == JobKind::Gang) {
-      // An orderly stop reaches every member at once, or the save fails.
-      job->draining = true;
-      for (auto& [i, other] : job->active) state_.request_stop(*job, i, grace);
-    } else {
-      state_.request_stop(*job, index, grace);
-    }
-    job->why = "moved off a machine that is given back";
+// Guards against a late copy of commands that were carried out: once it has forgotten an attempt, the worker
+// would start it again. So what makes it forget carries a token above that of all launches, and waits while
+// any are on their way; until then the worker knows the attempt, and a copy does nothing.
+void HeartbeatReconciler::acknowledge_ended_tasks(Reconciliation& pass) {
+  Machine& machine = pass.machine;
+  if (pass.channel != HeartbeatChannel::Heartbeat || pass.ended.empty() || machine.dispatch_in_flight) return;
+  if (machine.last_launch_token == machine.fencing_token &&
+      !mutation_enabled("what was cleared can be launched again"))
+    machine.fencing_token = state_.next_number();
+  pass.result.commands.insert(pass.result.commands.end(), pass.ended.begin(), pass.ended.end());
+}
+
+// Absence is proof only once no launch of ours can still arrive: a launch whose fate is unknown raised the
+// machine's token, and this worker has seen it; a launch in a heartbeat's answer is settled by the next
+// heartbeat.
+bool HeartbeatReconciler::proves_absence(const Reconciliation& pass, const ActiveTask& task) {
+  if (task.stage == Stage::Assigned) return false;
+  if (pass.heartbeat.fencing_token < task.minimum_token) return false;
+  if (!task.after_seq) return true;
+  return pass.channel == HeartbeatChannel::Heartbeat && pass.heartbeat.seq > task.after_seq;
+}
+
+void HeartbeatReconciler::prove_absences(Reconciliation& pass) {
+  std::vector<TaskId> absent;
+  for (const TaskId& id : pass.machine.tasks)
+    if (!pass.present.contains(id)) absent.push_back(id);
+  for (const TaskId& id : absent) {
+    Job* job = state_.job(id.job);
+    const ActiveTask* task = job ? job->find_active(id.index) : nullptr;
+    if (task && proves_absence(pass, *task)) lifecycle_.lost(id, "no longer has it", pass.now);
   }
 }
 
+void HeartbeatReconciler::update_load(Machine& machine, double now) {
+  machine.heat = 0;
+  for (const auto& [id, index] : machine.tasks) {
+    const Stage stage = state_.jobs().at(id).active.at(index).stage;
+    if (stage != Stage::Running && stage != Stage::Saving) ++machine.heat;
+  }
+  const double slack = machine.slack();
+  if (machine.seen_at > 0 && now > machine.seen_at + kShortestSlopeInterval) {
+    const double weight = c::kSlopeSmoothing;
+    const double passed = now - machine.seen_at;
+    machine.slack_slope = (1 - weight) * machine.slack_slope + weight * (slack - machine.seen_slack) / passed;
+    machine.heat_slope =
+        (1 - weight) * machine.heat_slope + weight * (machine.heat - machine.seen_heat) / passed;
+  }
+  machine.seen_slack = slack;
+  machine.seen_heat = machine.heat;
+  machine.seen_at = now;
+}
+
+void HeartbeatReconciler::attach_launches(Reconciliation& pass) {
+  if (pass.channel != HeartbeatChannel::Heartbeat) return;
+  const auto launches = commands_.take_for_answer(pass.machine, pass.heartbeat.seq, pass.now);
+  pass.result.commands.insert(pass.result.commands.end(), launches.begin(), launches.end());
+}
+
 }  // namespace corkmux
--- a/src/scheduler/job.h
+++ b/src/scheduler/job.h
@@ -60,6 +60,11 @@
 
   bool ready() const { return unmet_dependencies.empty() && !dependency_cancelled && !cancelled; }
   bool over() const { return cancelled || dependency_cancelled || done == spec.tasks; }
+  /// The task's assignment; none if it has none.
+  ActiveTask* find_active(int index) {
+    auto found = active.find(index);
+    return found == active.end() ? nullptr : &found->second;
+  }
   bool is_gang() const { return spec.kind == JobKind::Gang; }
   /// A gang of which some task is done: all are, wherever they still may be.
   bool gang_completed() const { return is_gang() && done > 0 && !cancelled; }
--- /dev/null
+++ b/src/scheduler/machine_lifecycle.cc
@@ -0,0 +1,215 @@
+#include "machine_lifecycle.h"
+
+#include <algorithm>
+
+#include "constants.h"
+#include "mutation.h"
+#include "scheduler_constants.h"
+
+namespace corkmux {
+namespace c = constants;
+using Stage = ActiveTask::Stage;
+
+// ---------------------------------------------------------------- the cloud's side
+
+void MachineLifecycle::provisioned(const std::string& name, const std::string& type, const std::string& zone,
+                                   bool spot, double now) {
+  if (was_returned(name)) return;
+  auto [machine, fresh] = state_.add_machine(name, now);
+  if (!fresh) return;
+  machine.type = type;
+  machine.zone = zone;
+  machine.spot = spot;
+  if (const MachineType* known = state_.type(type)) {
+    machine.size = known->size;
+    machine.free = known->size;
+  }
+}
+
+bool MachineLifecycle::has_listened(double now) const {
+  const double since = std::max(state_.started_at(), listened_since_);
+  return now - since > c::kDeadReports * state_.config().report_s;
+}
+
+bool MachineLifecycle::never_came_up(const Machine& machine, double now) const {
+  const MachineType* type = state_.type(machine.type);
+  return !machine.up && !machine.decommissioning && type &&
+         now - machine.provisioned_at > c::kBootLate * type->boot_s + c::kBootGrace && has_listened(now);
+}
+
+void MachineLifecycle::listed(const std::vector<ListedMachine>& machines, double now) {
+  for (const ListedMachine& listed : machines) {
+    provisioned(listed.name, listed.type, listed.zone, listed.spot, now - listed.age_s);
+    if (was_returned(listed.name)) continue;
+    Machine& machine = state_.machines().at(listed.name);
+    if (machine.type.empty()) {  // known so far only from a task's record
+      machine.type = listed.type;
+      machine.zone = listed.zone;
+      machine.spot = listed.spot;
+    }
+    if (machine.address.empty()) machine.address = listed.address;
+    if (listed.phase == ListedMachine::Phase::Failed && !machine.decommissioning) {
+      state_.note("machine " + listed.name + " failed on its own: returned");
+      decommission(listed.name, now);
+    }
+    if (never_came_up(machine, now)) {
+      state_.note("machine " + listed.name + " never came up: returned");
+      decommission(listed.name, now);
+    }
+  }
+}
+
+void MachineLifecycle::decommission(const std::string& name, double now) {
+  Machine* machine = state_.machine(name);
+  if (!machine || machine->decommissioning) return;
+  machine->decommissioning = true;
+  for (const TaskId& id : std::set<TaskId>(machine->tasks)) {
+    Job* job = state_.job(id.job);
+    const ActiveTask* task = job ? job->find_active(id.index) : nullptr;
+    if (task && task->stage == Stage::Assigned) lifecycle_.withdraw(*job, id.index, now);
+  }
+  state_.reindex(*machine, now);
+}
+
+std::vector<std::string> MachineLifecycle::decommissioning() const {
+  std::vector<std::string> out;
+  for (const auto& [name, machine] : state_.machines())
+    if (machine.decommissioning) out.push_back(name);
+  return out;
+}
+
+void MachineLifecycle::deleted(const std::vector<std::string>& names, double now) {
+  for (const std::string& name : names) {
+    Machine* machine = state_.machine(name);
+    if (!machine) continue;
+    // The cloud's 200 is proof: the machine and everything on it are gone.
+    lifecycle_.lose_all(*machine, "was returned", now);
+    state_.remove_machine(name);
+    returned_.insert(name);
+    // Names rise with creation: the oldest are the first that nobody speaks of any more.
+    if (returned_.size() > c::kReturnedNames) returned_.erase(returned_.begin());
+  }
+}
+
+bool MachineLifecycle::can_drain(const Machine& machine, const Job& job, const ActiveTask& task,
+                                 double now) const {
+  if (task.stop || job.spec.checkpoint_s <= 0) return false;
+  if (task.stage != Stage::Running && task.stage != Stage::Waiting && task.stage != Stage::Fetching)
+    return false;
+  const bool too_late = machine.gone_at && *machine.gone_at - now < job.spec.save_s;
+  return !too_late || machine.faulty;
+}
+
+void MachineLifecycle::drain(Machine& machine, double now) {
+  for (const TaskId& id : std::set<TaskId>(machine.tasks)) {
+    Job* job = state_.job(id.job);
+    const ActiveTask* task = job ? job->find_active(id.index) : nullptr;
+    if (!task || !can_drain(machine, *job, *task, now)) continue;
+    const double grace_s = job->spec.save_s + c::kCancelReserve;
+    if (job->is_gang()) {
+      // An orderly stop reaches every member at once, or the save fails.
+      job->draining = true;
+      for (const auto& [index, member] : job->active) state_.request_stop(*job, index, grace_s);
+    } else {
+      state_.request_stop(*job, id.index, grace_s);
+    }
+    job->why = "moved off a machine that is given back";
+  }
+}
+
+// ---------------------------------------------------------------- silence and leases
+
+void MachineLifecycle::count_silent_machines(double now) {
+  struct ZoneCount {
+    int silent = 0;
+    int all = 0;
+  };
+  std::map<std::string, ZoneCount> zones;
+  any_silent_ = false;
+  for (const auto& [name, machine] : state_.machines()) {
+    if (!machine.up || machine.decommissioning) continue;
+    ZoneCount& zone = zones[machine.zone];
+    ++zone.all;
+    if (!state_.silent(machine, now)) continue;
+    ++zone.silent;
+    any_silent_ = true;
+  }
+  for (const auto& [name, zone] : zones)
+    if (zone.silent > std::max(1.0, c::kMaxSilentShare * zone.all))
+      partitioned_until_[name] = now + state_.config().lease_s;
+}
+
+// One or two silent machines are broken; many at once mean that the network is, and they come back one by
+// one. Nor is one broken that a lease proxy answers: its tasks run on beyond a partition.
+bool MachineLifecycle::is_broken(const Machine& machine, double now) const {
+  if (!machine.up || machine.decommissioning) return false;
+  if (now - machine.last_heard <= c::kDeadReports * state_.config().report_s || !has_listened(now))
+    return false;
+  const auto partitioned = partitioned_until_.find(machine.zone);
+  return now >= (partitioned == partitioned_until_.end() ? 0 : partitioned->second) &&
+         now >= machine.renewed_by_proxy_until;
+}
+
+void MachineLifecycle::tick(double now) {
+  count_silent_machines(now);
+  for (auto& [name, machine] : state_.machines()) {
+    if (!machine.direct && now >= machine.next_probe_at && machine.up) {
+      machine.direct = true;
+      state_.mark_for_dispatch(name);
+    }
+    if (is_broken(machine, now)) {
+      state_.note("machine " + name + " is silent: returned to the cloud");
+      decommission(name, now);
+    }
+    failures_.judge(machine, now);
+    if (!machine.faulty || machine.decommissioning) continue;
+    drain(machine, now);
+    if (machine.tasks.empty()) decommission(name, now);
+  }
+  state_.remove_unknown_machines();
+}
+
+void MachineLifecycle::process_stalled(double now) {
+  const SchedulerConfig& config = state_.config();
+  listened_since_ = now;
+  // Workers may have found another controller meanwhile, and come back one by one.
+  for (const auto& zone : config.zones) {
+    double& until = partitioned_until_[zone];
+    until = std::max(until, now + config.lease_s);
+  }
+  lifecycle_.extend_reservations(now + config.report_s * c::kDeadReports);
+}
+
+std::vector<std::string> MachineLifecycle::machines_with_expired_leases(double now) const {
+  const SchedulerConfig& config = state_.config();
+  double lease = config.lease_s * (1 + c::kClockDrift) + c::kProofMargin;
+  if (mutation_enabled("half a lease counts as a whole one")) lease /= 2;
+  std::vector<std::string> out;
+  for (const auto& [name, machine] : state_.machines()) {
+    if (machine.tasks.empty()) continue;
+    // The last moment anybody could have renewed this worker's lease: us, a lease proxy, or a former leader
+    // that has lost the state service and keeps tasks alive for a while, unless the worker already obeys our
+    // term.
+    const bool obeys_us = machine.observed_token >= state_.first_number();
+    const double others_until =
+        obeys_us ? machine.fencing_token_raised_at : state_.started_at() + config.keepalive();
+    const double renewed_until =
+        std::max({machine.last_answered, machine.last_launch, machine.renewed_by_proxy_until, others_until});
+    if (now > renewed_until + lease) out.push_back(name);
+  }
+  return out;
+}
+
+void MachineLifecycle::renewed_by_proxy(const std::string& name, double until) {
+  Machine* machine = state_.machine(name);
+  if (machine) machine->renewed_by_proxy_until = std::max(machine->renewed_by_proxy_until, until);
+}
+
+void MachineLifecycle::lease_expired(const std::string& name, double now) {
+  Machine* machine = state_.machine(name);
+  if (!machine) return;
+  state_.note("machine " + name + " is silent past its lease: its tasks start elsewhere");
+  lifecycle_.lose_all(*machine, "was silent past its lease", now);
+}
+
+}  // namespace corkmux
--- a/src/scheduler/placement.cc
+++ b/src/scheduler/placement.cc
@@ -69,14 +69,6 @@
   if (!fresh) it->second = std::min(it->second, job.spec.tasks);
 }
 
-void Scheduler::note_freed(const std::string& zone, const Resources& need, double now) {
-  Freed& f = freed_[zone];
-  double keep = std::exp(-std::max(0.0, now - f.at) / c::kFreeingWindow);
-  f.sum.cpus = keep * f.sum.cpus + need.cpus;
-  f.sum.gpus = keep * f.sum.gpus + need.gpus;
-  f.at = std::max(f.at, now);
-}
-
 /// A gang of many waits for as many places at once, and work that needs fewer takes each as it becomes free.
 /// Once it is due, one zone is kept for it if the missing places will be free soon, at the rate at which the
 /// zone's have been of late: where many tasks end each second that costs next to nothing, where few do it
@@ -88,11 +80,10 @@
   int most = 0;
   for (const auto& [zone, room] : free_capacity_by_zone(spec, fitting(job, false, now), now))
     if (room.places > most && !held_zones_.count(zone)) best = zone, most = room.places;
-  auto f = freed_.find(best);
-  if (f == freed_.end()) return;
-  double decay = std::exp(-std::max(0.0, now - f->second.at) / c::kFreeingWindow) / c::kFreeingWindow;
+  const auto freed = freed_capacity_.rate(best, now);
+  if (!freed) return;
   bool by_gpus = spec.need.gpus > 0;
-  double rate = decay * (by_gpus ? f->second.sum.gpus : f->second.sum.cpus);
+  double rate = by_gpus ? freed->gpus : freed->cpus;
   double missing = (spec.tasks - most) * (by_gpus ? spec.need.gpus : spec.need.cpus);
   if (missing <= rate * c::kZoneHoldLimit) held_zones_[best] = spec.id;
 }
--- a/src/scheduler/task_record.h
+++ b/src/scheduler/task_record.h
@@ -19,12 +19,15 @@
   std::optional<int> split_off;  // the record that starts there was split off and has to be stored before
 };
 
+/// Formats of stored records, see task_record_codec.h.
+enum class RecordFormat { V1, V2 };
+
 /// A write of one record that the scheduler asks for.
 struct TaskRecordWrite {
   std::string job;
   std::string key;
   int from = 0;  // first task of the record
-  bool uses_v2_records = false;
+  RecordFormat format = RecordFormat::V2;
   std::uint64_t revision = 0;  // that the stored record must still have
   std::uint64_t generation = 0;
   bool launches = false;  // launches wait for it, so it must not be stored once the job has an end
--- a/tests/history_test.cc
+++ b/tests/history_test.cc
@@ -296,7 +296,7 @@
     if (now_ > upgraded_at_) h.scheduler->use_v2_records();
     auto batch = h.scheduler->next_writes(4, chance(0.5), now_);
     for (const auto& w : batch) {
-      ASSERT_TRUE(!w.uses_v2_records || w.value.dump().size() <= 1024 * config_.record_kb) << w.key;
+      ASSERT_TRUE(w.format == RecordFormat::V1 || w.value.dump().size() <= 1024 * config_.record_kb) << w.key;
     }
     if (batch.empty()) return;
     h.writing = true;
