--- a/src/scheduler/arrival_tracker.h
+++ b/src/scheduler/arrival_tracker.h
@@ -5,6 +5,11 @@
 #include <optional>
 
 namespace corkmux {
+namespace constants {
+
+inline constexpr double kGapSmoothing = 0.2;  // weight of the newest gap
+
+}  // namespace constants
 
 class ArrivalTracker {
  public:
--- a/src/scheduler/cluster_state.h
+++ b/src/scheduler/cluster_state.h
@@ -23,6 +23,11 @@
 #include "scheduler_config.h"
 
 namespace corkmux {
+namespace constants {
+
+inline constexpr double kSilentReports = 2.6;  // heartbeat intervals without one: nothing is placed there
+
+}  // namespace constants
 
 class ClusterState {
  public:
--- a/src/scheduler/dependency_graph.h
+++ b/src/scheduler/dependency_graph.h
@@ -15,7 +15,6 @@
 #include "task_lifecycle.h"
 
 namespace corkmux {
-
 /// How a job ended, as it is stored.
 enum class JobOutcome { Done, Cancelled };
 
--- a/src/scheduler/failure_tracker.h
+++ b/src/scheduler/failure_tracker.h
@@ -4,11 +4,19 @@
 // Needs the cluster's state; the failures themselves stand with the machine and the job they speak against.
 // How much they weigh is said by failure_attribution.h. It never moves a task: that is TaskLifecycle's.
 #pragma once
+#include <cstddef>
 #include <string>
 
 #include "cluster_state.h"
 
 namespace corkmux {
+namespace constants {
+
+inline constexpr double kFaultyDelay = 10.0;  // s that failures are weighed before a machine is given up
+inline constexpr std::size_t kFailedJobsRemembered = 8;  // of a machine; two or three decide
+inline constexpr double kCordonTime = 60.0;              // s a machine with a failure is avoided
+
+}  // namespace constants
 
 class FailureTracker {
  public:
--- a/src/scheduler/freed_capacity.h
+++ b/src/scheduler/freed_capacity.h
@@ -8,9 +8,14 @@
 #include <string>
 
 #include "model.h"
-#include "time_points.h"
+#include "time_constants.h"
 
 namespace corkmux {
+namespace constants {
+
+inline constexpr double kFreeingWindow = 10.0;  // s over which the rate is taken
+
+}  // namespace constants
 
 class FreedCapacity {
  public:
--- a/src/scheduler/heartbeat_reconciler.cc
+++ b/src/scheduler/heartbeat_reconciler.cc
@@ -3,7 +3,6 @@
 #include <algorithm>
 
 #include "mutation.h"
-#include "scheduler_constants.h"
 
 namespace corkmux {
 namespace c = constants;
--- a/src/scheduler/heartbeat_reconciler.h
+++ b/src/scheduler/heartbeat_reconciler.h
@@ -15,6 +15,11 @@
 #include "task_record_store.h"
 
 namespace corkmux {
+namespace constants {
+
+inline constexpr double kSlopeSmoothing = 0.3;  // weight of the newest slope of slack and heat
+
+}  // namespace constants
 
 /// How a heartbeat came: by itself, or as the answer to a batch of commands.
 enum class HeartbeatChannel { Heartbeat, CommandBatch };
--- a/src/scheduler/job.h
+++ b/src/scheduler/job.h
@@ -11,9 +11,14 @@
 #include "model.h"
 #include "task.h"
 #include "task_record.h"
-#include "time_points.h"
+#include "time_constants.h"
 
 namespace corkmux {
+namespace constants {
+
+inline constexpr double kFreshArrival = 5.0;  // s; a job that was older when it was added was loaded
+
+}  // namespace constants
 
 struct Job {
   /// Whether it came within its team's guarantee and has not yet been started and left alone as a whole: it
--- a/src/scheduler/job_index.cc
+++ b/src/scheduler/job_index.cc
@@ -1,133 +1,150 @@
 #include "job_index.h"
 
-#include "scheduler.h"
+#include "job.h"
 
 namespace corkmux {
 namespace {
 
-Resources whole(const Job& job) {
-  const auto n = static_cast<double>(job.spec.tasks);
-  return {job.spec.need.cpus * n, job.spec.need.gpus * n, 0};
+/// Of all its tasks. Memory is not metered.
+Resources metered_need(const Job& job) {
+  const auto tasks = static_cast<double>(job.spec.tasks);
+  return {job.spec.need.cpus * tasks, job.spec.need.gpus * tasks, 0};
 }
 
-void put(JobSet& set, Job& job, bool in) {
-  if (in)
+/// The job is in the set from now on, or no longer.
+void set_member(JobSet& set, Job& job, bool& indexed, bool member) {
+  if (indexed == member) return;
+  indexed = member;
+  if (member)
     set.insert(&job);
   else
     set.erase(&job);
 }
 
+std::size_t index_of(Priority priority) { return static_cast<std::size_t>(priority); }
+
+bool is_promising(const Job& job) {
+  using Admission = Job::GuaranteeAdmission;
+  if (job.guarantee_admission == Admission::Undecided) return job.ready();
+  return job.guarantee_admission == Admission::Granted;
+}
+
+std::optional<Priority> priority_if(const Job& job, bool counts) {
+  return counts ? std::optional(job.priority) : std::nullopt;
+}
+
 }  // namespace
 
-bool ByOrder::operator()(const Job* a, const Job* b) const {
-  return a->order != b->order ? a->order < b->order : a->spec.id < b->spec.id;
+bool ByOrder::operator()(const Job* left, const Job* right) const {
+  return left->order != right->order ? left->order < right->order : left->spec.id < right->spec.id;
 }
 
 JobIndex::JobIndex(const std::vector<Team>& teams) {
   for (const auto& team : teams) teams_.try_emplace(team.name, team);
 }
 
-void JobIndex::mark(Ledger& l, Job& job, bool guaranteed) {
+void JobIndex::set_guaranteed(Ledger& ledger, Job& job, bool guaranteed) {
   ++steps_;
   if (job.indexed.running) {
-    l.running[job.indexed.guaranteed].erase(&job);
-    l.running[guaranteed].insert(&job);
+    ledger.running[job.indexed.guaranteed].erase(&job);
+    ledger.running[guaranteed].insert(&job);
   }
   job.indexed.guaranteed = guaranteed;
 }
 
-void JobIndex::enter(Ledger& l, Job& job) {
+void JobIndex::enter(Ledger& ledger, Job& job) {
   ++steps_;
-  l.jobs.insert(&job);
-  // Behind the first that is beyond, it is beyond as well.
-  if (l.beyond != l.jobs.end() && !ByOrder{}(&job, *l.beyond)) return;
-  l.within += whole(job);
-  mark(l, job, true);
+  ledger.jobs.insert(&job);
+  // Behind the first that is over the guarantee, it is over it as well.
+  if (ledger.over_guarantee != ledger.jobs.end() && !ByOrder{}(&job, *ledger.over_guarantee)) return;
+  ledger.within += metered_need(job);
+  set_guaranteed(ledger, job, true);
   // What it pushes out is the latest of those within; that may be itself.
-  while (!l.team.guarantees(l.within) && l.beyond != l.jobs.begin()) {
-    --l.beyond;
-    l.within -= whole(**l.beyond);
-    mark(l, **l.beyond, false);
+  while (!ledger.team.guarantees(ledger.within) && ledger.over_guarantee != ledger.jobs.begin()) {
+    --ledger.over_guarantee;
+    Job& latest = **ledger.over_guarantee;
+    ledger.within -= metered_need(latest);
+    set_guaranteed(ledger, latest, false);
   }
-  if (l.beyond == l.jobs.begin()) l.within = {};
+  if (ledger.over_guarantee == ledger.jobs.begin()) ledger.within = {};
 }
 
-void JobIndex::leave(Ledger& l, Job& job) {
+void JobIndex::leave(Ledger& ledger, Job& job) {
   ++steps_;
   if (job.indexed.guaranteed) {
-    l.within -= whole(job);
-    mark(l, job, false);
+    ledger.within -= metered_need(job);
+    set_guaranteed(ledger, job, false);
   }
-  auto it = l.jobs.find(&job);
-  if (it == l.jobs.end()) return;
-  if (l.beyond == it) ++l.beyond;
-  l.jobs.erase(it);
-  if (l.beyond == l.jobs.begin()) l.within = {};
-  for (; l.beyond != l.jobs.end(); ++l.beyond) {
-    Resources more = l.within;
-    more += whole(**l.beyond);
-    if (!l.team.guarantees(more)) break;
-    l.within = more;
-    mark(l, **l.beyond, true);
+  auto left = ledger.jobs.find(&job);
+  if (left == ledger.jobs.end()) return;
+  if (ledger.over_guarantee == left) ++ledger.over_guarantee;
+  ledger.jobs.erase(left);
+  if (ledger.over_guarantee == ledger.jobs.begin()) ledger.within = {};
+  for (; ledger.over_guarantee != ledger.jobs.end(); ++ledger.over_guarantee) {
+    Job& next = **ledger.over_guarantee;
+    Resources with_next = ledger.within;
+    with_next += metered_need(next);
+    if (!ledger.team.guarantees(with_next)) break;
+    ledger.within = with_next;
+    set_guaranteed(ledger, next, true);
   }
 }
 
+void JobIndex::count(CountByPriority& counts, std::optional<Priority>& counted_under,
+                     std::optional<Priority> priority) {
+  if (counted_under == priority) return;
+  if (counted_under) --counts[index_of(*counted_under)];
+  if (priority) ++counts[index_of(*priority)];
+  counted_under = priority;
+}
+
 void JobIndex::update(Job& job) {
-  auto& x = job.indexed;
-  const bool ready = job.ready(), waiting = ready && job.queued > 0;
-  const bool promising = job.guarantee_admission == Job::GuaranteeAdmission::Granted ||
-                         (job.guarantee_admission == Job::GuaranteeAdmission::Undecided && ready);
+  Indexed& indexed = job.indexed;
+  const bool ready = job.ready();
   const bool running = !job.active.empty();
   auto team = teams_.find(job.spec.team);
-  if (ready != x.ready) {
-    x.ready = ready;
+  if (ready != indexed.ready) {
+    indexed.ready = ready;
     if (team != teams_.end()) ready ? enter(team->second, job) : leave(team->second, job);
   }
-  if (running != x.running) {
-    x.running = running;
-    if (team != teams_.end()) put(team->second.running[x.guaranteed], job, running);
-  }
-  if (waiting != x.waiting) put(waiting_, job, x.waiting = waiting);
-  if (promising != x.promising) put(promising_, job, x.promising = promising);
-  auto count = [](std::array<int, 4>& counts, int& under, int now) {
-    if (under == now) return;
-    if (under >= 0) --counts[static_cast<std::size_t>(under)];
-    if (now >= 0) ++counts[static_cast<std::size_t>(now)];
-    under = now;
-  };
-  const int priority = static_cast<int>(job.priority);
-  count(accelerator_users_, x.accelerator_user, ready && job.spec.need.gpus > 0 ? priority : -1);
-  count(stoppable_, x.stoppable, running && job.spec.kind != JobKind::Gang ? priority : -1);
+  if (team != teams_.end())
+    set_member(team->second.running[indexed.guaranteed], job, indexed.running, running);
+  else
+    indexed.running = running;
+  set_member(waiting_, job, indexed.waiting, ready && job.queued > 0);
+  set_member(promising_, job, indexed.promising, is_promising(job));
+  count(accelerator_users_, indexed.accelerator_user, priority_if(job, ready && job.spec.need.gpus > 0));
+  count(stoppable_, indexed.stoppable, priority_if(job, running && !job.is_gang()));
 }
 
 void JobIndex::remove(Job& job) {
-  auto& x = job.indexed;
+  Indexed& indexed = job.indexed;
   if (auto team = teams_.find(job.spec.team); team != teams_.end()) {
-    if (x.ready) leave(team->second, job);
-    if (x.running) team->second.running[x.guaranteed].erase(&job);
+    if (indexed.ready) leave(team->second, job);
+    if (indexed.running) team->second.running[indexed.guaranteed].erase(&job);
   }
   waiting_.erase(&job);
   promising_.erase(&job);
-  if (x.accelerator_user >= 0) --accelerator_users_[static_cast<std::size_t>(x.accelerator_user)];
-  if (x.stoppable >= 0) --stoppable_[static_cast<std::size_t>(x.stoppable)];
-  x = {};
+  count(accelerator_users_, indexed.accelerator_user, std::nullopt);
+  count(stoppable_, indexed.stoppable, std::nullopt);
+  indexed = {};
 }
 
 const JobSet& JobIndex::running(const std::string& team, bool guaranteed) const {
   static const JobSet none;
-  auto t = teams_.find(team);
-  return t == teams_.end() ? none : t->second.running[guaranteed];
+  auto found = teams_.find(team);
+  return found == teams_.end() ? none : found->second.running[guaranteed];
 }
 
 std::optional<Priority> JobIndex::accelerator_users() const {
-  for (int p = 3; p >= 0; --p)
-    if (accelerator_users_[static_cast<std::size_t>(p)] > 0) return static_cast<Priority>(p);
+  for (std::size_t priority = accelerator_users_.size(); priority-- > 0;)
+    if (accelerator_users_[priority] > 0) return static_cast<Priority>(priority);
   return std::nullopt;
 }
 
 std::optional<Priority> JobIndex::lowest_stoppable() const {
-  for (int p = 0; p < 4; ++p)
-    if (stoppable_[static_cast<std::size_t>(p)] > 0) return static_cast<Priority>(p);
+  for (std::size_t priority = 0; priority < stoppable_.size(); ++priority)
+    if (stoppable_[priority] > 0) return static_cast<Priority>(priority);
   return std::nullopt;
 }
 
--- a/src/scheduler/scheduler.cc
+++ b/src/scheduler/scheduler.cc
@@ -3,7 +3,7 @@
 namespace corkmux {
 
 Scheduler::Scheduler(SchedulerConfig config, std::uint64_t term, double now, std::uint64_t seed)
-    : state_(std::move(config), term, now), arrivals_(now), rng_(seed) {}
+    : state_(std::move(config), term, now), arrivals_(now), random_(seed) {}
 
 void Scheduler::put_job(const JobSpec& spec, std::uint64_t revision, bool cancelled, double now,
                         double age_s) {
--- a/src/scheduler/scheduler.h
+++ b/src/scheduler/scheduler.h
@@ -8,24 +8,29 @@
 #include <cstdint>
 #include <map>
 #include <nlohmann/json.hpp>
-#include <random>
 #include <set>
 #include <string>
-#include <tuple>
 #include <unordered_map>
 #include <unordered_set>
+#include <utility>
 #include <vector>
 
 #include "arrival_tracker.h"
+#include "candidate_search.h"
 #include "cluster_state.h"
 #include "command_queue.h"
 #include "dependency_graph.h"
 #include "failure_tracker.h"
 #include "freed_capacity.h"
+#include "guarantee_claims.h"
 #include "heartbeat_reconciler.h"
 #include "machine_lifecycle.h"
-#include "reserved_capacity.h"
+#include "machine_reservations.h"
+#include "placement.h"
+#include "preemption.h"
+#include "random_source.h"
 #include "scheduler_config.h"
+#include "scheduling_cycle.h"
 #include "task_lifecycle.h"
 #include "task_record_store.h"
 
@@ -133,7 +138,7 @@
   /// The process stood still until now: machines were not silent, we did not listen.
   void process_stalled(double now) { machines_.process_stalled(now); }
   /// One scheduling cycle.
-  void schedule(double now);
+  void schedule(double now) { cycle_.run(now); }
   bool wants_cycle() const { return state_.wants_cycle(); }
 
   // --- task records in the state service ---
@@ -172,7 +177,10 @@
   const SchedulerConfig& config() const { return state_.config(); }
   /// Jobs, buckets of free capacity, machines and tasks looked at by cycles so far: the work done, counted
   /// not timed.
-  std::uint64_t steps() const { return steps_ + job_index().steps(); }
+  std::uint64_t steps() const {
+    return cycle_.steps() + claims_.steps() + preemption_.steps() + placement_.steps() + search_.steps() +
+           job_index().steps();
+  }
   const JobIndex& job_index() const { return state_.job_index(); }
   const CapacityIndex& capacity_index() const { return state_.capacity_index(); }
   /// What the index of free capacity has to say of a machine.
@@ -182,106 +190,27 @@
   /// One line per event worth an operator's attention; the actor logs them.
   std::vector<std::string> take_notes() { return state_.take_notes(); }
   /// One line per placed gang, when the configuration asks for it.
-  std::vector<std::string> take_details() { return std::exchange(details_, {}); }
+  std::vector<std::string> take_details() { return placement_.take_details(); }
 
  private:
-  void assign(Job& job, int index, Machine& machine, std::uint64_t attempt, double now) {
-    lifecycle_.assign(job, index, machine, attempt, now);
-  }
-  void abort_gang(Job& job, double now) { lifecycle_.abort_gang(job, now); }
-  /// For the job that its `fetch_s` is about.
-  double utility(const Machine& m, double now) const;
-  double weight(const Job& job) const;
-  bool place_gang(Job& job, bool include_suspect, double now);
-  /// Keeps a zone's free machines for a gang that is due, where the rest it needs is about to be free.
-  void hold_zone_for_gang(const Job& job, double now);
-  /// How long a job has until it misses its next start aim, and how many it has missed; none for one that has
-  /// started.
-  struct StartAim {
-    int missed = 0;
-    bool due = false;    // most of its time is over
-    double at = kNever;  // when it will be missed
-  };
-  /// A large array or service of which nothing has begun though it has waited for long.
-  bool overdue(const Job& job, double now) const;
-  StartAim start_aim(const Job& job, double now) const;
-  int place_tasks(Job& job, int budget, double now);
-  bool preempt_for(Job& job, double now);
-  /// Machines on which work could be stopped for a job, by zone if it keeps to one: a bounded number.
-  std::map<std::string, std::vector<Machine*>> stop_candidates(const Job& job, double now);
-  void preempt(const TaskId& victim, const std::string& why);
-  /// Stops what other teams run beyond their guarantees for a job within its team's, see reclaim.h.
-  bool reclaim(Job& job, double now);
-  struct QuotaReclaimCase;
-  QuotaReclaimCase reclaim_case(const Job& job, double now);
-  void keep_reclaimed(const Job& job, const QuotaReclaimCase& c, const std::vector<int>& chosen, double now);
-  /// Until then the machine takes no other job's work.
-  void nominate(Machine& m, const Job& job, double until, double now);
-  void keep_promises(double now);
-  bool saves_when_stopped(const JobSpec& spec) const;
-  bool open_to(const Job& job, const Machine& m, double now) const;
-  /// How long each waiting job will have waited, and whom the floor holds by that. In the order of the bids.
-  void update_reserved_capacity(const std::vector<const Job*>& order, double now);
-  bool is_starving(const Job& job) const {
-    return reserved_capacity_.holds(job.spec.job_class, job.spec.team);
-  }
-  /// Whether machines like that are kept for others than this job.
-  bool excluded_by_reservation(const Job& job, const std::string& type, int reservation_tier) const;
-
-  /// Machines that a task fits on and that are alike to a placement: a level, less some of its machines, or a
-  /// single one.
-  struct Slot {
-    const CapacityIndex::Pool* pool = nullptr;
-    const CapacityIndex::CapacityBucket* level = nullptr;
-    Machine* one = nullptr;
-    std::vector<std::size_t> without;  // positions in the level, rising
-    std::size_t count = 0;             // of machines
-    int times = 0;                     // how often the task fits on each
-  };
-  struct ZoneCapacity {
-    double slack = 0, heat = 0, fetch_s = 1e9;
-    double machines = 0;
-    int places = 0;
-  };
-  std::vector<Slot> fitting(const Job& job, bool include_suspect, double now,
-                            const std::string* zone = nullptr);
-  void level_slots(const Job& job, const CapacityIndex::Pool& pool,
-                   const CapacityIndex::CapacityBuckets& levels,
-                   const std::map<const CapacityIndex::CapacityBucket*, std::vector<std::size_t>>& failed,
-                   double most_gpus, std::vector<Slot>& out);
-  std::map<std::string, ZoneCapacity> free_capacity_by_zone(const JobSpec& spec,
-                                                            const std::vector<Slot>& slots, double now) const;
-  std::vector<std::string> draw_zones(const JobSpec& spec, const std::map<std::string, ZoneCapacity>& zones);
-  /// Of 0 and up to `all`, at most `most`, drawn without any twice.
-  std::vector<std::size_t> sample(std::size_t all, std::size_t most);
-  Machine* pick(const JobSpec& spec, const std::vector<Slot>& slots, double now);
-  /// Room only shrinks within a pass: what found none leaves none for the like of it.
-  bool known_not_to_fit(const Job& job, double now) const;
-  void note_not_fitting(const Job& job, double now);
   // Each module after those it needs.
   ClusterState state_;
   ArrivalTracker arrivals_;
   FreedCapacity freed_capacity_;
-  ReservedCapacity reserved_capacity_;
+  MachineReservations reservations_{state_};
   FailureTracker failures_{state_};
   TaskRecordStore records_{state_};
-  TaskLifecycle lifecycle_{state_, records_, failures_, freed_capacity_, reserved_capacity_};
+  TaskLifecycle lifecycle_{state_, records_, failures_, freed_capacity_, reservations_};
   CommandQueue commands_{state_, lifecycle_};
   MachineLifecycle machines_{state_, lifecycle_, failures_};
   HeartbeatReconciler reconciler_{state_, records_, lifecycle_, commands_, machines_};
   DependencyGraph dependencies_{state_, lifecycle_};
-  std::mt19937_64 rng_;
-  std::vector<std::string> details_;
-  using Shape = std::tuple<double, double, double, bool, bool, bool, bool, int, std::string,
-                           std::vector<std::string>, bool>;
-  Shape shape(const Job& job) const;
-  std::map<Shape, int> not_fitting_;  // of this pass: the fewest tasks at once that found no room
-  std::uint64_t steps_ = 0;
-  std::map<std::string, std::string> held_zones_;  // of this pass: zone -> the job it is kept for
-  std::set<std::string> reserved_types_;           // of machines that those it holds can use
-  std::vector<std::string> logged_starving_;
-  bool accelerators_wanted_ = false;
-  std::optional<Priority> accelerator_users_;
+  RandomSource random_;
+  CandidateSearch search_{state_, reservations_};
+  Placement placement_{state_, search_, random_, freed_capacity_, lifecycle_};
+  Preemption preemption_{state_, search_, random_};
+  GuaranteeClaims claims_{state_, search_, preemption_};
+  SchedulingCycle cycle_{state_, reservations_, search_, placement_, preemption_, claims_};
 };
 
 }  // namespace corkmux
--- a/src/scheduler/scheduler_config.h
+++ b/src/scheduler/scheduler_config.h
@@ -7,7 +7,6 @@
 #include "model.h"
 
 namespace corkmux {
-
 struct SchedulerConfig {
   double report_s = 3;          // s between heartbeats of a worker
   double lease_s = 30;          // s that a worker's lease lasts
--- a/src/scheduler/task_record_store.h
+++ b/src/scheduler/task_record_store.h
@@ -19,6 +19,12 @@
 #include "task_record_codec.h"
 
 namespace corkmux {
+namespace constants {
+
+inline constexpr double kRestWait = 1.0;     // s that ends of tasks wait for writes that launches need
+inline constexpr int kTasksPerRecord = 256;  // before any split
+
+}  // namespace constants
 
 /// What became of a stored record that was given to load.
 enum class RecordLoad {
