--- a/src/scheduler/candidate_search.cc
+++ b/src/scheduler/candidate_search.cc
@@ -4,8 +4,6 @@
 #include <iterator>
 #include <limits>
 
-#include "scheduler_constants.h"
-
 namespace corkmux {
 namespace c = constants;
 namespace {
--- a/src/scheduler/job.h
+++ b/src/scheduler/job.h
@@ -14,6 +14,11 @@
 #include "time_constants.h"
 
 namespace corkmux {
+namespace constants {
+
+inline constexpr double kFreshArrival = 5.0;  // s; a job that was older when it was added was loaded
+
+}  // namespace constants
 
 struct Job {
   /// Whether it came within its team's guarantee and has not yet been started and left alone as a whole: it
@@ -60,6 +65,11 @@
 
   bool ready() const { return unmet_dependencies.empty() && !dependency_cancelled && !cancelled; }
   bool over() const { return cancelled || dependency_cancelled || done == spec.tasks; }
+  /// The task's assignment; none if it has none.
+  ActiveTask* find_active(int index) {
+    auto found = active.find(index);
+    return found == active.end() ? nullptr : &found->second;
+  }
   bool is_gang() const { return spec.kind == JobKind::Gang; }
   /// A gang of which some task is done: all are, wherever they still may be.
   bool gang_completed() const { return is_gang() && done > 0 && !cancelled; }
--- a/src/scheduler/task.h
+++ b/src/scheduler/task.h
@@ -7,6 +7,11 @@
 #include <string>
 
 namespace corkmux {
+namespace constants {
+
+inline constexpr double kReservationTimeout = 30.0;  // s beyond the image fetch until a launch expires
+
+}  // namespace constants
 
 /// Names a task: its job and its index in it. Ordered by job, then index.
 struct TaskId {
