--- a/tests/mutation_test.cc
+++ b/tests/mutation_test.cc
@@ -20,7 +20,7 @@
  protected:
   void SetUp() override { spdlog::set_level(spdlog::level::off); }
   void TearDown() override { enabled_mutation.clear(); }
-  static std::vector<std::string> play(const Plan& plan, std::uint64_t seed, const char* defect) {
+  static std::vector<std::string> play(const SimulationPlan& plan, std::uint64_t seed, const char* defect) {
     enabled_mutation = defect;
     ClusterSimulation simulation(plan, seed);
     simulation.run();
@@ -55,9 +55,9 @@
         Case{"half a lease counts as a whole one", "forty", "zone-cut", 10},
         Case{"what was cleared can be launched again", "forty", "orders-again", 5},
         Case{"cancels of peers are not heard", "long", "away-before-anybody-follows", 5},
-        Case{"what was read before is told again", "meetings", "asked-at-once", 2},
-        Case{"a gang that is done has left all machines", "meetings", "at-the-limit", 40},
-        Case{"a repeat of what is stored is refused", "meetings", "answers-lost", 2},
+        Case{"what was read before is told again", "combined-faults", "asked-at-once", 2},
+        Case{"a gang that is done has left all machines", "combined-faults", "at-the-limit", 40},
+        Case{"a repeat of what is stored is refused", "combined-faults", "answers-lost", 2},
         Case{"a serving controller answers without the leader", "serving", "leaders-change", 10},
         Case{"answers of a batch are mixed up", "serving", "servers-crash", 10},
         Case{"an unanswered batch of orders counts as unsent", "serving", "late-batches", 10}),
