--- a/src/leader/cancel_acknowledgements.h
+++ b/src/leader/cancel_acknowledgements.h
@@ -6,7 +6,7 @@
 #pragma once
 #include "job_watcher.h"
 #include "term.h"
-#include "time_constants.h"
+#include "time_points.h"
 
 namespace corkmux {
 
--- a/src/leader/dependency_barrier_publisher.h
+++ b/src/leader/dependency_barrier_publisher.h
@@ -14,7 +14,7 @@
 #include "settings.h"
 #include "state_client.h"
 #include "term.h"
-#include "time_constants.h"
+#include "time_points.h"
 
 namespace corkmux {
 
--- a/src/leader/job_watcher.h
+++ b/src/leader/job_watcher.h
@@ -17,7 +17,7 @@
 #include "scheduler.h"
 #include "state_client.h"
 #include "term.h"
-#include "time_constants.h"
+#include "time_points.h"
 
 namespace corkmux {
 
--- a/src/leader/leader.h
+++ b/src/leader/leader.h
@@ -21,7 +21,7 @@
 #include "record_format_negotiation.h"
 #include "settings.h"
 #include "state_client.h"
-#include "time_constants.h"
+#include "time_points.h"
 
 namespace corkmux {
 
--- a/src/leader/leadership_state.h
+++ b/src/leader/leadership_state.h
@@ -20,7 +20,7 @@
 #include "state_loader.h"
 #include "store_writer.h"
 #include "term.h"
-#include "time_constants.h"
+#include "time_points.h"
 #include "worker_reachability.h"
 
 namespace corkmux {
--- a/src/leader/machine_provisioner.h
+++ b/src/leader/machine_provisioner.h
@@ -15,7 +15,7 @@
 #include "scheduler.h"
 #include "settings.h"
 #include "term.h"
-#include "time_constants.h"
+#include "time_points.h"
 
 namespace corkmux {
 
--- a/src/leader/record_format_upgrade.h
+++ b/src/leader/record_format_upgrade.h
@@ -6,7 +6,7 @@
 #include "record_format_negotiation.h"
 #include "scheduler.h"
 #include "term.h"
-#include "time_constants.h"
+#include "time_points.h"
 
 namespace corkmux {
 
--- a/src/leader/term.h
+++ b/src/leader/term.h
@@ -11,7 +11,7 @@
 #include <string_view>
 #include <utility>
 
-#include "time_constants.h"
+#include "time_points.h"
 
 namespace corkmux {
 
--- a/src/linearizable_reads/read_batcher.h
+++ b/src/linearizable_reads/read_batcher.h
@@ -14,7 +14,7 @@
 #include <unordered_set>
 #include <vector>
 
-#include "time_constants.h"
+#include "time_points.h"
 
 namespace corkmux {
 
--- a/src/state_store/state_client.h
+++ b/src/state_store/state_client.h
@@ -15,7 +15,7 @@
 #include "http.h"
 #include "outage_log.h"
 #include "record_format_declaration.h"
-#include "time_constants.h"
+#include "time_points.h"
 
 namespace corkmux {
 
