--- a/src/leader/leader.h
+++ b/src/leader/leader.h
@@ -21,7 +21,7 @@
 #include "record_format_negotiation.h"
 #include "settings.h"
 #include "state_client.h"
-#include "time_points.h"
+#include "time_constants.h"
 
 namespace corkmux {
 
--- a/src/leader/term.h
+++ b/src/leader/term.h
@@ -11,7 +11,7 @@
 #include <string_view>
 #include <utility>
 
-#include "time_points.h"
+#include "time_constants.h"
 
 namespace corkmux {
 
--- a/src/linearizable_reads/read_batcher.h
+++ b/src/linearizable_reads/read_batcher.h
@@ -14,7 +14,7 @@
 #include <unordered_set>
 #include <vector>
 
-#include "time_points.h"
+#include "time_constants.h"
 
 namespace corkmux {
 
