--- a/src/controller/controller.cc
+++ b/src/controller/controller.cc
@@ -1,7 +1,6 @@
 #include "controller.h"
 
 #include "controller_constants.h"
-#include "leader_constants.h"
 
 namespace corkmux {
 namespace {
--- a/src/controller/lease_proxy.cc
+++ b/src/controller/lease_proxy.cc
@@ -6,9 +6,7 @@
 
 #include "constants.h"
 #include "controller_constants.h"
-#include "leader_constants.h"
 #include "mutation.h"
-#include "state_store_constants.h"
 #include "store_keys.h"
 
 namespace corkmux {
@@ -119,7 +117,7 @@
     conditions.push_back({key, revision == revisions_->end() ? 0 : revision->second});
     writes.push_back({std::move(key), std::move(value), 0});
   }
-  state_.txn(conditions, writes, [this, names, now, writes](StateReply reply) {
+  state_.transaction(conditions, writes, [this, names, now, writes](StateReply reply) {
     if (reply.ok()) {
       written_ = names;
       written_at_ = now;
--- a/src/controller/store_relay.cc
+++ b/src/controller/store_relay.cc
@@ -5,7 +5,6 @@
 
 #include "constants.h"
 #include "controller_constants.h"
-#include "leader_constants.h"
 #include "mutation.h"
 #include "store_keys.h"
 
@@ -177,7 +176,7 @@
   outbox.slot = (outbox.slot + 1) % c::kStoreRelaySlots;
   std::string key = kStoreRelayPrefix + to + "/" + label_ + "/" + std::to_string(outbox.slot);
   std::vector<codec::Write> record{{key, Json{{"f", label_}, {"i", sent}}, 0}};
-  state_.txn({}, record, [this, to, sent = std::move(sent)](StateReply reply) {
+  state_.transaction({}, record, [this, to, sent = std::move(sent)](StateReply reply) {
     outboxes_[to].writing = false;
     if (reply.status == StateStatus::Invalid) room_ = std::max(c::kSmallestRecord, room_ / 2);
     if (!reply.ok())
--- a/src/kube/api.cc
+++ b/src/kube/api.cc
@@ -290,7 +290,7 @@
 void Api::store(const CallPtr& call, const Stored& stored, const JobSpec& job,
                 const std::vector<std::string>& warnings) {
   auto at = key(call->space, call->name);
-  state_.txn(
+  state_.transaction(
       {{at, 0}, {kJobs + job.id, 0}, {kFinals + job.id, 0}},
       {{at, to_record(stored), 0}, {kJobs + job.id, StoredJobRecord::for_new_job(job).json(), 0}},
       [this, call, stored, job, warnings](StateReply reply) {
@@ -576,7 +576,7 @@
       writes.push_back({kJobs + job, std::move(record), 0});
       writes.push_back({kFinals + job, Json{{"p", "cancelled"}, {"n", 0}, {"t", wall_now()}}, 0});
     }
-    state_.txn(conditions, writes, [this, call, job, unfinished, gone](StateReply reply) {
+    state_.transaction(conditions, writes, [this, call, job, unfinished, gone](StateReply reply) {
       if (reply.ok()) {
         if (unfinished) status_cache_.note_cancelled(job);
         return gone();
--- a/src/kube/feed.cc
+++ b/src/kube/feed.cc
@@ -4,7 +4,6 @@
 
 #include "constants.h"
 #include "kube_constants.h"
-#include "leader_constants.h"
 
 namespace corkmux::kube {
 namespace c = constants;
--- a/src/leader/command_dispatcher.cc
+++ b/src/leader/command_dispatcher.cc
@@ -3,7 +3,6 @@
 #include "codec.h"
 #include "constants.h"
 #include "heartbeat_fanin_constants.h"
-#include "leader_constants.h"
 #include "mutation.h"
 
 namespace corkmux {
--- a/src/leader/command_dispatcher.h
+++ b/src/leader/command_dispatcher.h
@@ -22,6 +22,11 @@
 
 namespace corkmux {
 
+namespace constants {
+/// Of a controller's sockets, for idle connections on which commands are sent.
+inline constexpr double kCommandConnectionShare = 0.25;
+}  // namespace constants
+
 /// How commands reach the controllers that workers are connected to.
 struct CommandRelay {
   using PostCallback = std::function<void(http::Result)>;
--- a/src/leader/leader.h
+++ b/src/leader/leader.h
@@ -27,7 +27,6 @@
 
 class Leader : public Actor<Leader> {
  public:
-  using Way = HeartbeatRoute;
   /// One answer for each heartbeat of a batch; nullopt: another controller leads, or none.
   using HeartbeatBatchCallback = std::function<void(std::optional<std::vector<fanin::HeartbeatAnswer>>)>;
   using DoneCallback = std::function<void()>;
--- a/src/leader/machine_provisioner.cc
+++ b/src/leader/machine_provisioner.cc
@@ -2,7 +2,7 @@
 
 #include <spdlog/spdlog.h>
 
-#include "state_store_constants.h"
+#include "catalog.h"
 
 namespace corkmux {
 namespace c = constants;
--- a/src/simulation/state_service.h
+++ b/src/simulation/state_service.h
@@ -12,7 +12,6 @@
 #include "codec.h"
 #include "http.h"
 #include "simulation_constants.h"
-#include "state_store_constants.h"
 
 namespace corkmux::simulation {
 
--- a/src/state_store/catalog.cc
+++ b/src/state_store/catalog.cc
@@ -2,8 +2,6 @@
 
 #include <spdlog/spdlog.h>
 
-#include "state_store_constants.h"
-
 namespace corkmux {
 namespace c = constants;
 namespace {
--- a/src/state_store/catalog.h
+++ b/src/state_store/catalog.h
@@ -10,6 +10,10 @@
 
 namespace corkmux {
 
+namespace constants {
+inline constexpr double kCloudTimeout = 4.0;  // s for a request to the cloud's interface
+}
+
 class Catalog : public Actor<Catalog> {
  public:
   /// Takes the machine types, on each change.
--- a/src/state_store/state_client.h
+++ b/src/state_store/state_client.h
@@ -80,11 +80,6 @@
   /// Writes everything if all keys have the revisions of the conditions, otherwise nothing.
   void transaction(const std::vector<codec::Condition>& conditions, const std::vector<codec::Write>& writes,
                    ReplyCallback done);
-  /// The former name of transaction().
-  void txn(const std::vector<codec::Condition>& conditions, const std::vector<codec::Write>& writes,
-           ReplyCallback done) {
-    transaction(conditions, writes, std::move(done));
-  }
   /// A transaction that only compares revisions, and may take so long, s.
   void compare(const std::vector<codec::Condition>& conditions, double timeout_s, ReplyCallback done);
   /// Creates a lease that ends unless it is renewed within its duration.
--- a/tests/lease_proxy_test.cc
+++ b/tests/lease_proxy_test.cc
@@ -34,7 +34,7 @@
   }
   void put(const codec::Json& record) {
     bool done = false;
-    client.txn({}, {{"a/run-1", record, 0}}, [&](StateReply) { done = true; });
+    client.transaction({}, {{"a/run-1", record, 0}}, [&](StateReply) { done = true; });
     while (!done) loop.run_once();
   }
 };
