--- a/tests/simulation_test.cc
+++ b/tests/simulation_test.cc
@@ -110,7 +110,7 @@
   spdlog::set_level(spdlog::level::off);
   int brought = 0;
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
-    ClusterSimulation simulation(load_plan(file("meetings"), GetParam().day), seed);
+    ClusterSimulation simulation(load_plan(file("combined-faults"), GetParam().day), seed);
     simulation.run();
     EXPECT_TRUE(simulation.good()) << GetParam().day << " seed " << seed << "\n" << told(simulation);
     EXPECT_GT(simulation.checker().starts(), 500);
@@ -128,7 +128,8 @@
                 }},
         Brought{"answers-lost", 6000,
                 [](ClusterSimulation& w) { return static_cast<int>(w.simulator().answers_lost()); }},
-        Brought{"at-the-limit", 200, [](ClusterSimulation& w) { return w.occurrences().cancelled_at_quota_limit; }},
+        Brought{"at-the-limit", 200,
+                [](ClusterSimulation& w) { return w.occurrences().cancelled_at_quota_limit; }},
         Brought{"up-at-once", 30, [](ClusterSimulation& w) { return w.occurrences().young_starts; }},
         Brought{"old-report-next", 8000,
                 [](ClusterSimulation& w) { return static_cast<int>(w.occurrences().copies); }},
@@ -159,7 +160,7 @@
   spdlog::set_level(spdlog::level::off);
   int told_in_gap = 0;
   for (int step = 0; step < 10; ++step) {
-    auto plan = load_plan(file("meetings"), "at-the-handover");
+    auto plan = load_plan(file("combined-faults"), "at-the-handover");
     for (auto& f : plan.faults)
       if (f.kind == "cancel_now") f.at_s += 0.4 * step;
     ClusterSimulation simulation(plan, static_cast<std::uint64_t>(step + 1));
