--- a/src/controller/controller.cc
+++ b/src/controller/controller.cc
@@ -4,9 +4,6 @@
 #include "leader_constants.h"
 
 namespace corkmux {
-namespace {
-using BatchAnswers = std::optional<std::vector<fanin::HeartbeatAnswer>>;
-}
 
 Controller::Controller(Loop& loop, const Settings& settings, const OperatorChoices& choices)
     : settings_(settings),
@@ -17,14 +14,18 @@
       cloud_outage_("the cloud's interface", settings.cloud),
       catalog_(loop, state_, cloud_),
       leader_(loop, settings, choices, state_, cloud_, catalog_, leader_callbacks()),
-      peer_exchange_(loop, settings, peer_callbacks()),
+      cancel_gossip_(settings_, cancel_callbacks()),
+      fanin_membership_(
+          settings_,
+          [this](const std::vector<std::string>& members) { coordinator_.fanin_changed(members); }),
+      peer_exchange_(loop, settings_, cancel_gossip_, fanin_membership_, peer_callbacks()),
       lease_proxy_(loop, settings, state_),
       store_relay_(loop, settings, state_,
-                   [this](std::string body, StoreRelay::Reply reply) {
+                   [this](const std::string& body, LeaderReplyCallback reply) {
                      worker_endpoint_.relayed(body, std::move(reply), HeartbeatRoute::StoreRelay);
                    }),
       forwarder_(loop, settings.label,
-                 [this](const std::string& label, std::string body, std::function<void(http::Result)> done) {
+                 [this](const std::string& label, std::string body, PeerExchange::PostCallback done) {
                    post_heartbeats(label, std::move(body), std::move(done));
                  }),
       delivery_(loop, static_cast<std::size_t>(settings.max_connections * constants::kCommandConnectionShare),
@@ -47,7 +48,7 @@
   callbacks.leader_changed = [this](std::string label, std::uint64_t term) { leader_changed(label, term); };
   callbacks.views = [this](std::vector<codec::JobView> views) {
     for (const auto& view : views) status_cache_.update(view);
-    peer_exchange_.publish(std::move(views));
+    peer_exchange_.publish(views);
   };
   callbacks.relay.reachable = [this](const std::string& label) {
     return peer_exchange_.takes_batches(label) && peer_exchange_.reachable(label);
@@ -62,7 +63,18 @@
 JobStatusCache::Callbacks Controller::status_callbacks() {
   JobStatusCache::Callbacks callbacks;
   callbacks.ended = [this](const std::string& job) { user_api_.job_ended(job); };
-  callbacks.cancelled = [this](const std::string& job) { peer_exchange_.accepted_cancel(job); };
+  callbacks.cancelled = [this](const std::string& job) { cancel_gossip_.accept(job); };
+  return callbacks;
+}
+
+CancelGossip::Callbacks Controller::cancel_callbacks() {
+  CancelGossip::Callbacks callbacks;
+  callbacks.cancelled = [this](const std::vector<std::string>& jobs) {
+    leader_.tell([jobs](Leader& leader) { leader.cancelled(jobs); });
+  };
+  callbacks.all_acknowledged = [this](double asked_at, double youngest) {
+    leader_.tell([=](Leader& leader) { leader.peers_heard(asked_at, youngest); });
+  };
   return callbacks;
 }
 
@@ -73,34 +85,23 @@
     leader_.tell([term](Leader& leader) { leader.newer_term(term); });
   };
   callbacks.view = [this](const codec::JobView& view) { status_cache_.update(view); };
-  callbacks.heartbeat = [this](std::string body, std::function<void(int, std::string)> reply) {
+  callbacks.heartbeat = [this](const std::string& body, LeaderReplyCallback reply) {
     worker_endpoint_.relayed(body, std::move(reply), HeartbeatRoute::Direct);
   };
-  callbacks.cancelled = [this](const std::vector<std::string>& jobs) {
-    leader_.tell([jobs](Leader& leader) { leader.cancelled(jobs); });
-  };
-  callbacks.all_heard = [this](double asked_at, double youngest) {
-    leader_.tell([=](Leader& leader) { leader.peers_heard(asked_at, youngest); });
-  };
   callbacks.dependency_barrier_at = [this] { return leader_.dependency_barrier_at(); };
-  callbacks.heartbeats = [this](fanin::HeartbeatBatch batch, std::function<void(int, std::string)> reply) {
+  callbacks.heartbeats = [this](fanin::HeartbeatBatch batch, PeerExchange::BatchReplyCallback reply) {
     leader_.tell([batch = std::move(batch), reply = std::move(reply)](Leader& leader) mutable {
-      leader.batch(std::move(batch), [reply = std::move(reply)](BatchAnswers answers) {
-        answers ? reply(200, fanin::pack(*answers)) : reply(503, "");
-      });
+      leader.batch(std::move(batch), std::move(reply));
     });
   };
   callbacks.commands = [this](const fanin::ForwardedCommandBatch& batch) { return delivery_.deliver(batch); };
-  callbacks.fanin_changed = [this](const std::vector<std::string>& labels) {
-    coordinator_.fanin_changed(labels);
-  };
   return callbacks;
 }
 
 void Controller::leader_changed(const std::string& label, std::uint64_t term) {
   peer_exchange_.leader_changed(label, term);
   worker_endpoint_.leader_changed(label);
-  store_relay_.serve(label == own_label_);
+  store_relay_.accept_requests(label == own_label_);
   forwarder_.tell([label](fanin::HeartbeatForwarder& forwarder) { forwarder.leader_changed(label); });
 }
 
@@ -109,8 +110,9 @@
   if (label != own_label_) return peer_exchange_.post_heartbeats(label, std::move(body), std::move(done));
   auto parsed = fanin::parse_heartbeats(body);
   leader_.tell([batch = std::move(parsed->message), done = std::move(done)](Leader& leader) mutable {
-    leader.batch(std::move(batch), [done = std::move(done)](BatchAnswers answers) {
-      answers ? done({200, fanin::pack(*answers), true}) : done({503, "", true});
+    leader.batch(std::move(batch), [done = std::move(done)](const auto& answers) {
+      if (!answers) return done({503, "", true});
+      done({200, fanin::pack(*answers), true});
     });
   });
 }
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -41,11 +41,12 @@
 
  private:
   Leader::Callbacks leader_callbacks();
+  CancelGossip::Callbacks cancel_callbacks();
   PeerExchange::Callbacks peer_callbacks();
   JobStatusCache::Callbacks status_callbacks();
   void leader_changed(const std::string& label, std::uint64_t term);
   /// A batch for whoever leads, ourselves included.
-  void post_heartbeats(const std::string& label, std::string body, std::function<void(http::Result)> done);
+  void post_heartbeats(const std::string& label, std::string body, PeerExchange::PostCallback done);
   void finish_stopping(double since, std::function<void()> done);
 
   Settings settings_;
@@ -56,6 +57,8 @@
   OutageLog cloud_outage_;
   Catalog catalog_;
   Leader leader_;
+  CancelGossip cancel_gossip_;
+  FanInMembership fanin_membership_;
   PeerExchange peer_exchange_;
   LeaseProxy lease_proxy_;
   StoreRelay store_relay_;
--- a/src/controller/dependency_check.cc
+++ b/src/controller/dependency_check.cc
@@ -1,6 +1,5 @@
 #include "dependency_check.h"
 
-#include "leader_constants.h"
 #include "store_keys.h"
 
 namespace corkmux {
--- /dev/null
+++ b/src/controller/fanin_membership.h
@@ -0,0 +1,36 @@
+// Which controllers take heartbeats for the leader, by the newest announcement of any leader. Owns that
+// announcement; decides nothing (FanInCoordinator does) and sends nothing (PeerExchange does).
+#pragma once
+#include <cstdint>
+#include <functional>
+#include <optional>
+#include <set>
+#include <string>
+#include <vector>
+
+#include "settings.h"
+#include "sync_message.h"
+
+namespace corkmux {
+
+class FanInMembership {
+ public:
+  using ChangedCallback = std::function<void(const std::vector<std::string>& members)>;
+  FanInMembership(const Settings& settings, ChangedCallback changed);
+  /// As the leader of that term.
+  void announce(std::uint64_t term, std::vector<std::string> members);
+  /// What a peer has heard. Every controller tells it on, so that one that has lost only the leader learns it
+  /// too.
+  void learn(const FanInAnnouncement& heard);
+  /// None: the leader alone takes heartbeats.
+  const std::vector<std::string>& members() const { return newest_.labels; }
+  /// No value: no leader has announced anything yet.
+  std::optional<FanInAnnouncement> newest() const;
+
+ private:
+  std::set<std::string> controllers_;  // that the settings name
+  ChangedCallback changed_;
+  FanInAnnouncement newest_;
+};
+
+}  // namespace corkmux
--- a/src/controller/peer_exchange.h
+++ b/src/controller/peer_exchange.h
@@ -1,141 +1,132 @@
-// What controllers say to each other: who leads, who has the state service, job displays, relayed reports.
+// What controllers say to each other: a sync with each peer every kPeerTick (who leads, who has the state
+// service, job displays, cancels, fan-in members), and heartbeats and commands that pass through. Owns the
+// connections between controllers and what was last heard of each; judges nothing of what it carries.
 #pragma once
-#include <deque>
+#include <algorithm>
+#include <cstddef>
+#include <cstdint>
 #include <functional>
 #include <map>
 #include <memory>
+#include <optional>
 #include <string>
 #include <unordered_map>
 #include <vector>
 
-#include "codec.h"
+#include "cancel_gossip.h"
+#include "fanin_membership.h"
 #include "fanin_messages.h"
 #include "http.h"
+#include "leader_reply.h"
 #include "settings.h"
+#include "sync_message.h"
+#include "time_constants.h"
 
 namespace corkmux {
 
 namespace constants {
-inline constexpr double kPeerTick = 1.0;              // s between syncs with a peer
-inline constexpr std::size_t kPeerConnections = 256;  // a controller takes; each of its peers opens some six
+inline constexpr double kPeerTick = 1.0;               // s between syncs with a peer
+inline constexpr int kViewsPerSync = 200;              // job displays in one message
+inline constexpr std::size_t kPeerConnections = 256;   // a controller takes; each of its peers opens some six
+inline constexpr std::size_t kConnectionsPerPeer = 4;  // of either kind, to one peer
+inline constexpr std::size_t kSyncQueue = 64;          // requests that wait for one peer's connections
+inline constexpr std::size_t kBatchQueue = 64;         // batches that wait for one peer's connections
 inline constexpr double kPeerLost = 3.0;           // s without an answer until a peer counts as unreachable
 inline constexpr double kRefusedLogInterval = 10;  // s between log lines about refused messages
-inline constexpr std::size_t kBatchQueue = 64;     // batches that wait for one peer's connections
-inline constexpr std::size_t kToldCancels = 500;   // in one list to a peer of a former version
-inline constexpr double kCancelMemory = 0.02;      // of our memory for our own cancels, and for the peers'
-inline constexpr double kCancelBytes = 150;        // of memory for one of them
 }  // namespace constants
 
 class PeerExchange : public Actor<PeerExchange> {
  public:
+  /// One answer for each heartbeat of a batch; no value: this controller does not lead.
+  using BatchReplyCallback = std::function<void(const std::optional<std::vector<fanin::HeartbeatAnswer>>&)>;
+  using PostCallback = std::function<void(http::Result)>;
   struct Callbacks {
-    std::function<double()> state_age;                   // have we the state service?
+    std::function<double()> state_age;                   // s since the state service last served us
+    std::function<double()> dependency_barrier_at;       // Leader::dependency_barrier_at() of our own terms
     std::function<void(std::uint64_t term)> newer_term;  // a peer names a leader's term
     std::function<void(const codec::JobView&)> view;     // a job's display from the leader
-    std::function<void(std::string body, std::function<void(int, std::string)>)>
-        heartbeat;                                                   // a relayed report
-    std::function<void(const std::vector<std::string>&)> cancelled;  // jobs whose cancel a peer accepted
-    /// Every peer was asked at or after `asked_at` and told all its cancels; the youngest life of a peer was
-    /// first seen at `youngest`.
-    std::function<void(double asked_at, double youngest)> all_heard;
-    std::function<double()> dependency_barrier_at;  // Leader::dependency_barrier_at() of our own terms
-    /// A batch of a serving controller, for a leader.
-    std::function<void(fanin::HeartbeatBatch, std::function<void(int, std::string)>)> heartbeats;
-    /// Orders of the leader for workers that we serve; false: nothing of them was or will be sent.
+    std::function<void(std::string body, LeaderReplyCallback)> heartbeat;  // that a peer relays
+    std::function<void(fanin::HeartbeatBatch, BatchReplyCallback)>
+        heartbeats;  // of a fan-in member, for a leader
+    /// Commands of the leader for workers of our shard; false: none of them was or will be sent.
     std::function<bool(const fanin::ForwardedCommandBatch&)> commands;
-    /// Which controllers serve workers, by the newest word of a leader; none: the leader alone does.
-    std::function<void(const std::vector<std::string>& labels)> fanin_changed;
   };
-  PeerExchange(Loop& loop, const Settings& settings, Callbacks callbacks);
+  PeerExchange(Loop& loop, const Settings& settings, CancelGossip& cancel_gossip, FanInMembership& membership,
+               Callbacks callbacks);
   void start();
+
+  // Changes.
+  /// Empty label: no leader is known; term 0: its term is not.
   void leader_changed(const std::string& label, std::uint64_t term);
-  void publish(std::vector<codec::JobView> views);
-  /// Status 0: the peer did not answer.
-  void relay(const std::string& label, std::string body, std::function<void(int, std::string)> reply);
-  /// Batches and orders between a serving controller and the leader.
-  void post_heartbeats(const std::string& label, std::string body, std::function<void(http::Result)> done);
-  void post_commands(const std::string& label, std::string body, std::function<void(http::Result)> done);
-  /// Says, as the leader, which controllers serve workers from now on.
-  void announce_fanin_members(std::vector<std::string> labels);
-  const std::vector<std::string>& fanin_members() const { return serving_.labels; }
-  /// Whether that peer is of a version that takes batches.
-  bool takes_batches(const std::string& label) const {
-    auto it = peers_.find(label);
-    return it != peers_.end() && it->second.serves;
+  /// Job displays for the other controllers, as the leader.
+  void publish(const std::vector<codec::JobView>& views);
+  /// Says, as the leader, which controllers take heartbeats from now on.
+  void announce_fanin_members(std::vector<std::string> members) {
+    membership_.announce(term_, std::move(members));
   }
-  /// Peers that can serve workers: of a version that does, heard lately, with the state service.
+  /// A dependency barrier known from another source, s of the steady clock.
+  void learn_dependency_barrier(double at) { barrier_heard_ = std::max(barrier_heard_, at); }
+
+  // Messages to one peer.
+  /// One worker's heartbeat, for a leader that takes no batches.
+  void relay(const std::string& label, std::string body, LeaderReplyCallback reply);
+  /// From a fan-in member to the leader.
+  void post_heartbeats(const std::string& label, std::string body, PostCallback done);
+  /// From the leader to a fan-in member.
+  void post_commands(const std::string& label, std::string body, PostCallback done);
+
+  // What is known of peers.
+  /// Whether that peer is of a version that takes batches.
+  bool takes_batches(const std::string& label) const;
+  /// False only for a peer we know and have not heard for a while.
+  bool reachable(const std::string& label) const;
+  /// Peers that can be fan-in members: of a version that can, heard lately, with the state service.
   std::vector<std::string> eligible_fanin_members() const;
-  /// A cancel this controller has accepted; peers are told until every effect of it must have shown.
-  void accepted_cancel(const std::string& job);
+  const std::vector<std::string>& fanin_members() const { return membership_.members(); }
   /// The latest that any controller has said of Leader::dependency_barrier_at(), s of our steady clock.
   double dependency_barrier_at() const;
-  /// The same from another source.
-  void learn_dependency_barrier(double at) { barrier_heard_ = std::max(barrier_heard_, at); }
   /// Steady time at which the state service last served some peer, as far as we have heard.
   double peers_state_at() const;
-  /// False only for a peer we know and have not heard for a while.
-  bool reachable(const std::string& label) const;
   /// s since any peer was last heard; 0 where there are none.
   double silent_for() const;
   int port() const { return server_.port(); }
 
  private:
   struct Peer {
-    std::unique_ptr<http::Client> client;
-    double state_at = -1e9;  // last moment the state service served it
-    bool syncing = false;
-    std::uint64_t boot = 0;
-    double boot_seen_at = -1e9, answered_at = -1e9, heard_at = steady_now();
-    double missed_at = -1e9;  // when names of its cancels were last lost, there or here
-    std::uint64_t told = 0;   // number of the last of its cancels that we have heard
-    bool odd_told = false;    // the log has said that it sends what it should not
-    bool serves = false;      // its version can serve workers for a leader
-    /// Apart from `client`, so that batches never wait behind greetings nor the other way round.
+    std::unique_ptr<http::Client> syncs;
+    /// Apart from `syncs`, so that batches never wait behind them nor the other way round.
     std::unique_ptr<http::Client> batches;
-    std::unordered_map<std::string, codec::JobView> outbox;
-  };
-  /// The newest word of a leader on who serves workers.
-  struct Serving {
-    std::uint64_t term = 0, number = 0;  // number: counts the leader's changes
-    std::vector<std::string> labels;
+    bool syncing = false;
+    double heard_at = steady_now();  // when it last answered us
+    double state_at = kLongAgo;      // when the state service last served it
+    bool takes_batches = false;
+    std::unordered_map<std::string, codec::JobView> views;  // that it has not been sent, by job
   };
-  void serve(http::Server::ConnectionId id, http::Request request);
-  void serve_sync(http::Server::ConnectionId id, const codec::Json& body);
-  void serve_heartbeats(http::Server::ConnectionId id, const std::string& body);
-  void serve_commands(http::Server::ConnectionId id, const std::string& body);
-  void refuse(http::Server::ConnectionId id, const std::string& from, const char* why);
-  void learn_serving(const codec::Json& body);
+  void tick();
+  void sync(const std::string& label, Peer& peer);
+  void synced(const std::string& label, Peer& peer, double asked_at, const http::Result& result);
+  PeerStatus own_status() const;
+  void heard(const PeerStatus& status);
   void post(const std::string& label, const char* path, std::string body, double timeout_s,
-            std::function<void(http::Result)> done);
-  void sync(Peer& peer);
-  codec::Json greeting() const;
-  /// The cancels that an asker has not heard of yet; to one of a former version all, as far as it takes them.
-  void tell_cancels(const codec::Json& asked, codec::Json& answer);
-  void prune_cancels();
-  void tell_own_leader();
-  void heard(const codec::Json& body);
-  void answered(Peer& peer, const codec::Json& body, double asked_at);
+            PostCallback done);
+
+  void serve(http::Server::ConnectionId caller, http::Request request);
+  void serve_sync(http::Server::ConnectionId caller, const std::string& body);
+  void serve_heartbeats(http::Server::ConnectionId caller, const std::string& body);
+  void serve_commands(http::Server::ConnectionId caller, const std::string& body);
+  void refuse(http::Server::ConnectionId caller, const char* why);
+  void respond(http::Server::ConnectionId caller, int status, std::string body = "");
+
   std::string label_;
-  double cancel_s_;
-  std::uint64_t boot_;  // tells one life of this process from the next
-  struct Cancel {
-    double at;
-    std::string job;
-  };
-  std::size_t most_cancels_;
-  std::deque<Cancel> cancels_;      // accepted here within cancel_s_, numbered in their order
-  std::uint64_t first_cancel_ = 1;  // number of the front
-  std::uint64_t lost_cancel_ = 0;   // of the last that there was no room for, while it is that young
-  double lost_cancel_at_ = -1e9;
-  std::unordered_map<std::string, double> heard_cancels_;  // accepted elsewhere, when we first heard of them
-  double barrier_heard_ = -1e9;
-  double any_heard_at_ = steady_now();
+  CancelGossip& cancel_gossip_;
+  FanInMembership& membership_;
   Callbacks callbacks_;
-  std::map<std::string, Peer> peers_;
+  std::map<std::string, Peer> peers_;  // by label
   std::string leader_;
   std::uint64_t term_ = 0;
-  Serving serving_;
-  double refused_told_at_ = -1e9;  // when the log last said that a message was refused
+  double barrier_heard_ = kLongAgo;
+  double any_heard_at_ = steady_now();
+  double refusal_logged_at_ = kLongAgo;
   http::Server server_;
   Timer timer_;
 };
--- a/src/controller/store_relay.h
+++ b/src/controller/store_relay.h
@@ -1,20 +1,26 @@
-// Messages between controllers that cannot reach each other, passed through the state service, which both
-// reach.
+// Passes heartbeats and the leader's answers between controllers that cannot reach each other through the
+// state service, which both reach.
 //
-// Zones cut off from each other leave workers that reach a controller but not the leader. Their reports go to
-// the leader as mail and its answers come back the same way, so work goes on starting beyond the cut while
-// one book still decides everything. Nothing rests on the mail being delivered: a lost or late answer is one
-// the worker never got, which the book allows for with every answer.
+// Zones cut off from each other leave workers that reach a controller but not the leader. Their heartbeats go
+// to the leader as records in the state store and its answers come back the same way, so work goes on
+// starting beyond the cut while one scheduler still decides everything. Owns the outboxes and the requests
+// that wait. Nothing rests on a message being delivered: a lost or late answer is one the worker never got.
 #pragma once
+#include <cstddef>
+#include <cstdint>
 #include <deque>
 #include <functional>
 #include <map>
 #include <memory>
 #include <set>
 #include <string>
+#include <vector>
 
+#include "leader_reply.h"
+#include "relay_record.h"
 #include "settings.h"
 #include "state_client.h"
+#include "time_constants.h"
 
 namespace corkmux {
 
@@ -24,7 +30,7 @@
 inline constexpr double kRelayBatchDelay = 0.5;
 inline constexpr double kStoreRelayTimeout = 3.0;         // s a request may take; its worker waits 4 s
 inline constexpr double kStoreRelaySweepInterval = 0.25;  // s between looks for overdue requests
-/// Records an outbox writes in turn, so that none is read overwritten.
+/// Records an outbox writes in turn, so that none is overwritten before it is read.
 inline constexpr int kStoreRelaySlots = 8;
 /// Requests that wait for their answer; three a machine of a large zone.
 inline constexpr std::size_t kStoreRelayPendingLimit = 1000;
@@ -32,57 +38,68 @@
 
 class StoreRelay : public Actor<StoreRelay> {
  public:
-  using Reply = std::function<void(int status, std::string body)>;
-  using Deliver = std::function<void(std::string body, Reply reply)>;
-  /// `deliver` handles what others send us.
-  StoreRelay(Loop& loop, const Settings& settings, StateClient& state, Deliver deliver);
-  /// Status 0: no answer in time, or it could not be sent.
-  void request(const std::string& to, const std::string& body, Reply reply);
-  /// While set, mail is taken in even without requests of our own.
-  void serve(bool on);
+  /// Handles a heartbeat that another controller sent us.
+  using DeliverCallback = std::function<void(std::string heartbeat, LeaderReplyCallback reply)>;
+  StoreRelay(Loop& loop, const Settings& settings, StateClient& state, DeliverCallback deliver);
+
+  // Messages.
+  /// Unanswered: no answer in time, or it could not be sent.
+  void request(const std::string& to, const std::string& heartbeat, LeaderReplyCallback reply);
+  /// While set, requests of others are taken in even without requests of our own.
+  void accept_requests(bool accept);
 
  private:
+  /// What waits to be written to one controller.
   struct Outbox {
-    struct Item {
-      codec::Json body;
+    struct Entry {
+      RelayItem item;
       std::size_t bytes;  // as JSON
-      double since;
+      double since;       // s of the steady clock
     };
-    std::deque<Item> items;
+    std::deque<Entry> entries;
     std::size_t bytes = 0;
     bool writing = false;
     int slot = 0;
-    double last = -1e9;
+    double written_at = kLongAgo;
     std::unique_ptr<Timer> timer;
   };
-  struct Pending {
-    double deadline = 0;
-    Reply reply;
+  struct PendingRequest {
+    double deadline = 0;  // s of the steady clock
+    LeaderReplyCallback reply;
   };
+  bool wanted() const { return accepting_ || !pending_.empty(); }
   void listen();
+  void learn_forms();
+  void listening_failed();
   void watch(std::uint64_t after);
-  void take(const codec::Event& event);
-  void send(const std::string& to, codec::Json item);
+  void receive(const codec::Event& event);
+  void receive_request(const std::string& from, const ReceivedRelayItem& item);
+
+  void send(const std::string& to, RelayItem item);
   void flush(const std::string& to);
   void write(const std::string& to);
-  void sweep();
-  void give_up(const codec::Json& item);
+  std::vector<RelayItem> next_record(Outbox& outbox) const;
+  void written(const std::string& to, const std::vector<RelayItem>& items, const StateReply& reply);
+  void give_up(const RelayItem& item);
   /// The end of a request, answered or not.
-  void settle(std::uint64_t id, int status, std::string body);
-  bool wanted() const { return serving_ || !pending_.empty(); }
+  void finish(std::uint64_t request, LeaderReply reply);
+  void give_up_overdue();
 
   std::string label_;
   StateClient& state_;
-  Deliver deliver_;
-  void learn_forms();
-  std::size_t room_;
-  double pause_, gather_;
-  std::set<std::string> brief_;  // controllers that have said that they read the second form
-  std::map<std::string, Outbox> outboxes_;
-  std::map<std::uint64_t, Pending> pending_;
-  std::uint64_t next_;
-  bool serving_ = false, listening_ = false, ready_ = false;
-  Timer sweeper_, retry_;
+  DeliverCallback deliver_;
+  std::size_t record_size_;                 // bytes of items in one record
+  double write_interval_;                   // s between records of an outbox that is full
+  double batch_delay_;                      // s between records of one that is not
+  std::set<std::string> compact_readers_;   // controllers that have said that they read the compact form
+  std::map<std::string, Outbox> outboxes_;  // by receiver
+  std::map<std::uint64_t, PendingRequest> pending_;
+  std::uint64_t last_request_;
+  bool accepting_ = false;
+  bool listening_ = false;
+  bool ready_ = false;  // listening has begun: no answer to what is sent now is missed
+  Timer sweep_timer_;
+  Timer retry_timer_;
 };
 
 }  // namespace corkmux
--- a/src/controller/worker_endpoint.cc
+++ b/src/controller/worker_endpoint.cc
@@ -38,13 +38,13 @@
   }
   if (now - std::exchange(connection.accepted_at, now) > settings_.lease_s) ++accepted_lately_;
   to_leader(std::move(*parsed), body, unknown_worker,
-            [worker](int status, std::string answer) { worker.pass_on(status, std::move(answer)); });
+            [worker](const LeaderReply& reply) { worker.pass_on(reply.wire_status(), reply.body()); });
 }
 
-void WorkerEndpoint::relayed(const std::string& body, ReplyCallback reply, HeartbeatRoute route) {
+void WorkerEndpoint::relayed(const std::string& body, LeaderReplyCallback reply, HeartbeatRoute route) {
   auto parsed = parse(body);
-  if (!parsed) return reply(400, "");
-  if (!leads()) return reply(503, "");
+  if (!parsed) return reply(LeaderReply::malformed());
+  if (!leads()) return reply(LeaderReply::unavailable());
   to_own_leader(std::move(*parsed), route, std::move(reply));
 }
 
@@ -110,18 +110,18 @@
 // ---------------------------------------------------------------- the ways to the leader
 
 void WorkerEndpoint::to_leader(Heartbeat heartbeat, const std::string& body, bool unknown_worker,
-                               ReplyCallback reply) {
+                               LeaderReplyCallback reply) {
   if (leads()) return to_own_leader(std::move(heartbeat), HeartbeatRoute::Direct, std::move(reply));
   if (!leader_label_.empty()) return to_known_leader(std::move(heartbeat), body, unknown_worker, reply);
   // Without a leader a worker of our shard waits for the next one; others find it by themselves.
-  if (!sharding_.contains(settings_.label)) return reply(503, "");
+  if (!sharding_.contains(settings_.label)) return reply(LeaderReply::unavailable());
   forward(std::move(heartbeat), body, std::move(reply));
 }
 
 void WorkerEndpoint::to_known_leader(Heartbeat heartbeat, const std::string& body, bool unknown_worker,
-                                     const ReplyCallback& reply) {
-  ReplyCallback replied = [this, reply, heartbeat](int status, std::string answer) {
-    leader_replied(heartbeat, status, std::move(answer), reply);
+                                     const LeaderReplyCallback& reply) {
+  LeaderReplyCallback replied = [this, reply, heartbeat](LeaderReply answer) {
+    leader_replied(heartbeat, std::move(answer), reply);
   };
   if (routes_.peer_exchange.reachable(leader_label_)) {
     if (routes_.peer_exchange.takes_batches(leader_label_))
@@ -140,39 +140,41 @@
       });
 }
 
-void WorkerEndpoint::to_own_leader(Heartbeat heartbeat, HeartbeatRoute route, ReplyCallback reply) {
+void WorkerEndpoint::to_own_leader(Heartbeat heartbeat, HeartbeatRoute route, LeaderReplyCallback reply) {
   routes_.leader.tell(
       [heartbeat = std::move(heartbeat), reply = std::move(reply), route](Leader& leader) mutable {
         leader.heartbeat(std::move(heartbeat), route, [reply = std::move(reply)](HeartbeatReply answer) {
           bool answered = answer.status == HeartbeatReply::Status::Answered;
-          reply(answered ? 200 : 503, std::move(answer.commands));
+          reply(answered ? LeaderReply::answered(std::move(answer.commands)) : LeaderReply::unavailable());
         });
       });
 }
 
-void WorkerEndpoint::forward(Heartbeat heartbeat, const std::string& body, ReplyCallback reply) {
+void WorkerEndpoint::forward(Heartbeat heartbeat, const std::string& body, LeaderReplyCallback reply) {
   routes_.forwarder.tell([heartbeat = std::move(heartbeat), body,
                           reply = std::move(reply)](fanin::HeartbeatForwarder& forwarder) mutable {
     forwarder.forward(heartbeat, std::move(body), std::move(reply));
   });
 }
 
-void WorkerEndpoint::renew_by_proxy(Heartbeat heartbeat, ReplyCallback reply) {
-  routes_.lease_proxy.tell(
-      [heartbeat = std::move(heartbeat), reply = std::move(reply)](LeaseProxy& lease_proxy) mutable {
-        lease_proxy.keep(std::move(heartbeat), std::move(reply));
-      });
+void WorkerEndpoint::renew_by_proxy(Heartbeat heartbeat, LeaderReplyCallback reply) {
+  routes_.lease_proxy.tell([heartbeat = std::move(heartbeat),
+                            reply = std::move(reply)](LeaseProxy& lease_proxy) mutable {
+    lease_proxy.renew(std::move(heartbeat), [reply = std::move(reply)](std::optional<std::string> commands) {
+      reply(commands ? LeaderReply::answered(std::move(*commands)) : LeaderReply::unavailable());
+    });
+  });
 }
 
-void WorkerEndpoint::leader_replied(Heartbeat heartbeat, int status, std::string body,
-                                    const ReplyCallback& reply) {
-  if (status == 0) return renew_by_proxy(std::move(heartbeat), reply);
-  if (status == 200)
+void WorkerEndpoint::leader_replied(Heartbeat heartbeat, LeaderReply answer,
+                                    const LeaderReplyCallback& reply) {
+  if (answer.is_unanswered()) return renew_by_proxy(std::move(heartbeat), reply);
+  if (answer.is_answered())
     routes_.lease_proxy.tell(
         [machine = heartbeat.machine](LeaseProxy& lease_proxy) { lease_proxy.release(machine); });
   else
     connections_.erase(heartbeat.machine);
-  reply(status, std::move(body));
+  reply(std::move(answer));
 }
 
 // ---------------------------------------------------------------- timers
--- a/src/controller/worker_endpoint.h
+++ b/src/controller/worker_endpoint.h
@@ -8,6 +8,7 @@
 
 #include "heartbeat_forwarder.h"
 #include "leader.h"
+#include "leader_reply.h"
 #include "lease_proxy.h"
 #include "peer_exchange.h"
 #include "responder.h"
@@ -32,7 +33,6 @@
 
 class WorkerEndpoint {
  public:
-  using ReplyCallback = std::function<void(int status, std::string body)>;
   /// The ways by which a heartbeat can reach the leader.
   struct LeaderRoutes {
     Leader& leader;
@@ -47,7 +47,7 @@
   // Requests.
   void heartbeat(const Responder& worker, const std::string& body);
   /// A heartbeat that a peer passed on because its worker could not reach us.
-  void relayed(const std::string& body, ReplyCallback reply, HeartbeatRoute route);
+  void relayed(const std::string& body, LeaderReplyCallback reply, HeartbeatRoute route);
 
   // Changes.
   /// Empty: no leader is known.
@@ -74,13 +74,14 @@
                                                    const WorkerConnectionState& connection) const;
   bool usable(const std::string& label) const;
   bool may_move(const WorkerConnectionState& connection);
-  void to_leader(Heartbeat heartbeat, const std::string& body, bool unknown_worker, ReplyCallback reply);
+  void to_leader(Heartbeat heartbeat, const std::string& body, bool unknown_worker,
+                 LeaderReplyCallback reply);
   void to_known_leader(Heartbeat heartbeat, const std::string& body, bool unknown_worker,
-                       const ReplyCallback& reply);
-  void to_own_leader(Heartbeat heartbeat, HeartbeatRoute route, ReplyCallback reply);
-  void forward(Heartbeat heartbeat, const std::string& body, ReplyCallback reply);
-  void renew_by_proxy(Heartbeat heartbeat, ReplyCallback reply);
-  void leader_replied(Heartbeat heartbeat, int status, std::string body, const ReplyCallback& reply);
+                       const LeaderReplyCallback& reply);
+  void to_own_leader(Heartbeat heartbeat, HeartbeatRoute route, LeaderReplyCallback reply);
+  void forward(Heartbeat heartbeat, const std::string& body, LeaderReplyCallback reply);
+  void renew_by_proxy(Heartbeat heartbeat, LeaderReplyCallback reply);
+  void leader_replied(Heartbeat heartbeat, LeaderReply answer, const LeaderReplyCallback& reply);
   void forget_old_connections();
 
   const Settings& settings_;
--- a/src/heartbeat_fanin/command_delivery.cc
+++ b/src/heartbeat_fanin/command_delivery.cc
@@ -3,20 +3,18 @@
 #include "heartbeat_fanin_constants.h"
 
 namespace corkmux::fanin {
-namespace c = constants;
 
-CommandDelivery::CommandDelivery(Loop& loop, std::size_t most_connections,
-                                 std::function<void(CommandOutcome)> outcome)
+CommandDelivery::CommandDelivery(Loop& loop, std::size_t most_connections, OutcomeCallback outcome)
     : Actor(loop), connections_(loop, most_connections), outcome_(std::move(outcome)), idle_timer_(loop) {
-  idle_timer_.every(c::kForwardSweep, [this] { connections_.close_idle(); });
+  idle_timer_.every(constants::kConnectionSweep, [this] { connections_.close_idle(); });
 }
 
 bool CommandDelivery::deliver(const ForwardedCommandBatch& batch) {
-  if (in_flight_ + batch.commands.size() > c::kDeliveriesInFlight) return false;
+  if (in_flight_ + batch.commands.size() > constants::kDeliveriesInFlight) return false;
   for (const auto& commands : batch.commands) {
     ++in_flight_;
     connections_.to(commands.machine, commands.address)
-        .request("POST", codec::kCommandsPath, commands.body, c::kCommandTimeout,
+        .request("POST", codec::kCommandsPath, commands.body, constants::kCommandTimeout,
                  [this, id = commands.id](http::Result result) {
                    --in_flight_;
                    outcome_({id, result.status, result.sent, std::move(result.body)});
--- a/src/heartbeat_fanin/fanin_messages.cc
+++ b/src/heartbeat_fanin/fanin_messages.cc
@@ -11,6 +11,8 @@
 
 struct MalformedEntry {};
 
+constexpr std::uint64_t kHighestStatus = 599;  // of HTTP
+
 std::uint64_t number(const Json& entry, std::size_t at) {
   if (!entry.at(at).is_number_unsigned()) throw MalformedEntry();
   return entry.at(at).get<std::uint64_t>();
@@ -29,10 +31,15 @@
 
 int status(const Json& entry, std::size_t at) {
   auto out = number(entry, at);
-  if (out > 599) throw MalformedEntry();
+  if (out > kHighestStatus) throw MalformedEntry();
   return static_cast<int>(out);
 }
 
+Json heartbeat_to_json(const ForwardedHeartbeat& heartbeat) {
+  if (!heartbeat.body.empty()) return {heartbeat.id, heartbeat.body};
+  return {heartbeat.id, heartbeat.machine, heartbeat.worker_epoch, heartbeat.same_as, heartbeat.number};
+}
+
 ForwardedHeartbeat heartbeat_from(const Json& entry) {
   ForwardedHeartbeat out;
   out.id = number(entry, 0);
@@ -94,26 +101,25 @@
 }  // namespace
 
 std::string pack(const HeartbeatBatch& batch) {
-  Json heartbeats = Json::array(), outcomes = Json::array();
-  for (const auto& r : batch.heartbeats)
-    if (r.body.empty())
-      heartbeats.push_back({r.id, r.machine, r.worker_epoch, r.same_as, r.number});
-    else
-      heartbeats.push_back({r.id, r.body});
-  for (const auto& o : batch.outcomes) outcomes.push_back({o.id, o.status, o.sent, o.body});
+  Json heartbeats = Json::array();
+  for (const auto& heartbeat : batch.heartbeats) heartbeats.push_back(heartbeat_to_json(heartbeat));
+  Json outcomes = Json::array();
+  for (const auto& outcome : batch.outcomes)
+    outcomes.push_back({outcome.id, outcome.status, outcome.sent, outcome.body});
   return codec::pack(
       {{"from", batch.from}, {"reports", std::move(heartbeats)}, {"outcomes", std::move(outcomes)}});
 }
 
 std::string pack(const std::vector<HeartbeatAnswer>& answers) {
   Json out = Json::array();
-  for (const auto& a : answers) out.push_back({a.id, a.status, a.body});
+  for (const auto& answer : answers) out.push_back({answer.id, answer.status, answer.body});
   return codec::pack(out);
 }
 
 std::string pack(const ForwardedCommandBatch& batch) {
   Json commands = Json::array();
-  for (const auto& o : batch.commands) commands.push_back({o.id, o.machine, o.address, o.body});
+  for (const auto& entry : batch.commands)
+    commands.push_back({entry.id, entry.machine, entry.address, entry.body});
   return codec::pack({{"from", batch.from}, {"orders", std::move(commands)}});
 }
 
--- a/src/heartbeat_fanin/fanin_messages.h
+++ b/src/heartbeat_fanin/fanin_messages.h
@@ -1,6 +1,6 @@
-// The messages between a controller that serves workers and the leader: reports and the outcomes of orders
-// one way, answers and orders the other, many in one message. Whatever a message from another controller
-// holds, parsing it fails at most for the entry that is wrong.
+// The messages between a fan-in member and the leader: heartbeats and the outcomes of commands one way,
+// answers and commands the other, many in one message. The only file that knows their form on the wire.
+// Whatever a message from another controller holds, parsing it fails at most for the entry that is wrong.
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -12,42 +12,48 @@
 
 namespace corkmux::fanin {
 
-/// A worker's report: its body as the worker sent it or, if nothing but its number has changed since the
-/// report `same_as`, which the leader has answered, only that.
+/// A worker's heartbeat: full, with its body as the worker sent it; or a delta, if nothing but its number has
+/// changed since the heartbeat `same_as`, which the leader has answered.
 struct ForwardedHeartbeat {
   std::uint64_t id = 0;  // names it in the answer
-  std::string body;      // empty: unchanged
-  std::string machine;   // of an unchanged one, as what follows
-  std::uint64_t worker_epoch = 0, same_as = 0, number = 0;
+  std::string body;      // of a full one; empty: a delta
+  // Of a delta:
+  std::string machine;
+  std::uint64_t worker_epoch = 0;
+  std::uint64_t same_as = 0;
+  std::uint64_t number = 0;
 };
 
-/// What became of orders that the leader sent through a serving controller.
+/// What became of commands that the leader sent through a fan-in member.
 struct CommandOutcome {
   std::uint64_t id = 0;  // the leader's name for them
-  int status = 0;        // of the worker's answer; 0: none
-  bool sent = true;      // false: they surely never left the serving controller
-  std::string body;      // the worker's report
+  int status = 0;        // HTTP status of the worker's answer; 0: none
+  bool sent = true;      // false: they surely never left the fan-in member
+  std::string body;      // the worker's heartbeat
 };
 
 struct HeartbeatBatch {
-  std::string from;  // label of the serving controller
+  std::string from;  // label of the fan-in member
   std::vector<ForwardedHeartbeat> heartbeats;
   std::vector<CommandOutcome> outcomes;
 };
 
-/// The status of an answer to an unchanged report that the leader cannot complete: it is sent whole then.
+/// The status of an answer to a delta that the leader cannot complete: the heartbeat is sent in full then.
 inline constexpr int kFullHeartbeatRequired = 428;
 
+/// The leader's answer to one heartbeat of a batch.
 struct HeartbeatAnswer {
   std::uint64_t id = 0;
-  int status = 0;
+  int status = 0;  // HTTP status, or kFullHeartbeatRequired
   std::string body;
 };
 
-/// Orders to one worker.
+/// Commands to one worker.
 struct ForwardedCommands {
   std::uint64_t id = 0;
-  std::string machine, address, body;
+  std::string machine;
+  std::string address;
+  std::string body;  // in the worker's wire form
 };
 
 struct ForwardedCommandBatch {
--- a/src/heartbeat_fanin/worker_connections.h
+++ b/src/heartbeat_fanin/worker_connections.h
@@ -1,13 +1,21 @@
-// The connections to workers of a controller that sends them orders, one a worker. Those that carried nothing
-// for a while are closed, sooner when they are many.
+// The connections to workers of a controller that sends them commands, one a worker. Those that carried
+// nothing for a while are closed, sooner when they are many. Sends nothing by itself.
 #pragma once
+#include <cstddef>
 #include <memory>
 #include <string>
 #include <unordered_map>
 
 #include "http.h"
 
-namespace corkmux::fanin {
+namespace corkmux {
+
+namespace constants {
+inline constexpr double kConnectionSweep = 0.25;           // s between looks for idle connections
+inline constexpr double kCommandConnectionScarceIdle = 5;  // s a connection idles when there are many
+}  // namespace constants
+
+namespace fanin {
 
 class WorkerConnections {
  public:
@@ -15,7 +23,7 @@
   WorkerConnections(Loop& loop, std::size_t most) : loop_(loop), most_(most) {}
   /// The connection to a worker, which may have moved to another address.
   http::Client& to(const std::string& worker, const std::string& address);
-  /// Closes those that idle for too long; to be called every now and then.
+  /// Closes those that idle for too long; its owner calls it every kConnectionSweep.
   void close_idle();
   std::size_t size() const { return connections_.size(); }
 
@@ -26,7 +34,8 @@
   };
   Loop& loop_;
   std::size_t most_;
-  std::unordered_map<std::string, Connection> connections_;
+  std::unordered_map<std::string, Connection> connections_;  // by worker
 };
 
-}  // namespace corkmux::fanin
+}  // namespace fanin
+}  // namespace corkmux
--- a/tests/heartbeat_fanin_test.cc
+++ b/tests/heartbeat_fanin_test.cc
@@ -130,8 +130,9 @@
     return r;
   }
   void forward(const std::string& machine, std::uint64_t number) {
-    forwarder_.forward(heartbeat(machine, number), machine + " whole",
-                       [this, machine](int status, std::string) { statuses_[machine].push_back(status); });
+    forwarder_.forward(
+        heartbeat(machine, number), machine + " whole",
+        [this, machine](const LeaderReply& reply) { statuses_[machine].push_back(reply.wire_status()); });
   }
   bool wait_for(std::function<bool()> condition, double at_most = 20) {
     double until = steady_now() + at_most;
@@ -254,7 +255,7 @@
 
 TEST_F(Forwarding, ABatchIsBounded) {
   for (int n = 0; n < 30; ++n)
-    forwarder_.forward(heartbeat(worker(n), 1), std::string(10000, 'x'), [](int, std::string) {});
+    forwarder_.forward(heartbeat(worker(n), 1), std::string(10000, 'x'), [](const LeaderReply&) {});
   ASSERT_TRUE(wait_for([&] { return posts_.size() == 2; }));
   for (const auto& p : posts_) {
     EXPECT_LE(pack(p.batch).size(), 64u * 1024);
@@ -263,7 +264,7 @@
   std::vector<int> refused;
   for (int n = 0; n < 500; ++n)
     forwarder_.forward(heartbeat(worker(n), 2), std::string(10000, 'x'),
-                       [&](int status, std::string) { refused.push_back(status); });
+                       [&](const LeaderReply& reply) { refused.push_back(reply.wire_status()); });
   EXPECT_FALSE(refused.empty());
   EXPECT_EQ(std::set<int>(refused.begin(), refused.end()), std::set<int>{503});
 }
@@ -313,14 +314,16 @@
     PeerExchange::Callbacks hooks;
     hooks.state_age = [] { return 0.0; };
     hooks.newer_term = [](std::uint64_t) {};
-    hooks.dependency_barrier_at = [] { return -1e9; };
-    hooks.heartbeats = [this](HeartbeatBatch batch, std::function<void(int, std::string)> reply) {
+    hooks.dependency_barrier_at = [] { return kLongAgo; };
+    hooks.heartbeats = [this](HeartbeatBatch batch, PeerExchange::BatchReplyCallback reply) {
       taken_ += batch.heartbeats.size();
-      reply(200, pack(std::vector<HeartbeatAnswer>()));
+      reply(std::vector<HeartbeatAnswer>());
     };
     hooks.commands = [this](const ForwardedCommandBatch&) { return ++orders_ == 1; };
-    hooks.fanin_changed = [this](const std::vector<std::string>& labels) { serving_ = labels; };
-    peers_ = std::make_unique<PeerExchange>(loop_, s, hooks);
+    cancel_gossip_ = std::make_unique<CancelGossip>(s, CancelGossip::Callbacks{});
+    membership_ = std::make_unique<FanInMembership>(
+        s, [this](const std::vector<std::string>& members) { serving_ = members; });
+    peers_ = std::make_unique<PeerExchange>(loop_, s, *cancel_gossip_, *membership_, hooks);
     peers_->leader_changed("c1", 3);
   }
   int post(const std::string& path, const std::string& body) {
@@ -333,6 +336,8 @@
   std::size_t taken_ = 0;
   int orders_ = 0;
   std::vector<std::string> serving_;
+  std::unique_ptr<CancelGossip> cancel_gossip_;
+  std::unique_ptr<FanInMembership> membership_;
   std::unique_ptr<PeerExchange> peers_;
 };
 
--- a/tests/lease_proxy_test.cc
+++ b/tests/lease_proxy_test.cc
@@ -3,6 +3,7 @@
 
 #include <gtest/gtest.h>
 
+#include "lease_proxy_record.h"
 #include "state_service.h"
 
 namespace corkmux {
@@ -24,9 +25,9 @@
   std::pair<int, codec::Json> keep() {
     int status = 0;
     codec::Json body;
-    lease_proxy->keep(heartbeat, [&](int s, std::string bytes) {
-      status = s;
-      if (auto b = codec::unpack(bytes)) body = *b;
+    lease_proxy->renew(heartbeat, [&](std::optional<std::string> commands) {
+      status = commands ? 200 : 503;
+      if (auto unpacked = commands ? codec::unpack(*commands) : std::nullopt) body = *unpacked;
     });
     double until = steady_now() + 20;
     while (!status && steady_now() < until) loop.run_once();
@@ -91,7 +92,8 @@
   int answered = 0, refused = 0;
   for (int i = 0; i < 300; ++i) {
     heartbeat.machine = "n-" + std::to_string(100000 + i);
-    lease_proxy->keep(heartbeat, [&](int s, std::string) { ++(s == 200 ? answered : refused); });
+    lease_proxy->renew(heartbeat,
+                       [&](std::optional<std::string> commands) { ++(commands ? answered : refused); });
     if (i % 50 == 0) loop.run_once();
   }
   double until = steady_now() + 20;
@@ -105,9 +107,9 @@
   ASSERT_EQ(keep().first, 200);  // a record without the next machine is stored
   int first = 0, second = 0;
   heartbeat.machine = "n-2";
-  lease_proxy->keep(heartbeat, [&](int s, std::string) { first = s; });
+  lease_proxy->renew(heartbeat, [&](std::optional<std::string> commands) { first = commands ? 200 : 503; });
   heartbeat.machine = "n-3";
-  lease_proxy->keep(heartbeat, [&](int s, std::string) { second = s; });
+  lease_proxy->renew(heartbeat, [&](std::optional<std::string> commands) { second = commands ? 200 : 503; });
   lease_proxy->release("n-3");
   double until = steady_now() + 20;
   while ((!first || !second) && steady_now() < until) loop.run_once();
@@ -132,7 +134,7 @@
 TEST_F(KeeperTest, ALateWriteOfAFormerLifeDoesNotReplaceWhatEntitlesThisOne) {
   put({{"j", 1}, {"c", 0}});
   state.hold_prefix = "k/";
-  lease_proxy->keep(heartbeat, [](int, std::string) {});
+  lease_proxy->renew(heartbeat, [](const std::optional<std::string>&) {});
   double until = steady_now() + 20;
   while (!state.holds() && steady_now() < until) loop.run_once();
   ASSERT_TRUE(state.holds());
--- a/tests/peer_exchange_test.cc
+++ b/tests/peer_exchange_test.cc
@@ -17,6 +17,8 @@
     std::multiset<std::string> cancelled;
     double heard = -1e9, youngest = 0;
     double settled = -1e9;
+    std::unique_ptr<CancelGossip> cancel_gossip;
+    std::unique_ptr<FanInMembership> membership;
     std::unique_ptr<PeerExchange> peers;
   };
   Loop loop;
@@ -30,14 +32,17 @@
     hooks.state_age = [] { return 0.0; };
     hooks.newer_term = [](std::uint64_t) {};
     hooks.view = [](const codec::JobView&) {};
-    hooks.cancelled = [&one](const std::vector<std::string>& jobs) {
+    CancelGossip::Callbacks gossip;
+    gossip.cancelled = [&one](const std::vector<std::string>& jobs) {
       one.cancelled.insert(jobs.begin(), jobs.end());
     };
-    hooks.all_heard = [&one](double asked_at, double youngest) {
+    gossip.all_acknowledged = [&one](double asked_at, double youngest) {
       one.heard = asked_at, one.youngest = youngest;
     };
     hooks.dependency_barrier_at = [&one] { return one.settled; };
-    one.peers = std::make_unique<PeerExchange>(loop, s, hooks);
+    one.cancel_gossip = std::make_unique<CancelGossip>(s, gossip);
+    one.membership = std::make_unique<FanInMembership>(s, [](const std::vector<std::string>&) {});
+    one.peers = std::make_unique<PeerExchange>(loop, s, *one.cancel_gossip, *one.membership, hooks);
   }
   void pair(double mem_mb = 56) {
     start(tells, "tells", {}, mem_mb);
@@ -68,20 +73,20 @@
 // and the peer still vouches.
 TEST_F(PeersTest, ThousandsOfCancelsAreToldOnceEachAndTheTellerGoesOnVouching) {
   pair();
-  for (int i = 0; i < 2000; ++i) tells.peers->accepted_cancel(id(i));
+  for (int i = 0; i < 2000; ++i) tells.cancel_gossip->accept(id(i));
   ASSERT_TRUE(wait_for([&] { return asks.cancelled.size() >= 2000; }));
   double since = steady_now();
   ASSERT_TRUE(wait_for([&] { return asks.heard > since; }));
   EXPECT_EQ(asks.cancelled.size(), 2000u);
   for (int i = 0; i < 2000; ++i) EXPECT_EQ(asks.cancelled.count(id(i)), 1u);
-  tells.peers->accepted_cancel(id(2000));
+  tells.cancel_gossip->accept(id(2000));
   EXPECT_TRUE(wait_for([&] { return asks.cancelled.count(id(2000)) == 1; }));
 }
 
 TEST_F(PeersTest, WhoLosesANameForWantOfRoomDoesNotVouch) {
   pair(0);  // room for 500
   ASSERT_TRUE(wait_for([&] { return asks.heard > 0; }));
-  for (int i = 0; i < 700; ++i) tells.peers->accepted_cancel(id(i));
+  for (int i = 0; i < 700; ++i) tells.cancel_gossip->accept(id(i));
   double since = steady_now();
   EXPECT_FALSE(wait_for([&] { return asks.heard > since; }, 3));
 }
@@ -89,11 +94,11 @@
 // A former version asks without numbers: it gets as many as it used to take, and is told when there are more.
 TEST_F(PeersTest, AFormerVersionGetsTheListItKnows) {
   pair();
-  for (int i = 0; i < 3; ++i) tells.peers->accepted_cancel(id(i));
+  for (int i = 0; i < 3; ++i) tells.cancel_gossip->accept(id(i));
   auto few = *codec::unpack(sync({{"label", "old"}, {"term", 0}}).body);
   EXPECT_EQ(few["cancels"].size(), 3u);
   EXPECT_FALSE(few.contains("overflow"));
-  for (int i = 3; i < 700; ++i) tells.peers->accepted_cancel(id(i));
+  for (int i = 3; i < 700; ++i) tells.cancel_gossip->accept(id(i));
   auto many = *codec::unpack(sync({{"label", "old"}, {"term", 0}}).body);
   EXPECT_EQ(many["cancels"].size(), 500u);
   EXPECT_TRUE(many["overflow"]);
@@ -101,7 +106,7 @@
 
 TEST_F(PeersTest, ANewLifeIsAskedForAllThatItKnows) {
   pair();
-  for (int i = 0; i < 5; ++i) tells.peers->accepted_cancel(id(i));
+  for (int i = 0; i < 5; ++i) tells.cancel_gossip->accept(id(i));
   ASSERT_TRUE(wait_for([&] { return asks.cancelled.size() == 5; }));
   auto numbered = [&](std::uint64_t told, std::uint64_t by) {
     return (*codec::unpack(sync({{"label", "x"}, {"told", told}, {"told_by", by}}).body))["cancels"].size();
--- a/tests/store_relay_test.cc
+++ b/tests/store_relay_test.cc
@@ -21,9 +21,9 @@
   void SetUp() override {
     Settings s;
     s.value_kb = 8, s.state_write_rps = 500, s.next = {500, 8, 12};
-    auto echo = [this](std::string body, StoreRelay::Reply reply) {
+    auto echo = [this](std::string body, LeaderReplyCallback reply) {
       delivered.push_back(*codec::unpack(body));
-      reply(200, answer_with.empty() ? body : answer_with);
+      reply(LeaderReply::answered(answer_with.empty() ? body : answer_with));
     };
     s.label = "near";
     near = std::make_unique<StoreRelay>(loop, s, client, echo);
@@ -38,13 +38,13 @@
 };
 
 TEST_F(MailTest, CarriesReportsOfAWholeZoneAndTheirAnswersInRecordsThatFit) {
-  far->serve(true);
+  far->accept_requests(true);
   int answered = 0, wrong = 0;
   for (int i = 0; i < 200; ++i)
-    near->request("far", codec::pack(report(i)), [&, i](int status, std::string body) {
+    near->request("far", codec::pack(report(i)), [&, i](const LeaderReply& reply) {
       ++answered;
-      auto echo = codec::unpack(body);
-      wrong += status != 200 || !echo || *echo != report(i);
+      auto echo = codec::unpack(reply.body());
+      wrong += !reply.is_answered() || !echo || *echo != report(i);
     });
   run_until([&] { return answered == 200; });
   EXPECT_EQ(answered, 200);
@@ -62,7 +62,7 @@
 // Between controllers that read the second form a report takes a fraction of its size, and says the same.
 TEST_F(MailTest, IsBriefBetweenControllersThatReadIt) {
   state.put("v/far", {{"f", 2}});
-  far->serve(true);
+  far->accept_requests(true);
   Json full = {{"host", "n-000231"}, {"address", "10.1.0.232:9000"},
                {"build", "g8"},      {"room", "b"},
                {"lendable", true},   {"watch", 3},
@@ -83,8 +83,8 @@
   for (int n = 0; n < 3; ++n) {
     Json answer;
     bool told = false;
-    near->request("far", codec::pack(full), [&](int, std::string body) {
-      answer = codec::unpack(body).value_or(Json());
+    near->request("far", codec::pack(full), [&](const LeaderReply& reply) {
+      answer = codec::unpack(reply.body()).value_or(Json());
       told = true;
     });
     run_until([&] { return told; });
@@ -108,7 +108,8 @@
 // A controller that does not lead takes no reports from others, whoever they thought it was.
 TEST_F(MailTest, OnlyOneThatServesIsDeliveredRequests) {
   int status = -1;
-  near->request("far", codec::pack(report(1)), [&](int s, std::string) { status = s; });
+  near->request("far", codec::pack(report(1)),
+                [&](const LeaderReply& reply) { status = reply.wire_status(); });
   run_until([&] { return status >= 0; });
   EXPECT_EQ(status, 0);
   EXPECT_TRUE(delivered.empty());
@@ -116,10 +117,11 @@
 
 // The worker behind a report waits 4 s: in an outage it must hear at once that nothing is sent.
 TEST_F(MailTest, GivesUpWhenTheStateServiceIsAway) {
-  far->serve(true);
+  far->accept_requests(true);
   state.down = true;
   int status = -1;
-  near->request("far", codec::pack(report(1)), [&](int s, std::string) { status = s; });
+  near->request("far", codec::pack(report(1)),
+                [&](const LeaderReply& reply) { status = reply.wire_status(); });
   run_until([&] { return status >= 0; });
   EXPECT_EQ(status, 0);
   EXPECT_TRUE(delivered.empty());
