--- a/tests/controller_test.cc
+++ b/tests/controller_test.cc
@@ -4,7 +4,7 @@
 namespace corkmux {
 namespace {
 
-TEST_F(Site, AnswersUsersAsAgreed) {
+TEST_F(LoopbackCluster, AnswersUsersAsAgreed) {
   start_controller("one");
   start_controller("two");
   ASSERT_TRUE(wait_for([&] { return !leader().empty(); }));
@@ -38,7 +38,7 @@
   EXPECT_EQ(starts.size(), 8u);
 }
 
-TEST_F(Site, ACancelledJobStopsAndStaysCancelled) {
+TEST_F(LoopbackCluster, ACancelledJobStopsAndStaysCancelled) {
   start_controller("one");
   ASSERT_TRUE(wait_for([&] { return !leader().empty(); }));
   add_worker("n-1", "a", 1000);
@@ -52,9 +52,9 @@
   EXPECT_EQ(phase("one", "run-1"), "cancelled");
 }
 
-// Found in random worlds: a user was told "cancelled" by a look-up after the cancel's own answer had been
-// lost, the leader's watch was lost as well, and the tasks were still there after cancel_s.
-TEST_F(Site, ACancelReachesTheLeaderThoughItsAnswerAndTheWatchAreLost) {
+// Found by random simulations: a user was told "cancelled" by a look-up after the cancel's own answer had
+// been lost, the leader's watch was lost as well, and the tasks were still there after cancel_s.
+TEST_F(LoopbackCluster, ACancelReachesTheLeaderThoughItsAnswerAndTheWatchAreLost) {
   start_controller("one");
   ASSERT_TRUE(wait_for([&] { return !leader().empty(); }));
   add_worker("n-1", "a", 1000);
@@ -67,7 +67,7 @@
 
 // The answer to the leader's watch is lost for longer than a cancel may take, and the controller that told
 // the user is gone before it could tell anybody else: what the leader has not seen, it must not outlast.
-TEST_F(Site, ALeaderThatCannotHaveSeenACancelStopsAnsweringWorkersInTime) {
+TEST_F(LoopbackCluster, ALeaderThatCannotHaveSeenACancelStopsAnsweringWorkersInTime) {
   cancel_s = 13;
   start_controller("one");
   ASSERT_TRUE(wait_for([&] { return !leader().empty(); }));
@@ -83,7 +83,7 @@
 
 // A controller that has lost the state service and every other controller cannot tell an outage from being
 // cut off: users that keep to it would ask in vain for as long as that lasts.
-TEST_F(Site, AControllerThatHearsNobodyStepsOutOfTheWayAndComesBack) {
+TEST_F(LoopbackCluster, AControllerThatHearsNobodyStepsOutOfTheWayAndComesBack) {
   others = {{"two", "a", "127.0.0.1:1"}};
   start_controller("one");
   ASSERT_TRUE(wait_for([&] { return call("one", "GET", "/ready", "").status == 200; }));
@@ -97,7 +97,7 @@
 
 // A job whose predecessor was cancelled has its end from the leader. Where none could store it for so long,
 // the job is not called queued; and the answer comes as soon as the leader knows.
-TEST_F(Site, AJobThatCanNeverRunIsNotCalledQueuedBecauseNobodyStoredItsEnd) {
+TEST_F(LoopbackCluster, AJobThatCanNeverRunIsNotCalledQueuedBecauseNobodyStoredItsEnd) {
   cancel_s = 13;
   start_controller("one");
   ASSERT_TRUE(wait_for([&] { return !leader().empty(); }));
@@ -126,7 +126,7 @@
   EXPECT_TRUE(wait_for([&] { return phase("one", "run-2") == "cancelled"; }));
 }
 
-TEST_F(Site, RunningTasksAndAcceptedJobsOutliveEveryController) {
+TEST_F(LoopbackCluster, RunningTasksAndAcceptedJobsOutliveEveryController) {
   start_controller("one");
   start_controller("two");
   ASSERT_TRUE(wait_for([&] { return !leader().empty(); }));
@@ -141,7 +141,7 @@
   for (const auto& [part, n] : starts) EXPECT_EQ(n, 1) << part << " was started again";
 }
 
-TEST_F(Site, AnOutageIsAnsweredAtOnceAndLosesNothing) {
+TEST_F(LoopbackCluster, AnOutageIsAnsweredAtOnceAndLosesNothing) {
   start_controller("one");
   ASSERT_TRUE(wait_for([&] { return !leader().empty(); }));
   add_worker("n-1", "a", 1);
@@ -160,7 +160,7 @@
   for (const auto& [part, n] : starts) EXPECT_EQ(n, 1) << part;
 }
 
-TEST_F(Site, AWriteWithoutAnswerIsNeitherLostNorDoneTwice) {
+TEST_F(LoopbackCluster, AWriteWithoutAnswerIsNeitherLostNorDoneTwice) {
   start_controller("one");
   ASSERT_TRUE(wait_for([&] { return !leader().empty(); }));
   state.swallow_next_txn = true;
@@ -177,7 +177,7 @@
 
 // From here on: jobs that await jobs, and the upgrade.
 
-TEST_F(Site, AJobStartsOnlyAfterAllItAwaitsAndEndsWithTheFirstThatIsCancelled) {
+TEST_F(LoopbackCluster, AJobStartsOnlyAfterAllItAwaitsAndEndsWithTheFirstThatIsCancelled) {
   start_controller("one");
   add_worker("n-1", "a", 1.0);
   auto after = [](Json body, std::vector<std::string> dependencies) {
@@ -222,7 +222,7 @@
 }
 
 // Waiting and cancellation follow from what is stored, so they outlive every controller.
-TEST_F(Site, WhatAwaitsAndWhatIsCancelledThroughOthersOutlivesEveryController) {
+TEST_F(LoopbackCluster, WhatAwaitsAndWhatIsCancelledThroughOthersOutlivesEveryController) {
   start_controller("one");
   auto b = job("run-b"), c = job("run-c"), d = job("run-d");
   b["awaits"] = {"run-a"}, c["awaits"] = {"run-x"}, d["awaits"] = {"run-c"};
@@ -242,7 +242,7 @@
 }
 
 // A list too long for one record is kept in several, within the limits to come.
-TEST_F(Site, ALongListOfAwaitedJobsIsKeptInSeveralRecords) {
+TEST_F(LoopbackCluster, ALongListOfAwaitedJobsIsKeptInSeveralRecords) {
   limits = {500, 2, 4};
   state.value_bytes = 2048, state.txn_ops = 4;
   start_controller("one");
@@ -269,7 +269,7 @@
 }
 
 // Records keep the first form until each controller of the settings has said that it is new.
-TEST_F(Site, TheSecondFormIsUsedOnceEachControllerIsNewAndNotBefore) {
+TEST_F(LoopbackCluster, TheSecondFormIsUsedOnceEachControllerIsNewAndNotBefore) {
   others = {{"two", "b", "127.0.0.1:1"}};
   start_controller("one");
   add_worker("n-1", "a", 2);
@@ -291,7 +291,7 @@
 
 // Guards against standing still where the limits fall before the last controller could say that it is new:
 // the refusal itself shows that the upgrade is over.
-TEST_F(Site, LimitsThatFallAtAnyMomentStopNothing) {
+TEST_F(LoopbackCluster, LimitsThatFallAtAnyMomentStopNothing) {
   others = {{"two", "b", "127.0.0.1:1"}};
   limits = {500, 0.5, 4};
   start_controller("one");
--- a/tests/heartbeat_fanin_test.cc
+++ b/tests/heartbeat_fanin_test.cc
@@ -20,9 +20,9 @@
 
 std::string worker(int n) { return "n-" + std::to_string(100000 + n); }
 
-// ---------------------------------------------------------------- who serves whom
+// ---------------------------------------------------------------- sharding
 
-TEST(WorkerSharding, OneThatGoesMovesOnlyItsShare) {
+TEST(WorkerSharding, AMemberThatGoesMovesOnlyItsShard) {
   std::vector<FanInMember> all = {{"c1", "a"}, {"c2", "a"}, {"c3", "a"}, {"c4", "a"}};
   WorkerSharding before(all), after({all.begin(), all.end() - 1});
   std::map<std::string, int> share;
@@ -38,27 +38,27 @@
   for (const auto& [label, count] : share) EXPECT_NEAR(count, 1000, 120) << label;
 }
 
-TEST(WorkerSharding, AControllerOfTheWorkersZoneGoesFirst) {
-  WorkerSharding serving({{"c1", "a"}, {"c2", "b"}, {"c3", "c"}});
+TEST(WorkerSharding, AMemberOfTheWorkersZoneIsPreferred) {
+  WorkerSharding sharding({{"c1", "a"}, {"c2", "b"}, {"c3", "c"}});
   for (int n = 0; n < 100; ++n) {
-    EXPECT_EQ(serving.owner_of(worker(n), "b", kAnyone), "c2");
-    EXPECT_NE(serving.owner_of(worker(n), "b", [](const std::string& l) { return l != "c2"; }), "c2");
-    EXPECT_TRUE(serving.owner_of(worker(n), "elsewhere", kAnyone));
+    EXPECT_EQ(sharding.owner_of(worker(n), "b", kAnyone), "c2");
+    EXPECT_NE(sharding.owner_of(worker(n), "b", [](const std::string& l) { return l != "c2"; }), "c2");
+    EXPECT_TRUE(sharding.owner_of(worker(n), "elsewhere", kAnyone));
   }
-  EXPECT_EQ(serving.owner_of(worker(1), "b", [](const std::string&) { return false; }), std::nullopt);
+  EXPECT_EQ(sharding.owner_of(worker(1), "b", [](const std::string&) { return false; }), std::nullopt);
   EXPECT_EQ(WorkerSharding().owner_of(worker(1), "b", kAnyone), std::nullopt);
 }
 
-TEST(FanInPolicy, AFleetThatBreathesMovesNobody) {
-  FanInPolicy decision(1000);
-  EXPECT_FALSE(decision.update(200));
-  EXPECT_FALSE(decision.update(250)) << "half of the sockets are not too many yet";
-  EXPECT_TRUE(decision.update(251));
-  EXPECT_TRUE(decision.update(180));
-  EXPECT_FALSE(decision.update(175));
-  EXPECT_FALSE(decision.update(240));
-  decision.start_from(true);
-  EXPECT_TRUE(decision.update(200)) << "a new leader goes on as the one before";
+TEST(FanInPolicy, AFleetThatGrowsAndShrinksMovesNobody) {
+  FanInPolicy policy(1000);
+  EXPECT_FALSE(policy.update(200));
+  EXPECT_FALSE(policy.update(250)) << "half of the sockets are not too many yet";
+  EXPECT_TRUE(policy.update(251));
+  EXPECT_TRUE(policy.update(180));
+  EXPECT_FALSE(policy.update(175));
+  EXPECT_FALSE(policy.update(240));
+  policy.start_from(true);
+  EXPECT_TRUE(policy.update(200)) << "a new leader goes on as the one before";
 }
 
 // ---------------------------------------------------------------- batches
@@ -109,7 +109,7 @@
   EXPECT_FALSE(parse_answers(codec::pack({{"from", "c1"}})));
 }
 
-// ---------------------------------------------------------------- the serving side
+// ---------------------------------------------------------------- the member's side
 
 class Forwarding : public ::testing::Test {
  protected:
@@ -131,7 +131,7 @@
   }
   void forward(const std::string& machine, std::uint64_t number) {
     forwarder_.forward(
-        heartbeat(machine, number), machine + " whole",
+        heartbeat(machine, number), machine + " full",
         [this, machine](const LeaderReply& reply) { statuses_[machine].push_back(reply.wire_status()); });
   }
   bool wait_for(std::function<bool()> condition, double at_most = 20) {
@@ -156,7 +156,7 @@
   HeartbeatForwarder forwarder_;
 };
 
-TEST_F(Forwarding, ManyReportsGoInOneMessage) {
+TEST_F(Forwarding, ManyHeartbeatsGoInOneMessage) {
   for (int n = 0; n < 50; ++n) forward(worker(n), 1);
   ASSERT_TRUE(wait_for([&] { return !posts_.empty(); }));
   EXPECT_EQ(posts_[0].to, "c9");
@@ -166,7 +166,7 @@
   EXPECT_EQ(statuses_.size(), 50u);
 }
 
-TEST_F(Forwarding, WhatHasNotChangedGoesAsItsNumber) {
+TEST_F(Forwarding, AnUnchangedHeartbeatGoesAsADelta) {
   forward("n-1", 1);
   ASSERT_TRUE(wait_for([&] { return posts_.size() == 1; }));
   answer(0, 200);
@@ -179,7 +179,7 @@
   EXPECT_EQ(entry.number, 2u);
 }
 
-TEST_F(Forwarding, WhatTheLeaderCannotCompleteIsSentWhole) {
+TEST_F(Forwarding, ADeltaThatTheLeaderCannotCompleteIsSentInFull) {
   forward("n-1", 1);
   ASSERT_TRUE(wait_for([&] { return posts_.size() == 1; }));
   answer(0, 200);
@@ -187,13 +187,13 @@
   ASSERT_TRUE(wait_for([&] { return posts_.size() == 2; }));
   answer(1, kFullHeartbeatRequired);
   ASSERT_TRUE(wait_for([&] { return posts_.size() == 3; }));
-  EXPECT_EQ(posts_[2].batch.heartbeats[0].body, "n-1 whole");
+  EXPECT_EQ(posts_[2].batch.heartbeats[0].body, "n-1 full");
   EXPECT_EQ(statuses_["n-1"].size(), 1u) << "the second is not answered yet";
   answer(2, 200);
   EXPECT_EQ(statuses_["n-1"], (std::vector<int>{200, 200}));
 }
 
-TEST_F(Forwarding, ANewLeaderHearsEverythingWhole) {
+TEST_F(Forwarding, ANewLeaderGetsFullHeartbeats) {
   forward("n-1", 1);
   ASSERT_TRUE(wait_for([&] { return posts_.size() == 1; }));
   answer(0, 200);
@@ -218,7 +218,7 @@
   EXPECT_EQ(statuses_["n-1"], std::vector<int>{200});
 }
 
-TEST_F(Forwarding, WithoutALeaderInTimeTheWorkerIsSentOn) {
+TEST_F(Forwarding, WithoutALeaderInTimeTheWorkerIsSentElsewhere) {
   forwarder_.leader_changed("");
   forward("n-1", 1);
   ASSERT_TRUE(wait_for([&] { return !statuses_.empty(); }));
@@ -305,25 +305,25 @@
 
 // ---------------------------------------------------------------- what peers take
 
-class PeerDoor : public Forwarding {
+class PeerEndpoint : public Forwarding {
  protected:
-  PeerDoor() {
+  PeerEndpoint() {
     Settings s;
     s.label = "c1", s.peer_listen = "127.0.0.1:0", s.cancel_s = 30;
     s.peers = {{"c2", "a", "127.0.0.1:1"}};
-    PeerExchange::Callbacks hooks;
-    hooks.state_age = [] { return 0.0; };
-    hooks.newer_term = [](std::uint64_t) {};
-    hooks.dependency_barrier_at = [] { return kLongAgo; };
-    hooks.heartbeats = [this](HeartbeatBatch batch, PeerExchange::BatchReplyCallback reply) {
+    PeerExchange::Callbacks callbacks;
+    callbacks.state_age = [] { return 0.0; };
+    callbacks.newer_term = [](std::uint64_t) {};
+    callbacks.dependency_barrier_at = [] { return kLongAgo; };
+    callbacks.heartbeats = [this](HeartbeatBatch batch, PeerExchange::BatchReplyCallback reply) {
       taken_ += batch.heartbeats.size();
       reply(std::vector<HeartbeatAnswer>());
     };
-    hooks.commands = [this](const ForwardedCommandBatch&) { return ++orders_ == 1; };
+    callbacks.commands = [this](const ForwardedCommandBatch&) { return ++command_batches_ == 1; };
     cancel_gossip_ = std::make_unique<CancelGossip>(s, CancelGossip::Callbacks{});
     membership_ = std::make_unique<FanInMembership>(
-        s, [this](const std::vector<std::string>& members) { serving_ = members; });
-    peers_ = std::make_unique<PeerExchange>(loop_, s, *cancel_gossip_, *membership_, hooks);
+        s, [this](const std::vector<std::string>& members) { members_ = members; });
+    peers_ = std::make_unique<PeerExchange>(loop_, s, *cancel_gossip_, *membership_, callbacks);
     peers_->leader_changed("c1", 3);
   }
   int post(const std::string& path, const std::string& body) {
@@ -334,48 +334,48 @@
     return *status;
   }
   std::size_t taken_ = 0;
-  int orders_ = 0;
-  std::vector<std::string> serving_;
+  int command_batches_ = 0;
+  std::vector<std::string> members_;
   std::unique_ptr<CancelGossip> cancel_gossip_;
   std::unique_ptr<FanInMembership> membership_;
   std::unique_ptr<PeerExchange> peers_;
 };
 
-TEST_F(PeerDoor, TakesBatchesOfPeersOnly) {
+TEST_F(PeerEndpoint, TakesBatchesOfPeersOnly) {
   EXPECT_EQ(post("/peer/reports", pack(HeartbeatBatch{"c2", {{1, "x", "", 0, 0, 0}}, {}})), 200);
   EXPECT_EQ(post("/peer/reports", pack(HeartbeatBatch{"stranger", {{1, "x", "", 0, 0, 0}}, {}})), 400);
   EXPECT_EQ(post("/peer/reports", "junk"), 400);
   EXPECT_EQ(post("/peer/reports", std::string(70000, 'x')), 413);
   EXPECT_EQ(post("/peer/orders", pack(ForwardedCommandBatch{"stranger", {}})), 400);
   EXPECT_EQ(taken_, 1u);
-  EXPECT_EQ(orders_, 0);
+  EXPECT_EQ(command_batches_, 0);
 }
 
-TEST_F(PeerDoor, WhoDoesNotLeadTakesNoReports) {
+TEST_F(PeerEndpoint, AControllerThatDoesNotLeadTakesNoHeartbeats) {
   peers_->leader_changed("c2", 4);
   EXPECT_EQ(post("/peer/reports", pack(HeartbeatBatch{"c2", {}, {}})), 503);
 }
 
-TEST_F(PeerDoor, OrdersThatFindNoRoomAreRefused) {
+TEST_F(PeerEndpoint, CommandsThatFindNoRoomAreRefused) {
   EXPECT_EQ(post("/peer/orders", pack(ForwardedCommandBatch{"c2", {}})), 200);
   EXPECT_EQ(post("/peer/orders", pack(ForwardedCommandBatch{"c2", {}})), 503);
 }
 
-TEST_F(PeerDoor, TheNewestWordOnWhoServesCounts) {
+TEST_F(PeerEndpoint, TheNewestAnnouncementOfFanInMembersCounts) {
   auto greet = [&](std::uint64_t term, std::uint64_t number, codec::Json labels) {
     post("/peer/sync", codec::pack({{"label", "c2"},
                                     {"serving", {{"term", term}, {"number", number}, {"labels", labels}}}}));
   };
   greet(4, 2, {"c1", "c2", "stranger"});
-  EXPECT_EQ(serving_, (std::vector<std::string>{"c1", "c2"})) << "who is no controller of ours serves nobody";
+  EXPECT_EQ(members_, (std::vector<std::string>{"c1", "c2"})) << "who is no controller of ours serves nobody";
   greet(4, 1, codec::Json::array());
-  EXPECT_EQ(serving_.size(), 2u) << "older than what is known";
+  EXPECT_EQ(members_.size(), 2u) << "older than what is known";
   greet(3, 9, codec::Json::array());
-  EXPECT_EQ(serving_.size(), 2u) << "of a former leader";
+  EXPECT_EQ(members_.size(), 2u) << "of a former leader";
   greet(4, 3, "junk");
-  EXPECT_EQ(serving_.size(), 2u);
+  EXPECT_EQ(members_.size(), 2u);
   greet(5, 1, codec::Json::array());
-  EXPECT_TRUE(serving_.empty());
+  EXPECT_TRUE(members_.empty());
 }
 
 }  // namespace
--- a/tests/kube_test.cc
+++ b/tests/kube_test.cc
@@ -301,7 +301,7 @@
   bool done_ = false;
 };
 
-class KubeSite : public Site {
+class KubeSite : public LoopbackCluster {
  protected:
   void serve(const std::string& label, const std::string& tokens = "") {
     Settings settings;
--- a/tests/lease_proxy_test.cc
+++ b/tests/lease_proxy_test.cc
@@ -1,4 +1,5 @@
-// A keeper answers only under a record that names the worker, and gives no order but to stop what is over.
+// A lease proxy renews only under a record that names the worker, and gives no command but to stop what is
+// over.
 #include "lease_proxy.h"
 
 #include <gtest/gtest.h>
@@ -9,20 +10,25 @@
 namespace corkmux {
 namespace {
 
-struct KeeperTest : ::testing::Test {
+struct LeaseProxyTest : ::testing::Test {
   Loop loop;
   simulation::State state{loop};
   StateClient client{loop, state.address()};
   std::unique_ptr<LeaseProxy> lease_proxy;
   Heartbeat heartbeat;
   void SetUp() override {
-    Settings s;
-    s.label = "one", s.lease_s = 8, s.value_kb = 8, s.next = {500, 2, 4};
-    lease_proxy = std::make_unique<LeaseProxy>(loop, s, client);
-    heartbeat.machine = "n-1", heartbeat.fencing_token = 41, heartbeat.worker_epoch = 1;
+    Settings settings;
+    settings.label = "one";
+    settings.lease_s = 8;
+    settings.value_kb = 8;
+    settings.next = {500, 2, 4};
+    lease_proxy = std::make_unique<LeaseProxy>(loop, settings, client);
+    heartbeat.machine = "n-1";
+    heartbeat.fencing_token = 41;
+    heartbeat.worker_epoch = 1;
     heartbeat.tasks.push_back({"run-1", 0, 7, TaskState::Running, ExitReason::None, false});
   }
-  std::pair<int, codec::Json> keep() {
+  std::pair<int, codec::Json> renew() {
     int status = 0;
     codec::Json body;
     lease_proxy->renew(heartbeat, [&](std::optional<std::string> commands) {
@@ -40,32 +46,32 @@
   }
 };
 
-TEST_F(KeeperTest, AnswersUnderTheWorkersOwnTokenOnceItsRecordIsStored) {
+TEST_F(LeaseProxyTest, AnswersWithTheWorkersOwnFencingTokenOnceItsRecordIsStored) {
   put({{"j", 1}, {"c", 0}});
-  auto [status, body] = keep();
+  auto [status, body] = renew();
   EXPECT_EQ(status, 200);
   EXPECT_EQ(body["baton"], 41);
   EXPECT_TRUE(body["orders"].empty());
   EXPECT_EQ(machines_in(state.values().at("k/one")), std::vector<std::string>{"n-1"});
 }
 
-TEST_F(KeeperTest, StopsTasksOfACancelledJob) {
+TEST_F(LeaseProxyTest, StopsTasksOfACancelledJob) {
   put({{"j", 1}, {"c", 1}});
-  auto [status, body] = keep();
+  auto [status, body] = renew();
   EXPECT_EQ(status, 200);
   ASSERT_EQ(body["orders"].size(), 1u);
   EXPECT_EQ(body["orders"][0]["verb"], "halt");
 }
 
-// A zone of a grown site has some 300 machines; a keeper that holds only part of them lets the rest of them
-// die.
+// A zone of a grown site has some 300 machines; a proxy that holds only part of them lets the others' leases
+// run out.
 // A zone in records of 2 KiB, all written in one transaction.
-TEST_F(KeeperTest, HoldsAsManyWorkersAsItsRecordsHaveRoomFor) {
+TEST_F(LeaseProxyTest, HoldsAsManyWorkersAsItsRecordsHaveRoomFor) {
   put({{"j", 1}, {"c", 0}});
   int kept = 0;
   for (int i = 0; i < 700; ++i) {
     heartbeat.machine = "n-" + std::to_string(100000 + i);
-    kept += keep().first == 200;
+    kept += renew().first == 200;
   }
   EXPECT_GE(kept, 500);
   EXPECT_LT(kept, 700);
@@ -78,16 +84,16 @@
   EXPECT_EQ(static_cast<int>(named.size()), kept);
 }
 
-TEST_F(KeeperTest, DoesNotAnswerWithoutARecord) {
+TEST_F(LeaseProxyTest, DoesNotAnswerWithoutARecord) {
   put({{"j", 1}, {"c", 0}});
   state.down = true;
-  EXPECT_EQ(keep().first, 503);
+  EXPECT_EQ(renew().first, 503);
   EXPECT_EQ(state.values().count("k/one"), 0u);
 }
 
 // Guards against sending workers on, into the cut: those that come while a record is being written wait for
 // the next one, however many come at once.
-TEST_F(KeeperTest, AllOfAZoneThatComeAtOnceAreAnswered) {
+TEST_F(LeaseProxyTest, AllOfAZoneThatComeAtOnceAreAnswered) {
   put({{"j", 1}, {"c", 0}});
   int answered = 0, refused = 0;
   for (int i = 0; i < 300; ++i) {
@@ -102,9 +108,9 @@
 }
 
 // An answer of the leader that comes late after all releases a worker whose next report already waits here.
-TEST_F(KeeperTest, AWorkerReleasedWhileItWaitsIsAnsweredAllTheSame) {
+TEST_F(LeaseProxyTest, AWorkerReleasedWhileItWaitsIsAnsweredAllTheSame) {
   put({{"j", 1}, {"c", 0}});
-  ASSERT_EQ(keep().first, 200);  // a record without the next machine is stored
+  ASSERT_EQ(renew().first, 200);  // a record without the next machine is stored
   int first = 0, second = 0;
   heartbeat.machine = "n-2";
   lease_proxy->renew(heartbeat, [&](std::optional<std::string> commands) { first = commands ? 200 : 503; });
@@ -117,21 +123,21 @@
   EXPECT_EQ(second, 200);
 }
 
-// A process may be back within a fraction of a second. A worker that its former life answered must stay named
-// until that answer no longer counts, or the leader may start its tasks a second time: it may look too seldom
-// to have seen the former life's record.
-TEST_F(KeeperTest, ANewLifeGoesOnNamingWhomTheFormerAnswered) {
+// A process may be back within a fraction of a second. A worker that its former incarnation answered must
+// stay named until that answer no longer counts, or the leader may start its tasks a second time: it may look
+// too seldom to have seen the former incarnation's record.
+TEST_F(LeaseProxyTest, ANewIncarnationGoesOnNamingWhomTheFormerAnswered) {
   put({{"j", 1}, {"c", 0}});
   heartbeat.machine = "n-1";
-  ASSERT_EQ(keep().first, 200);
-  SetUp();  // the next life
+  ASSERT_EQ(renew().first, 200);
+  SetUp();  // the next incarnation
   heartbeat.machine = "n-2";
-  ASSERT_EQ(keep().first, 200);
+  ASSERT_EQ(renew().first, 200);
   EXPECT_EQ(machines_in(state.values().at("k/one")), (std::vector<std::string>{"n-1", "n-2"}));
 }
 
-// A write of a former life, held up on the way, is applied after the new life has written and answered.
-TEST_F(KeeperTest, ALateWriteOfAFormerLifeDoesNotReplaceWhatEntitlesThisOne) {
+// A write of a former incarnation, held up on the way, is applied after the new one has written and answered.
+TEST_F(LeaseProxyTest, ALateWriteOfAFormerIncarnationDoesNotReplaceWhatEntitlesThisOne) {
   put({{"j", 1}, {"c", 0}});
   state.hold_prefix = "k/";
   lease_proxy->renew(heartbeat, [](const std::optional<std::string>&) {});
@@ -142,7 +148,7 @@
   auto former = std::move(lease_proxy);  // it ended; nobody hears the answer
   SetUp();
   heartbeat.machine = "n-2";
-  ASSERT_EQ(keep().first, 200);
+  ASSERT_EQ(renew().first, 200);
   EXPECT_EQ(state.release(), std::vector<int>{409});
   EXPECT_EQ(machines_in(state.values().at("k/one")), std::vector<std::string>{"n-2"});
 }
--- a/tests/loopback_cluster.h
+++ b/tests/loopback_cluster.h
@@ -21,24 +21,42 @@
   }
 };
 
-class Site : public ::testing::Test {
+class LoopbackCluster : public ::testing::Test {
  protected:
   void SetUp() override { spdlog::set_level(spdlog::level::off); }
 
   void start_controller(const std::string& label) {
-    Settings s;
-    s.label = label, s.zone = "a", s.listen = s.peer_listen = "127.0.0.1:0";
-    s.cloud = cloud.address(), s.state = state.address(), s.zones = {"a", "b"};
-    s.teams = {{"x", 16, 64, 0, 0}};
-    s.report_s = 0.5, s.lease_s = 8, s.gang_wait_s = 20, s.gang_peer_s = 4, s.cancel_s = cancel_s;
-    s.state_rps = 1000, s.state_write_rps = 500, s.value_kb = 16, s.txn_ops = 12, s.cloud_rps = 10,
-    s.list_lag_s = 1;
-    s.next = limits, s.peers = others;
-    auto& c = controllers[label];
-    c = std::make_unique<Controller>(loop, s, load_operator(""));
-    c->start();
-    ports[label] = c->port();
-    clients[label] = std::make_unique<http::Client>(loop, "127.0.0.1:" + std::to_string(c->port()), 4, 100);
+    auto& controller = controllers[label];
+    controller = std::make_unique<Controller>(loop, settings_of(label), load_operator(""));
+    controller->start();
+    ports[label] = controller->port();
+    clients[label] =
+        std::make_unique<http::Client>(loop, "127.0.0.1:" + std::to_string(controller->port()), 4, 100);
+  }
+  Settings settings_of(const std::string& label) {
+    Settings settings;
+    settings.label = label;
+    settings.zone = "a";
+    settings.listen = "127.0.0.1:0";
+    settings.peer_listen = "127.0.0.1:0";
+    settings.cloud = cloud.address();
+    settings.state = state.address();
+    settings.zones = {"a", "b"};
+    settings.teams = {{"x", 16, 64, 0, 0}};
+    settings.report_s = 0.5;
+    settings.lease_s = 8;
+    settings.gang_wait_s = 20;
+    settings.gang_peer_s = 4;
+    settings.cancel_s = cancel_s;
+    settings.state_rps = 1000;
+    settings.state_write_rps = 500;
+    settings.value_kb = 16;
+    settings.txn_ops = 12;
+    settings.cloud_rps = 10;
+    settings.list_lag_s = 1;
+    settings.next = limits;
+    settings.peers = others;
+    return settings;
   }
   void stop_controller(const std::string& label) {
     clients.erase(label);
@@ -47,7 +65,10 @@
   void add_worker(const std::string& name, const std::string& zone, double run_s) {
     registry.invent = [run_s](const std::string& id) {
       simulation::Work work;
-      work.spec.id = id, work.spec.tasks = 1000, work.spec.need = {4, 0, 4}, work.run_s = {run_s};
+      work.spec.id = id;
+      work.spec.tasks = 1000;
+      work.spec.need = {4, 0, 4};
+      work.run_s = {run_s};
       return work;
     };
     std::map<std::string, std::string> all;
@@ -69,8 +90,10 @@
                     const std::string& body) {
     http::Result result;
     bool told = false;
-    clients.at(label)->request(method, path, body, 5,
-                               [&](http::Result r) { result = std::move(r), told = true; });
+    clients.at(label)->request(method, path, body, 5, [&](http::Result reply) {
+      result = std::move(reply);
+      told = true;
+    });
     wait_for([&] { return told; });
     return result;
   }
@@ -91,7 +114,8 @@
     auto body = codec::unpack(r.body);
     return r.status == 200 && body ? body->value("phase", "") : std::to_string(r.status);
   }
-  /// As by a controller that told the user and was gone before it could tell any other. When: s, steady.
+  /// As by a controller that answered the user and was gone before it could tell any other. Gives s of the
+  /// steady clock.
   double cancelled_elsewhere(const std::string& id) {
     auto record = state.values().at("a/" + id);
     record["c"] = 1;
--- a/tests/peer_exchange_test.cc
+++ b/tests/peer_exchange_test.cc
@@ -1,5 +1,5 @@
-// What controllers tell each other of cancels: every name once, all of them again to a new life, and nothing
-// that a peer says can end a controller or be taken for what it is not.
+// What controllers tell each other of cancels: every one once, all of them again to a new incarnation, and
+// nothing that a peer says can end a controller or be taken for what it is not.
 #include "peer_exchange.h"
 
 #include <gtest/gtest.h>
@@ -12,37 +12,40 @@
 
 using codec::Json;
 
-struct PeersTest : ::testing::Test {
-  struct One {
+struct PeerExchangeTest : ::testing::Test {
+  struct Controller {
     std::multiset<std::string> cancelled;
-    double heard = -1e9, youngest = 0;
-    double settled = -1e9;
+    double acknowledged_at = kLongAgo;
+    double barrier_at = kLongAgo;
     std::unique_ptr<CancelGossip> cancel_gossip;
     std::unique_ptr<FanInMembership> membership;
     std::unique_ptr<PeerExchange> peers;
   };
   Loop loop;
-  One asks, tells;
+  Controller asks;
+  Controller tells;
   void SetUp() override { spdlog::set_level(spdlog::level::off); }
-  void start(One& one, const std::string& label, std::vector<PeerAddress> others, double mem_mb = 56) {
-    Settings s;
-    s.label = label, s.peer_listen = "127.0.0.1:0", s.cancel_s = 30, s.mem_mb = mem_mb,
-    s.peers = std::move(others);
-    PeerExchange::Callbacks hooks;
-    hooks.state_age = [] { return 0.0; };
-    hooks.newer_term = [](std::uint64_t) {};
-    hooks.view = [](const codec::JobView&) {};
+  void start(Controller& one, const std::string& label, std::vector<PeerAddress> others, double mem_mb = 56) {
+    Settings settings;
+    settings.label = label;
+    settings.peer_listen = "127.0.0.1:0";
+    settings.cancel_s = 30;
+    settings.mem_mb = mem_mb;
+    settings.peers = std::move(others);
+    PeerExchange::Callbacks callbacks;
+    callbacks.state_age = [] { return 0.0; };
+    callbacks.newer_term = [](std::uint64_t) {};
+    callbacks.view = [](const codec::JobView&) {};
     CancelGossip::Callbacks gossip;
     gossip.cancelled = [&one](const std::vector<std::string>& jobs) {
       one.cancelled.insert(jobs.begin(), jobs.end());
     };
-    gossip.all_acknowledged = [&one](double asked_at, double youngest) {
-      one.heard = asked_at, one.youngest = youngest;
-    };
-    hooks.dependency_barrier_at = [&one] { return one.settled; };
-    one.cancel_gossip = std::make_unique<CancelGossip>(s, gossip);
-    one.membership = std::make_unique<FanInMembership>(s, [](const std::vector<std::string>&) {});
-    one.peers = std::make_unique<PeerExchange>(loop, s, *one.cancel_gossip, *one.membership, hooks);
+    gossip.all_acknowledged = [&one](double asked_at, double) { one.acknowledged_at = asked_at; };
+    callbacks.dependency_barrier_at = [&one] { return one.barrier_at; };
+    one.cancel_gossip = std::make_unique<CancelGossip>(settings, gossip);
+    one.membership = std::make_unique<FanInMembership>(settings, [](const std::vector<std::string>&) {});
+    one.peers =
+        std::make_unique<PeerExchange>(loop, settings, *one.cancel_gossip, *one.membership, callbacks);
   }
   void pair(double mem_mb = 56) {
     start(tells, "tells", {}, mem_mb);
@@ -70,29 +73,29 @@
 };
 
 // 2,000 within a moment, as when the users of a fleet give up on an outage: each name is heard, sent once,
-// and the peer still vouches.
-TEST_F(PeersTest, ThousandsOfCancelsAreToldOnceEachAndTheTellerGoesOnVouching) {
+// and the peer still acknowledges.
+TEST_F(PeerExchangeTest, ThousandsOfCancelsAreSentOnceEachAndStayAcknowledged) {
   pair();
   for (int i = 0; i < 2000; ++i) tells.cancel_gossip->accept(id(i));
   ASSERT_TRUE(wait_for([&] { return asks.cancelled.size() >= 2000; }));
   double since = steady_now();
-  ASSERT_TRUE(wait_for([&] { return asks.heard > since; }));
+  ASSERT_TRUE(wait_for([&] { return asks.acknowledged_at > since; }));
   EXPECT_EQ(asks.cancelled.size(), 2000u);
   for (int i = 0; i < 2000; ++i) EXPECT_EQ(asks.cancelled.count(id(i)), 1u);
   tells.cancel_gossip->accept(id(2000));
   EXPECT_TRUE(wait_for([&] { return asks.cancelled.count(id(2000)) == 1; }));
 }
 
-TEST_F(PeersTest, WhoLosesANameForWantOfRoomDoesNotVouch) {
+TEST_F(PeerExchangeTest, APeerThatLostACancelForWantOfRoomDoesNotAcknowledge) {
   pair(0);  // room for 500
-  ASSERT_TRUE(wait_for([&] { return asks.heard > 0; }));
+  ASSERT_TRUE(wait_for([&] { return asks.acknowledged_at > 0; }));
   for (int i = 0; i < 700; ++i) tells.cancel_gossip->accept(id(i));
   double since = steady_now();
-  EXPECT_FALSE(wait_for([&] { return asks.heard > since; }, 3));
+  EXPECT_FALSE(wait_for([&] { return asks.acknowledged_at > since; }, 3));
 }
 
 // A former version asks without numbers: it gets as many as it used to take, and is told when there are more.
-TEST_F(PeersTest, AFormerVersionGetsTheListItKnows) {
+TEST_F(PeerExchangeTest, AFormerVersionGetsTheListItKnows) {
   pair();
   for (int i = 0; i < 3; ++i) tells.cancel_gossip->accept(id(i));
   auto few = *codec::unpack(sync({{"label", "old"}, {"term", 0}}).body);
@@ -104,7 +107,7 @@
   EXPECT_TRUE(many["overflow"]);
 }
 
-TEST_F(PeersTest, ANewLifeIsAskedForAllThatItKnows) {
+TEST_F(PeerExchangeTest, ANewIncarnationIsAskedForAllItsCancels) {
   pair();
   for (int i = 0; i < 5; ++i) tells.cancel_gossip->accept(id(i));
   ASSERT_TRUE(wait_for([&] { return asks.cancelled.size() == 5; }));
@@ -117,15 +120,15 @@
   EXPECT_EQ(numbered(1000, boot), 0u);
 }
 
-TEST_F(PeersTest, WhatIsSettledIsHeardAsNoLaterThanItIsMeant) {
+TEST_F(PeerExchangeTest, ADependencyBarrierIsNeverHeardLaterThanItStands) {
   pair();
-  tells.settled = steady_now() - 7;
+  tells.barrier_at = steady_now() - 7;
   ASSERT_TRUE(wait_for([&] { return asks.peers->dependency_barrier_at() > 0; }));
-  EXPECT_LE(asks.peers->dependency_barrier_at(), tells.settled + 0.001);
-  EXPECT_GT(asks.peers->dependency_barrier_at(), tells.settled - 3);
+  EXPECT_LE(asks.peers->dependency_barrier_at(), tells.barrier_at + 0.001);
+  EXPECT_GT(asks.peers->dependency_barrier_at(), tells.barrier_at - 3);
 }
 
-TEST_F(PeersTest, JunkIsNeitherTrustedNorTheEndOfAnybody) {
+TEST_F(PeerExchangeTest, MalformedMessagesAreNeitherTrustedNorFatal) {
   pair();
   const std::vector<Json> junk = {
       Json::array({1, 2}),
@@ -141,7 +144,7 @@
     int status = sync(body).status;
     EXPECT_TRUE(status == 200 || status == 400) << body;
   }
-  // An answer with junk among its cancels: the names that can be are heard, and it vouches for nothing.
+  // An answer with junk among its cancels: the names that can be are heard, and it acknowledges nothing.
   http::Server liar(loop, "127.0.0.1:0", 8, [&liar](http::Server::ConnectionId c, http::Request) {
     liar.respond(c, {200,
                      codec::pack(Json{{"boot", 1},
@@ -152,14 +155,51 @@
                                       {"cancels", {3, "sheet 7", "run-000001", nullptr}}}),
                      0, false});
   });
-  One hears;
+  Controller hears;
   start(hears, "hears", {{"liar", "a", "127.0.0.1:" + std::to_string(liar.port())}});
   hears.peers->start();
   ASSERT_TRUE(wait_for([&] { return hears.cancelled.count("run-000001") > 0; }));
-  EXPECT_FALSE(wait_for([&] { return hears.heard > 0; }, 2));
+  EXPECT_FALSE(wait_for([&] { return hears.acknowledged_at > 0; }, 2));
   EXPECT_LT(hears.peers->dependency_barrier_at(), 0);
   EXPECT_EQ(hears.cancelled.size(), hears.cancelled.count("run-000001"));
 }
 
+// Former versions read these fields.
+TEST(SyncMessage, ARequestKeepsItsFormOnTheWire) {
+  SyncRequest request;
+  request.status = {"c1", 7, 0.5, "c2", 4, true, FanInAnnouncement{4, 2, {"c1", "c3"}}, 1.5};
+  request.acknowledged = CancelAcknowledgement{9, 12};
+  request.views = {{"run-1", "running", 3, 2, "why"}};
+  Json expected = {{"label", "c1"},
+                   {"boot", 7u},
+                   {"state_age", 0.5},
+                   {"leader", "c2"},
+                   {"term", 4u},
+                   {"serves", true},
+                   {"serving", {{"term", 4u}, {"number", 2u}, {"labels", {"c1", "c3"}}}},
+                   {"settled_age", 1.5},
+                   {"told", 12u},
+                   {"told_by", 9u},
+                   {"jobs", Json::array({Json::array({"run-1", "running", 3, 2, "why"})})}};
+  EXPECT_EQ(pack(request), codec::pack(expected));
+}
+
+TEST(SyncMessage, AnAnswerKeepsItsFormOnTheWire) {
+  SyncAnswer answer;
+  answer.status.label = "c1";
+  answer.status.incarnation = 7;
+  answer.status.state_age = 0.5;
+  answer.status.takes_batches = true;
+  Json expected = {{"label", "c1"}, {"boot", 7u},     {"state_age", 0.5},         {"leader", ""},
+                   {"term", 0u},    {"serves", true}, {"cancels", Json::array()}, {"told", 3u}};
+  answer.last_cancel = 3;
+  EXPECT_EQ(pack(answer), codec::pack(expected));
+  answer.cancels = {"run-000001"};
+  answer.cancels_lost = true;
+  expected["cancels"] = {"run-000001"};
+  expected["overflow"] = true;
+  EXPECT_EQ(pack(answer), codec::pack(expected));
+}
+
 }  // namespace
 }  // namespace corkmux
--- a/tests/shutdown_test.cc
+++ b/tests/shutdown_test.cc
@@ -16,7 +16,7 @@
 
 namespace fs = std::filesystem;
 
-TEST_F(Site, AnOrderlyEndHandsLeadershipOnBeforeItIsOver) {
+TEST_F(LoopbackCluster, AnOrderlyEndHandsLeadershipOnBeforeItIsOver) {
   start_controller("one");
   ASSERT_TRUE(wait_for([&] { return leader() == "one"; }));
   start_controller("two");
@@ -40,7 +40,7 @@
   for (const auto& [part, n] : starts) EXPECT_EQ(n, 1) << part << " was started again";
 }
 
-TEST_F(Site, AWriteThatIsStillUnansweredAtAnOrderlyEndIsShutOut) {
+TEST_F(LoopbackCluster, AWriteThatIsStillUnansweredAtAnOrderlyEndIsShutOut) {
   start_controller("one");
   ASSERT_TRUE(wait_for([&] { return leader() == "one"; }));
   add_worker("n-1", "a", 1);
@@ -59,7 +59,7 @@
   for (const auto& [part, n] : starts) EXPECT_EQ(n, 1) << part;
 }
 
-TEST_F(Site, AnOrderlyEndIsBoundedWhileTheStateServiceIsSilent) {
+TEST_F(LoopbackCluster, AnOrderlyEndIsBoundedWhileTheStateServiceIsSilent) {
   start_controller("one");
   ASSERT_TRUE(wait_for([&] { return leader() == "one"; }));
   state.mute = true;
@@ -104,7 +104,7 @@
   std::optional<int> status;
 };
 
-TEST_F(Site, TheProgramEndsInOrderWithStatusZeroAndLeavesNoGrantBehind) {
+TEST_F(LoopbackCluster, TheProgramEndsInOrderWithStatusZeroAndLeavesNoGrantBehind) {
   Program program(platform_settings(state.address(), cloud.address()));
   ASSERT_TRUE(wait_for([&] { return program.log().find("jobs loaded") != std::string::npos; }))
       << program.log();
@@ -116,7 +116,7 @@
   EXPECT_NE(program.log().find("ended in order"), std::string::npos) << program.log();
 }
 
-TEST_F(Site, TheProgramSaysWhatItWaitsForAndASecondSignalEndsItAtOnce) {
+TEST_F(LoopbackCluster, TheProgramSaysWhatItWaitsForAndASecondSignalEndsItAtOnce) {
   state.down = true;
   Program program(platform_settings(state.address(), "127.0.0.1:1"));
   ASSERT_TRUE(wait_for([&] {
@@ -128,7 +128,7 @@
 
 // Guards against an optional interface that takes the scheduler down with it: once its address could not be
 // had, every controller ended again and again and nothing ran.
-TEST_F(Site, TheProgramGoesOnWhereTheAddressOfAnotherInterfaceCannotBeHad) {
+TEST_F(LoopbackCluster, TheProgramGoesOnWhereTheAddressOfAnotherInterfaceCannotBeHad) {
   http::Server taken(loop, "127.0.0.1:0", 4, [](http::Server::ConnectionId, http::Request) {});
   Program program(platform_settings(state.address(), cloud.address()),
                   "kubernetes { listen: '127.0.0.1:" + std::to_string(taken.port()) +
@@ -141,7 +141,7 @@
   EXPECT_TRUE(WIFEXITED(*program.status) && WEXITSTATUS(*program.status) == 0) << *program.status;
 }
 
-TEST_F(Site, ASecondSignalEndsTheProgramAtOnce) {
+TEST_F(LoopbackCluster, ASecondSignalEndsTheProgramAtOnce) {
   Program program(platform_settings(state.address(), cloud.address()));
   ASSERT_TRUE(wait_for([&] { return program.log().find("jobs loaded") != std::string::npos; }))
       << program.log();
--- a/tests/store_relay_test.cc
+++ b/tests/store_relay_test.cc
@@ -1,5 +1,5 @@
-// Mail between controllers that only the state service joins: everything arrives once, bounded in size and
-// rate, and what cannot be sent is given up at once.
+// Messages between controllers that only the state service joins: everything arrives once, bounded in size
+// and rate, and what cannot be sent is given up at once.
 #include "store_relay.h"
 
 #include <gtest/gtest.h>
@@ -11,7 +11,7 @@
 
 using codec::Json;
 
-struct MailTest : ::testing::Test {
+struct StoreRelayTest : ::testing::Test {
   Loop loop;
   simulation::State state{loop};
   StateClient client{loop, state.address()};
@@ -19,16 +19,18 @@
   std::unique_ptr<StoreRelay> near, far;
   std::string answer_with;
   void SetUp() override {
-    Settings s;
-    s.value_kb = 8, s.state_write_rps = 500, s.next = {500, 8, 12};
+    Settings settings;
+    settings.value_kb = 8;
+    settings.state_write_rps = 500;
+    settings.next = {500, 8, 12};
     auto echo = [this](std::string body, LeaderReplyCallback reply) {
       delivered.push_back(*codec::unpack(body));
       reply(LeaderReply::answered(answer_with.empty() ? body : answer_with));
     };
-    s.label = "near";
-    near = std::make_unique<StoreRelay>(loop, s, client, echo);
-    s.label = "far";
-    far = std::make_unique<StoreRelay>(loop, s, client, echo);
+    settings.label = "near";
+    near = std::make_unique<StoreRelay>(loop, settings, client, echo);
+    settings.label = "far";
+    far = std::make_unique<StoreRelay>(loop, settings, client, echo);
   }
   static Json report(int i) { return {{"host", "n-" + std::to_string(i)}, {"parts", std::string(300, 'x')}}; }
   void run_until(const std::function<bool()>& condition) {
@@ -37,7 +39,7 @@
   }
 };
 
-TEST_F(MailTest, CarriesReportsOfAWholeZoneAndTheirAnswersInRecordsThatFit) {
+TEST_F(StoreRelayTest, RelaysHeartbeatsOfAWholeZoneAndTheirAnswersInRecordsThatFit) {
   far->accept_requests(true);
   int answered = 0, wrong = 0;
   for (int i = 0; i < 200; ++i)
@@ -59,8 +61,8 @@
   EXPECT_LE(records, 16u);  // a few slots each way, however much was sent
 }
 
-// Between controllers that read the second form a report takes a fraction of its size, and says the same.
-TEST_F(MailTest, IsBriefBetweenControllersThatReadIt) {
+// Between controllers that read the compact form a heartbeat takes a fraction of its size, and says the same.
+TEST_F(StoreRelayTest, IsCompactBetweenControllersThatReadIt) {
   state.put("v/far", {{"f", 2}});
   far->accept_requests(true);
   Json full = {{"host", "n-000231"}, {"address", "10.1.0.232:9000"},
@@ -79,7 +81,7 @@
                           {{"verb", "halt"}, {"part", "run-000412/1"}, {"try", 4194320}, {"mercyS", 10}},
                           {{"verb", "clear"}, {"part", "run-000399/7"}, {"try", 5}}}}};
   answer_with = codec::pack(command_batch);
-  // The first may be sent before it is known who reads the brief form.
+  // The first may be sent before it is known who reads the compact form.
   for (int n = 0; n < 3; ++n) {
     Json answer;
     bool told = false;
@@ -105,8 +107,8 @@
   EXPECT_LT(codec::compact_heartbeat(full).dump().size() * 2, full.dump().size());
 }
 
-// A controller that does not lead takes no reports from others, whoever they thought it was.
-TEST_F(MailTest, OnlyOneThatServesIsDeliveredRequests) {
+// A controller that does not lead takes no heartbeats from others, whoever they thought it was.
+TEST_F(StoreRelayTest, OnlyALeaderIsDeliveredRequests) {
   int status = -1;
   near->request("far", codec::pack(report(1)),
                 [&](const LeaderReply& reply) { status = reply.wire_status(); });
@@ -115,8 +117,8 @@
   EXPECT_TRUE(delivered.empty());
 }
 
-// The worker behind a report waits 4 s: in an outage it must hear at once that nothing is sent.
-TEST_F(MailTest, GivesUpWhenTheStateServiceIsAway) {
+// The worker behind a heartbeat waits 4 s: in an outage it must hear at once that nothing is sent.
+TEST_F(StoreRelayTest, GivesUpWhenTheStateServiceIsAway) {
   far->accept_requests(true);
   state.down = true;
   int status = -1;
