--- a/src/scheduler/job_index.h
+++ b/src/scheduler/job_index.h
@@ -1,6 +1,9 @@
-// Which jobs a pass has to look at, kept as jobs and tasks change: those that wait, those that a promise is
-// open for, what each team runs, and how far its guarantee reaches. So a pass costs what the queue is long,
-// however much runs. Teams are given once. A job is in the index under its address until it is removed.
+// Which jobs a scheduling cycle has to look at, kept up as jobs and tasks change, so that a cycle costs what
+// the queue is long, however much runs.
+//
+// Owns the sets of jobs that wait, of those whose admission within a guarantee is open or granted, and per
+// team of those that run, within its guarantee and over it. It is told of every change and decides nothing.
+// Teams are given once. A job is in the index under its address until it is removed.
 #pragma once
 #include <array>
 #include <cstdint>
@@ -19,7 +22,7 @@
 
 /// As they were accepted; of the same moment by name.
 struct ByOrder {
-  bool operator()(const Job* a, const Job* b) const;
+  bool operator()(const Job* left, const Job* right) const;
 };
 using JobSet = std::set<Job*, ByOrder>;
 
@@ -27,19 +30,25 @@
  public:
   /// What the index holds of a job; kept in the job, written by the index only.
   struct Indexed {
-    bool ready = false, waiting = false, promising = false, running = false;
+    bool ready = false;
+    bool waiting = false;
+    bool promising = false;
+    bool running = false;
     bool guaranteed = false;  // with all its team accepted before, it is within the team's guarantee
-    int accelerator_user = -1, stoppable = -1;  // the priority it counts under
+    std::optional<Priority> accelerator_user;  // the priority it counts under
+    std::optional<Priority> stoppable;         // the priority it counts under
   };
 
   explicit JobIndex(const std::vector<Team>& teams);
   /// Something of it has changed.
   void update(Job& job);
+  /// The job is gone.
   void remove(Job& job);
 
   const JobSet& waiting() const { return waiting_; }
+  /// Jobs whose admission within a guarantee is granted, or open while they could run.
   const JobSet& promising() const { return promising_; }
-  /// Of a team's jobs with tasks on machines, those within its guarantee or those beyond.
+  /// Of a team's jobs with tasks on machines, those within its guarantee or those over it.
   const JobSet& running(const std::string& team, bool guaranteed) const;
   /// The highest priority of what could use accelerators; none if nothing could.
   std::optional<Priority> accelerator_users() const;
@@ -49,25 +58,30 @@
   std::uint64_t steps() const { return steps_; }
 
  private:
-  /// The jobs that could run, in order. Those from the first on that the guarantee holds together are within
-  /// it; `beyond` is the first that is not.
+  using CountByPriority = std::array<int, 4>;
+  /// A team's jobs that could run, in order. Those from the first on that the guarantee holds together are
+  /// within it.
   struct Ledger {
     Team team;
     JobSet jobs;
-    JobSet::iterator beyond;
-    Resources within;
-    std::array<JobSet, 2> running;
-    explicit Ledger(Team t) : team(std::move(t)), beyond(jobs.end()) {}
+    JobSet::iterator over_guarantee;  // the first that is not within
+    Resources within;                 // what those within need together
+    std::array<JobSet, 2> running;    // over the guarantee, and within it
+    explicit Ledger(Team of) : team(std::move(of)), over_guarantee(jobs.end()) {}
     Ledger(const Ledger&) = delete;
     Ledger& operator=(const Ledger&) = delete;
   };
-  void enter(Ledger& l, Job& job);
-  void leave(Ledger& l, Job& job);
-  void mark(Ledger& l, Job& job, bool guaranteed);
+  void enter(Ledger& ledger, Job& job);
+  void leave(Ledger& ledger, Job& job);
+  void set_guaranteed(Ledger& ledger, Job& job, bool guaranteed);
+  static void count(CountByPriority& counts, std::optional<Priority>& counted_under,
+                    std::optional<Priority> priority);
 
   std::map<std::string, Ledger> teams_;
-  JobSet waiting_, promising_;
-  std::array<int, 4> accelerator_users_{}, stoppable_{};
+  JobSet waiting_;
+  JobSet promising_;
+  CountByPriority accelerator_users_{};
+  CountByPriority stoppable_{};
   std::uint64_t steps_ = 0;
 };
 
--- a/tests/placement_test.cc
+++ b/tests/placement_test.cc
@@ -21,65 +21,65 @@
                             {"gpu", {16, 4, 64}, 50, 1, 5, 2, 10, {"a", "b"}}});
     int n = 4 + static_cast<int>(rng() % 8);
     for (int i = 0; i < n; ++i) {
-      Heartbeat r;
-      r.machine = "n-" + std::to_string(i);
-      r.address = "x";
-      r.type = rng() % 2 ? "plain" : "gpu";
-      r.zone = rng() % 2 ? "a" : "b";
-      r.spot = rng() % 4 == 0;
-      r.worker_epoch = 1;
-      r.seq = 1;
-      auto first = scheduler->on_heartbeat(r, Scheduler::Channel::Heartbeat, 0);
-      r.seq = 2;
-      r.fencing_token = first.fencing_token;
-      scheduler->on_heartbeat(r, Scheduler::Channel::Heartbeat, 0);
+      Heartbeat heartbeat;
+      heartbeat.machine = "n-" + std::to_string(i);
+      heartbeat.address = "x";
+      heartbeat.type = rng() % 2 ? "plain" : "gpu";
+      heartbeat.zone = rng() % 2 ? "a" : "b";
+      heartbeat.spot = rng() % 4 == 0;
+      heartbeat.worker_epoch = 1;
+      heartbeat.seq = 1;
+      auto first = scheduler->on_heartbeat(heartbeat, Scheduler::Channel::Heartbeat, 0);
+      heartbeat.seq = 2;
+      heartbeat.fencing_token = first.fencing_token;
+      scheduler->on_heartbeat(heartbeat, Scheduler::Channel::Heartbeat, 0);
     }
   }
   JobSpec job(int n) {
-    JobSpec s;
-    s.id = "run-" + std::to_string(n);
-    s.team = rng() % 2 ? "x" : "y";
-    s.kind = static_cast<JobKind>(rng() % 3);
-    s.priority = static_cast<Priority>(rng() % 4);
-    s.tasks = 1 + static_cast<int>(rng() % 6);
-    s.need = {static_cast<double>(1 + rng() % 10), rng() % 3 == 0 ? 1.0 : 0.0,
-              static_cast<double>(1 + rng() % 30)};
-    s.image = "i" + std::to_string(rng() % 3);
-    s.image_gb = 2;
-    if (rng() % 4 == 0) s.types = {{rng() % 2 ? "plain" : "gpu"}};
-    if (rng() % 4 == 0) s.zone = rng() % 2 ? "a" : "b";
-    s.one_zone = rng() % 3 == 0;
-    s.spread = !s.one_zone && rng() % 4 == 0;
-    s.spot = rng() % 2;
-    return s;
+    JobSpec spec;
+    spec.id = "run-" + std::to_string(n);
+    spec.team = rng() % 2 ? "x" : "y";
+    spec.kind = static_cast<JobKind>(rng() % 3);
+    spec.priority = static_cast<Priority>(rng() % 4);
+    spec.tasks = 1 + static_cast<int>(rng() % 6);
+    spec.need = {static_cast<double>(1 + rng() % 10), rng() % 3 == 0 ? 1.0 : 0.0,
+                 static_cast<double>(1 + rng() % 30)};
+    spec.image = "i" + std::to_string(rng() % 3);
+    spec.image_gb = 2;
+    if (rng() % 4 == 0) spec.types = {{rng() % 2 ? "plain" : "gpu"}};
+    if (rng() % 4 == 0) spec.zone = rng() % 2 ? "a" : "b";
+    spec.one_zone = rng() % 3 == 0;
+    spec.spread = !spec.one_zone && rng() % 4 == 0;
+    spec.spot = rng() % 2;
+    return spec;
   }
 };
 
-bool plainly_allowed(const JobSpec& s, const Machine& m) {
-  bool type = !s.types;
-  if (s.types)
-    for (const auto& t : *s.types) type |= t == m.type;
-  return type && (!s.zone || *s.zone == m.zone) && (s.spot || !m.spot);
+bool plainly_allowed(const JobSpec& spec, const Machine& machine) {
+  bool type = !spec.types;
+  if (spec.types)
+    for (const auto& t : *spec.types) type |= t == machine.type;
+  return type && (!spec.zone || *spec.zone == machine.zone) && (spec.spot || !machine.spot);
 }
 
 TEST(Placement, IsAllowedWithinLimitsAndLeavesNothingThatFits) {
   int starts = 0, waits = 0;
   for (unsigned seed = 1; seed <= 300; ++seed) {
-    ClusterSimulation w(seed);
-    int jobs = 3 + static_cast<int>(w.rng() % 12);
+    ClusterSimulation simulation(seed);
+    int jobs = 3 + static_cast<int>(simulation.rng() % 12);
     for (int i = 0; i < jobs; ++i)
-      w.scheduler->put_job(w.job(i), static_cast<std::uint64_t>(i + 1), false, 0);
-    for (int pass = 0; pass < 5; ++pass) w.scheduler->schedule(0);
+      simulation.scheduler->put_job(simulation.job(i), static_cast<std::uint64_t>(i + 1), false, 0);
+    for (int pass = 0; pass < 5; ++pass) simulation.scheduler->schedule(0);
 
     std::map<std::string, Resources> used, team;
-    for (const auto& [id, job] : w.scheduler->jobs()) {
+    for (const auto& [id, job] : simulation.scheduler->jobs()) {
       std::map<std::string, int> zones;
       for (const auto& [i, a] : job.active) {
-        const Machine& m = *w.scheduler->machine(a.machine);
-        ASSERT_TRUE(plainly_allowed(job.spec, m)) << seed;
-        used[m.name] += job.spec.need;
+        const Machine& machine = *simulation.scheduler->machine(a.machine);
+        ASSERT_TRUE(plainly_allowed(job.spec, machine)) << seed;
+        used[machine.name] += job.spec.need;
         team[job.spec.team] += job.spec.need;
-        ++zones[m.zone];
+        ++zones[machine.zone];
         ++starts;
       }
       if (job.spec.one_zone) {
@@ -95,30 +95,30 @@
         ASSERT_LE(attempts.size(), 1u) << seed;
       }
     }
-    for (const auto& [name, u] : used) ASSERT_TRUE(u.fits(w.scheduler->machine(name)->size)) << seed;
+    for (const auto& [name, u] : used) ASSERT_TRUE(u.fits(simulation.scheduler->machine(name)->size)) << seed;
     ASSERT_LE(team["x"].cpus, 90) << seed;
     ASSERT_LE(team["y"].cpus, 200) << seed;
     ASSERT_LE(team["y"].gpus, 12) << seed;
 
-    for (const auto& [id, job] : w.scheduler->jobs()) {
+    for (const auto& [id, job] : simulation.scheduler->jobs()) {
       if (!job.queued || job.spec.kind == JobKind::Gang || job.spec.spread || job.spec.one_zone) continue;
       // Kept free on purpose: room under a limit for a more urgent job of the team, room made for one on
       // machines, and accelerators for work that needs them.
       bool more_urgent = false;
-      for (const auto& [other_id, other] : w.scheduler->jobs())
+      for (const auto& [other_id, other] : simulation.scheduler->jobs())
         more_urgent |= other.queued > 0 && other.spec.priority > job.spec.priority;
       if (more_urgent) continue;
       Resources t = team[job.spec.team];
       t += job.spec.need;
       if (t.cpus > (job.spec.team == "x" ? 90 : 200) || (job.spec.team == "y" && t.gpus > 12)) continue;
-      for (const auto& [name, m] : w.scheduler->machines()) {
-        if (m.size.gpus > 0 && job.spec.need.gpus <= 0) continue;
-        Resources room = m.size;
+      for (const auto& [name, machine] : simulation.scheduler->machines()) {
+        if (machine.size.gpus > 0 && job.spec.need.gpus <= 0) continue;
+        Resources room = machine.size;
         room -= used[name];
-        ASSERT_FALSE(plainly_allowed(job.spec, m) && job.spec.need.fits(room))
+        ASSERT_FALSE(plainly_allowed(job.spec, machine) && job.spec.need.fits(room))
             << seed << " " << id << " on " << name;
       }
-      EXPECT_FALSE(w.scheduler->reason(job).empty());
+      EXPECT_FALSE(simulation.scheduler->reason(job).empty());
       ++waits;
     }
   }
@@ -131,20 +131,31 @@
   config.teams = {{"x", 0, 0, 0, 0}};
   Scheduler scheduler(config, 1, 0, 3);
   scheduler.set_catalog({{"plain", {16, 0, 64}, 50, 1, 1, 1, 10, {"a"}}});
-  Heartbeat r;
-  r.machine = "n-1", r.address = "x", r.type = "plain", r.zone = "a", r.worker_epoch = 1, r.seq = 1;
-  auto first = scheduler.on_heartbeat(r, Scheduler::Channel::Heartbeat, 0);
+  Heartbeat heartbeat;
+  heartbeat.machine = "n-1";
+  heartbeat.address = "x";
+  heartbeat.type = "plain";
+  heartbeat.zone = "a";
+  heartbeat.worker_epoch = 1;
+  heartbeat.seq = 1;
+  auto first = scheduler.on_heartbeat(heartbeat, Scheduler::Channel::Heartbeat, 0);
   // Nothing is placed on a machine that has not yet obeyed our token.
-  JobSpec s;
-  s.team = "x", s.kind = JobKind::Array, s.need = {16, 0, 1}, s.image = "i";
-  s.id = "run-low", s.priority = Priority::Low;
-  scheduler.put_job(s, 1, false, 0);
-  s.id = "run-high", s.priority = Priority::High;
-  scheduler.put_job(s, 2, false, 0);
+  JobSpec spec;
+  spec.team = "x";
+  spec.kind = JobKind::Array;
+  spec.need = {16, 0, 1};
+  spec.image = "i";
+  spec.id = "run-low";
+  spec.priority = Priority::Low;
+  scheduler.put_job(spec, 1, false, 0);
+  spec.id = "run-high";
+  spec.priority = Priority::High;
+  scheduler.put_job(spec, 2, false, 0);
   scheduler.schedule(0);
   EXPECT_TRUE(scheduler.job("run-high")->active.empty());
-  r.seq = 2, r.fencing_token = first.fencing_token;
-  scheduler.on_heartbeat(r, Scheduler::Channel::Heartbeat, 0);
+  heartbeat.seq = 2;
+  heartbeat.fencing_token = first.fencing_token;
+  scheduler.on_heartbeat(heartbeat, Scheduler::Channel::Heartbeat, 0);
   scheduler.schedule(0);
   EXPECT_EQ(scheduler.job("run-high")->active.size(), 1u);
   EXPECT_TRUE(scheduler.job("run-low")->active.empty());
@@ -161,18 +172,30 @@
     Scheduler scheduler(config, 1, 0, 3);
     scheduler.set_catalog({{"plain", {16, 0, 64}, 50, 1, 1, 1, 10, {"a"}}});
     for (int i = 0; i < 2; ++i) {
-      Heartbeat r;
-      r.machine = "n-" + std::to_string(i), r.address = "x", r.type = "plain", r.zone = "a";
-      r.worker_epoch = 1, r.seq = 1;
-      r.fencing_token = scheduler.on_heartbeat(r, Scheduler::Channel::Heartbeat, 0).fencing_token, r.seq = 2;
-      scheduler.on_heartbeat(r, Scheduler::Channel::Heartbeat, 0);
+      Heartbeat heartbeat;
+      heartbeat.machine = "n-" + std::to_string(i);
+      heartbeat.address = "x";
+      heartbeat.type = "plain";
+      heartbeat.zone = "a";
+      heartbeat.worker_epoch = 1;
+      heartbeat.seq = 1;
+      heartbeat.fencing_token =
+          scheduler.on_heartbeat(heartbeat, Scheduler::Channel::Heartbeat, 0).fencing_token;
+      heartbeat.seq = 2;
+      scheduler.on_heartbeat(heartbeat, Scheduler::Channel::Heartbeat, 0);
     }
-    JobSpec s;
-    s.team = "x", s.job_class = "urgent", s.kind = JobKind::Gang, s.need = {16, 0, 1}, s.image = "i";
-    s.id = "run-first", s.tasks = first_tasks;
-    scheduler.put_job(s, 1, false, 0, first_age);
-    s.id = "run-second", s.tasks = second_tasks;
-    scheduler.put_job(s, 2, false, 0, second_age);
+    JobSpec spec;
+    spec.team = "x";
+    spec.job_class = "urgent";
+    spec.kind = JobKind::Gang;
+    spec.need = {16, 0, 1};
+    spec.image = "i";
+    spec.id = "run-first";
+    spec.tasks = first_tasks;
+    scheduler.put_job(spec, 1, false, 0, first_age);
+    spec.id = "run-second";
+    spec.tasks = second_tasks;
+    scheduler.put_job(spec, 2, false, 0, second_age);
     scheduler.schedule(0);
     return scheduler.job("run-first")->active.empty() ? "second" : "first";
   };
@@ -187,34 +210,43 @@
 // Guards against work that waits for ever though a machine has room and its team is under its limit: room is
 // kept for more urgent work of the team for a while only, since that may never fit.
 TEST(Placement, RoomUnderATeamsLimitIsKeptForAWhileOnly) {
-  ClusterSimulation w(1);
+  ClusterSimulation simulation(1);
   for (int i = 0; i < 20; ++i) {
-    Heartbeat r;
-    r.machine = "m-" + std::to_string(i), r.address = "x", r.type = "plain", r.zone = "a";
-    r.worker_epoch = r.seq = 1;
-    r.fencing_token = w.scheduler->on_heartbeat(r, Scheduler::Channel::Heartbeat, 0).fencing_token;
-    r.seq = 2;
-    w.scheduler->on_heartbeat(r, Scheduler::Channel::Heartbeat, 0);
+    Heartbeat heartbeat;
+    heartbeat.machine = "m-" + std::to_string(i);
+    heartbeat.address = "x";
+    heartbeat.type = "plain";
+    heartbeat.zone = "a";
+    heartbeat.worker_epoch = heartbeat.seq = 1;
+    heartbeat.fencing_token =
+        simulation.scheduler->on_heartbeat(heartbeat, Scheduler::Channel::Heartbeat, 0).fencing_token;
+    heartbeat.seq = 2;
+    simulation.scheduler->on_heartbeat(heartbeat, Scheduler::Channel::Heartbeat, 0);
   }
   auto put = [&](const char* id, JobKind kind, Priority priority, int tasks, double cpus) {
-    JobSpec s;
-    s.id = id, s.team = "x", s.image = "i", s.kind = kind, s.priority = priority, s.tasks = tasks;
-    s.need = {cpus, 0, 1};
-    w.scheduler->put_job(s, w.rng(), false, 0);
+    JobSpec spec;
+    spec.id = id;
+    spec.team = "x";
+    spec.image = "i";
+    spec.kind = kind;
+    spec.priority = priority;
+    spec.tasks = tasks;
+    spec.need = {cpus, 0, 1};
+    simulation.scheduler->put_job(spec, simulation.rng(), false, 0);
   };
   put("run-runs", JobKind::Gang, Priority::High, 4, 16);  // 64 of the team's 90
-  w.scheduler->schedule(0);
-  ASSERT_EQ(w.scheduler->job("run-runs")->active.size(), 4u);
+  simulation.scheduler->schedule(0);
+  ASSERT_EQ(simulation.scheduler->job("run-runs")->active.size(), 4u);
   put("run-waits", JobKind::Gang, Priority::High, 2, 16);
   put("run-small", JobKind::Array, Priority::Low, 3, 4);
   for (double now : {1.0, 45.0, 74.0}) {
-    for (int i = 0; i < 20; ++i) w.scheduler->machine("m-" + std::to_string(i))->last_heard = now;
-    w.scheduler->schedule(now);
-    EXPECT_TRUE(w.scheduler->job("run-small")->active.empty()) << now;
+    for (int i = 0; i < 20; ++i) simulation.scheduler->machine("m-" + std::to_string(i))->last_heard = now;
+    simulation.scheduler->schedule(now);
+    EXPECT_TRUE(simulation.scheduler->job("run-small")->active.empty()) << now;
   }
-  for (int i = 0; i < 20; ++i) w.scheduler->machine("m-" + std::to_string(i))->last_heard = 76;
-  w.scheduler->schedule(76);
-  EXPECT_EQ(w.scheduler->job("run-small")->active.size(), 1u);  // one task at a time
+  for (int i = 0; i < 20; ++i) simulation.scheduler->machine("m-" + std::to_string(i))->last_heard = 76;
+  simulation.scheduler->schedule(76);
+  EXPECT_EQ(simulation.scheduler->job("run-small")->active.size(), 1u);  // one task at a time
 }
 
 // The operators' mark: half of a class's largest jobs begin within four minutes. Of equals the one with the
@@ -222,23 +254,33 @@
 // not.
 TEST(Placement, OfALargeArrayThatHasWaitedForLongOneTaskGoesBeforeSmallerOnes) {
   SchedulerConfig config;
-  config.zones = {"a"}, config.teams = {{"x", 0, 0, 0, 0}};
+  config.zones = {"a"};
+  config.teams = {{"x", 0, 0, 0, 0}};
   Scheduler scheduler(config, 1, 0, 1);
   scheduler.set_catalog({{"plain", {16, 0, 64}, 50, 1, 1, 1, 10, {"a"}}});
   auto hear = [&](int n, std::uint64_t seq, double now) {
     for (int i = 0; i < n; ++i) {
-      Heartbeat r;
-      r.machine = "n-" + std::to_string(i), r.address = "x", r.type = "plain", r.zone = "a",
-      r.worker_epoch = 1;
-      r.seq = seq,
-      r.fencing_token = scheduler.machine(r.machine) ? scheduler.machine(r.machine)->fencing_token : 0;
-      scheduler.on_heartbeat(r, Scheduler::Channel::Heartbeat, now);
+      Heartbeat heartbeat;
+      heartbeat.machine = "n-" + std::to_string(i);
+      heartbeat.address = "x";
+      heartbeat.type = "plain";
+      heartbeat.zone = "a";
+      heartbeat.worker_epoch = 1;
+      heartbeat.seq = seq;
+      heartbeat.fencing_token =
+          scheduler.machine(heartbeat.machine) ? scheduler.machine(heartbeat.machine)->fencing_token : 0;
+      scheduler.on_heartbeat(heartbeat, Scheduler::Channel::Heartbeat, now);
     }
   };
   auto put = [&](const std::string& id, int tasks, double now, std::uint64_t revision) {
-    JobSpec s;
-    s.id = id, s.team = "x", s.image = "i", s.tasks = tasks, s.need = {16, 0, 1}, s.estimate_s = 10;
-    scheduler.put_job(s, revision, false, now);
+    JobSpec spec;
+    spec.id = id;
+    spec.team = "x";
+    spec.image = "i";
+    spec.tasks = tasks;
+    spec.need = {16, 0, 1};
+    spec.estimate_s = 10;
+    scheduler.put_job(spec, revision, false, now);
   };
   put("run-large", 50, 0, 1);
   for (int i = 0; i < 9; ++i)
--- a/tests/preemption_test.cc
+++ b/tests/preemption_test.cc
@@ -8,33 +8,43 @@
 namespace corkmux {
 namespace {
 
-struct Fleet {
+struct PreemptionTestCluster {
   SchedulerConfig config;
   std::unique_ptr<Scheduler> scheduler;
   std::map<std::string, Heartbeat> machines;
   std::uint64_t revision = 100;
   int stops = 0, launches = 0;
 
-  explicit Fleet(std::vector<Team> teams, int count) {
+  explicit PreemptionTestCluster(std::vector<Team> teams, int count) {
     config.teams = std::move(teams);
     config.report_s = 1;
     scheduler = std::make_unique<Scheduler>(config, 1, 0, 5);
     scheduler->set_catalog({{"plain", {16, 0, 64}, 50, 1, 1, 1, 10, {"a"}}});
     for (int i = 0; i < count; ++i) {
-      Heartbeat r;
-      r.machine = "n-" + std::to_string(i);
-      r.address = "x", r.type = "plain", r.zone = "a", r.worker_epoch = 1;
-      machines[r.machine] = r;
+      Heartbeat heartbeat;
+      heartbeat.machine = "n-" + std::to_string(i);
+      heartbeat.address = "x";
+      heartbeat.type = "plain";
+      heartbeat.zone = "a";
+      heartbeat.worker_epoch = 1;
+      machines[heartbeat.machine] = heartbeat;
     }
     settle(0);
     settle(0.1);
   }
   JobSpec job(const std::string& id, const std::string& team, Priority priority, int tasks, double cpus,
               JobKind kind = JobKind::Array) {
-    JobSpec s;
-    s.id = id, s.team = team, s.priority = priority, s.tasks = tasks, s.kind = kind;
-    s.need = {cpus, 0, 1}, s.image = "i", s.checkpoint_s = 10, s.save_s = 4;
-    return s;
+    JobSpec spec;
+    spec.id = id;
+    spec.team = team;
+    spec.priority = priority;
+    spec.tasks = tasks;
+    spec.kind = kind;
+    spec.need = {cpus, 0, 1};
+    spec.image = "i";
+    spec.checkpoint_s = 10;
+    spec.save_s = 4;
+    return spec;
   }
   /// One round: store writes succeed, orders are executed, every task runs at once, stopped tasks exit at
   /// once.
@@ -43,37 +53,41 @@
     scheduler->schedule(now);
     auto batch = scheduler->next_writes(50, true, 0);
     if (!batch.empty()) scheduler->written(batch, ++revision, now);
-    for (auto& [name, r] : machines) {
-      if (Machine* m = scheduler->machine(name); m && scheduler->has_commands(*m)) {
+    for (auto& [name, heartbeat] : machines) {
+      if (Machine* machine = scheduler->machine(name); machine && scheduler->has_commands(*machine)) {
         auto command_batch = scheduler->take_commands(name, now);
-        r.fencing_token = std::max(r.fencing_token, command_batch.fencing_token);
-        for (const auto& c : command_batch.commands) obey(r, c);
+        heartbeat.fencing_token = std::max(heartbeat.fencing_token, command_batch.fencing_token);
+        for (const auto& command : command_batch.commands) obey(heartbeat, command);
         scheduler->dispatch_done(name, command_batch, Scheduler::DispatchOutcome::Executed, now);
       }
-      ++r.seq;
-      auto result = scheduler->on_heartbeat(r, Scheduler::Channel::Heartbeat, now);
-      r.fencing_token = std::max(r.fencing_token, result.fencing_token);
-      for (const auto& c : result.commands) obey(r, c);
+      ++heartbeat.seq;
+      auto result = scheduler->on_heartbeat(heartbeat, Scheduler::Channel::Heartbeat, now);
+      heartbeat.fencing_token = std::max(heartbeat.fencing_token, result.fencing_token);
+      for (const auto& command : result.commands) obey(heartbeat, command);
       scheduler->answered(name, now);
     }
   }
-  void obey(Heartbeat& r, const TaskCommand& c) {
-    auto it = std::find_if(r.tasks.begin(), r.tasks.end(),
-                           [&](const TaskStatus& t) { return t.job == c.job && t.index == c.index; });
-    if (c.op == TaskCommand::Op::Start) {
-      r.tasks.push_back({c.job, c.index, c.attempt, TaskState::Running, ExitReason::None, false});
+  void obey(Heartbeat& heartbeat, const TaskCommand& command) {
+    auto it = std::find_if(heartbeat.tasks.begin(), heartbeat.tasks.end(), [&](const TaskStatus& task) {
+      return task.job == command.job && task.index == command.index;
+    });
+    if (command.op == TaskCommand::Op::Start) {
+      heartbeat.tasks.push_back(
+          {command.job, command.index, command.attempt, TaskState::Running, ExitReason::None, false});
       ++launches;
-    } else if (it != r.tasks.end() && c.op == TaskCommand::Op::Stop && it->state != TaskState::Exited) {
-      it->state = TaskState::Exited, it->why = ExitReason::Stopped;
+    } else if (it != heartbeat.tasks.end() && command.op == TaskCommand::Op::Stop &&
+               it->state != TaskState::Exited) {
+      it->state = TaskState::Exited;
+      it->why = ExitReason::Stopped;
       ++stops;
-    } else if (it != r.tasks.end() && c.op == TaskCommand::Op::Forget) {
-      r.tasks.erase(it);
+    } else if (it != heartbeat.tasks.end() && command.op == TaskCommand::Op::Forget) {
+      heartbeat.tasks.erase(it);
     }
   }
 };
 
 TEST(Preemption, TheTeamsLimitMakesWayForItsUrgentGangOnce) {
-  Fleet f({{"x", 64, 64, 0, 0}}, 8);
+  PreemptionTestCluster f({{"x", 64, 64, 0, 0}}, 8);
   f.scheduler->put_job(f.job("run-array", "x", Priority::Normal, 40, 4), 1, false, 1);
   double now = 1;
   for (; now < 3; now += 0.05) f.settle(now);
@@ -85,7 +99,7 @@
 }
 
 TEST(Preemption, WorkWithinAGuaranteeIsNotStoppedForWorkBeyondAnother) {
-  Fleet f({{"x", 32, 0, 0, 0}, {"y", 0, 0, 0, 0}}, 2);
+  PreemptionTestCluster f({{"x", 32, 0, 0, 0}, {"y", 0, 0, 0, 0}}, 2);
   f.scheduler->put_job(f.job("run-array", "x", Priority::Normal, 8, 4), 1, false, 1);
   double now = 1;
   for (; now < 3; now += 0.05) f.settle(now);
@@ -96,7 +110,7 @@
 }
 
 TEST(Preemption, LowerPriorityMakesRoomOnMachines) {
-  Fleet f({{"x", 0, 0, 0, 0}, {"y", 0, 0, 0, 0}}, 2);
+  PreemptionTestCluster f({{"x", 0, 0, 0, 0}, {"y", 0, 0, 0, 0}}, 2);
   f.scheduler->put_job(f.job("run-array", "x", Priority::Low, 20, 4), 1, false, 1);
   double now = 1;
   for (; now < 3; now += 0.05) f.settle(now);
