--- a/src/cmd/corkmux_main.cc
+++ b/src/cmd/corkmux_main.cc
@@ -1,104 +1,153 @@
-#include <spdlog/sinks/stdout_sinks.h>
-#include <spdlog/spdlog.h>
-
+// The controller: reads its settings, then serves until a signal ends it.
 #include <CLI/CLI.hpp>
 #include <csignal>
-#include <cstdlib>
 #include <iostream>
 #include <nlohmann/json.hpp>
+#include <optional>
 
 #include "api.h"
 #include "cmd_constants.h"
 #include "controller.h"
+#include "logging.h"
 
 namespace {
 
-/// One line with the messages and bytes of this process so far, by kind, for an operator or the scale run.
+using namespace corkmux;
+
+constexpr int kSignalExitStatus = 128;  // plus the signal's number, as shells have it
+
+struct Arguments {
+  std::string settings_file;
+  std::string operator_file;
+  bool check = false;
+};
+
+/// One line with the messages and bytes of this process so far, by kind, for an operator or the scale test.
 void log_traffic() {
   auto kinds = nlohmann::json::object();
-  for (const auto& [kind, count] : corkmux::http::Traffic::of_process().counts())
+  for (const auto& [kind, count] : http::Traffic::of_process().counts())
     kinds[kind] = {count.messages, count.bytes_in, count.bytes_out};
   spdlog::info("traffic [messages, bytes in, bytes out]: {}", kinds.dump());
 }
 
+/// Throws SettingsError.
+OperatorChoices load_choices(const Arguments& arguments, const Settings& settings) {
+  auto choices = load_operator(arguments.operator_file);
+  check_choices(choices, settings);
+  if (choices.kubernetes && !choices.kubernetes->tokens.empty())
+    kube::Tokens::load(choices.kubernetes->tokens);
+  return choices;
+}
+
+/// Sockets for Kubernetes-style clients are taken off those for users and workers.
+Settings share_connections(Settings settings, const OperatorChoices& choices) {
+  if (choices.kubernetes) settings.max_connections -= kube::Api::connections(settings);
+  return settings;
+}
+
+/// The running program: a controller, the API for Kubernetes-style clients if there is one, and the signals.
+class Program {
+ public:
+  Program(const Settings& settings, const OperatorChoices& choices)
+      : settings_(share_connections(settings, choices)),
+        choices_(choices),
+        controller_(loop_, settings_, choices_),
+        kubernetes_retry_(loop_) {}
+
+  /// Returns the exit status.
+  int run() {
+    if (choices_.kubernetes) open_kubernetes();
+    controller_.start();
+    watch_signals();
+    spdlog::info("{} serves {} in {}", settings_.label, settings_.listen, settings_.zone);
+    loop_.run();
+    return status_;
+  }
+
+ private:
+  void open_kubernetes() {
+    // Guards against an address in the operators' file that cannot be had here: the scheduler itself goes on.
+    try {
+      kubernetes_.emplace(loop_, settings_, *choices_.kubernetes, controller_.state(), controller_.gateway());
+    } catch (const std::runtime_error& error) {
+      spdlog::error("Kubernetes-style clients are not served: {}; tried again", error.what());
+      return kubernetes_retry_.once(constants::kKubeRetry, [this] { open_kubernetes(); });
+    }
+    spdlog::info("serves Kubernetes-style clients on port {}", kubernetes_->port());
+    kubernetes_->start();
+  }
+
+  void watch_signals() {
+    terminate_.emplace(loop_, SIGTERM, [this] { on_end_signal(SIGTERM); });
+    interrupt_.emplace(loop_, SIGINT, [this] { on_end_signal(SIGINT); });
+    traffic_.emplace(loop_, SIGUSR1, [] { log_traffic(); });
+    if (choices_.kubernetes) hangup_.emplace(loop_, SIGHUP, [this] { reload_tokens(); });
+  }
+
+  void on_end_signal(int signal) {
+    if (ending_) {  // asked twice: at once, as after a crash
+      status_ = kSignalExitStatus + signal;
+      return loop_.stop();
+    }
+    ending_ = true;
+    kubernetes_retry_.stop();
+    if (kubernetes_) kubernetes_->close();
+    spdlog::info("ending in order: signal {}; a second one ends at once", signal);
+    controller_.stop([this] {
+      spdlog::info("ended in order");
+      loop_.stop();
+    });
+  }
+
+  void reload_tokens() {
+    auto error = kubernetes_ ? kubernetes_->reload_tokens() : std::nullopt;
+    if (!error) return spdlog::info("tokens are read again");
+    spdlog::error("tokens stay as they were: {}", error->what());
+  }
+
+  Settings settings_;
+  OperatorChoices choices_;
+  Loop loop_;
+  Controller controller_;
+  std::optional<kube::Api> kubernetes_;
+  Timer kubernetes_retry_;
+  int status_ = 0;
+  bool ending_ = false;
+  std::optional<SignalWatcher> terminate_;
+  std::optional<SignalWatcher> interrupt_;
+  std::optional<SignalWatcher> traffic_;
+  std::optional<SignalWatcher> hangup_;
+};
+
+int run(const Arguments& arguments) {
+  auto settings = load_settings(arguments.settings_file);
+  auto choices = load_choices(arguments, settings);
+  if (arguments.check) {
+    std::cout << "settings are good\n";
+    return 0;
+  }
+  Program program(settings, choices);
+  return program.run();
+}
+
 }  // namespace
 
 int main(int argc, char** argv) {
   CLI::App app{"corkmux: a controller of the cluster scheduler"};
-  std::string config, operator_file;
-  bool check = false;
-  app.add_option("--config", config, "the platform's settings file (TOML)")->required();
-  app.add_option("--operator", operator_file, "the operators' own settings (protobuf text format)");
-  app.add_flag("--check", check, "check the settings and exit");
+  Arguments arguments;
+  app.add_option("--config", arguments.settings_file, "the platform's settings file (TOML)")->required();
+  app.add_option("--operator", arguments.operator_file, "the operators' own settings (protobuf text format)");
+  app.add_flag("--check", arguments.check, "check the settings and exit");
   app.set_version_flag("--version", std::string("corkmux ") + CORKMUX_VERSION);
   CLI11_PARSE(app, argc, argv);
 
-  spdlog::set_default_logger(
-      std::make_shared<spdlog::logger>("", std::make_shared<spdlog::sinks::stderr_sink_st>()));
+  log_to_stderr();
   spdlog::set_pattern("%L %v");
-  const char* level = std::getenv("LOG_LEVEL");
-  spdlog::set_level(spdlog::level::from_str(level ? level : "info"));
-
+  set_log_level_from_environment(spdlog::level::info);
   try {
-    auto settings = corkmux::load_settings(config);
-    auto choices = corkmux::load_operator(operator_file);
-    corkmux::check_choices(choices, settings);
-    if (choices.kubernetes && !choices.kubernetes->tokens.empty())
-      corkmux::kube::Tokens::load(choices.kubernetes->tokens);
-    if (check) {
-      std::cout << "settings are good\n";
-      return 0;
-    }
-    corkmux::Loop loop;
-    if (choices.kubernetes) settings.max_connections -= corkmux::kube::Api::connections(settings);
-    corkmux::Controller controller(loop, settings, choices);
-    std::optional<corkmux::kube::Api> kubernetes;
-    corkmux::Timer kubernetes_later(loop);
-    // Guards against an address in the operators' file that cannot be had here: the scheduler itself goes on.
-    std::function<void()> open_kubernetes = [&] {
-      try {
-        kubernetes.emplace(loop, settings, *choices.kubernetes, controller.state(), controller.gateway());
-      } catch (const std::runtime_error& e) {
-        spdlog::error("Kubernetes-style clients are not served: {}; tried again", e.what());
-        return kubernetes_later.once(corkmux::constants::kKubeRetry, open_kubernetes);
-      }
-      spdlog::info("serves Kubernetes-style clients on port {}", kubernetes->port());
-      kubernetes->start();
-    };
-    if (choices.kubernetes) open_kubernetes();
-    controller.start();
-    int status = 0;
-    bool ending = false;
-    auto end = [&](int signal) {
-      if (ending) {  // asked twice: at once, as after a crash
-        status = 128 + signal;
-        return loop.stop();
-      }
-      ending = true;
-      kubernetes_later.stop();
-      if (kubernetes) kubernetes->close();
-      spdlog::info("ending in order: signal {}; a second one ends at once", signal);
-      controller.stop([&] {
-        spdlog::info("ended in order");
-        loop.stop();
-      });
-    };
-    corkmux::SignalWatcher terminate(loop, SIGTERM, [&] { end(SIGTERM); });
-    corkmux::SignalWatcher interrupt(loop, SIGINT, [&] { end(SIGINT); });
-    corkmux::SignalWatcher traffic_wanted(loop, SIGUSR1, [] { log_traffic(); });
-    std::optional<corkmux::SignalWatcher> hangup;
-    if (choices.kubernetes)
-      hangup.emplace(loop, SIGHUP, [&] {
-        auto wrong = kubernetes ? kubernetes->reload_tokens() : "";
-        if (wrong.empty()) return spdlog::info("tokens are read again");
-        spdlog::error("tokens stay as they were: {}", wrong);
-      });
-    spdlog::info("{} serves {} in {}", settings.label, settings.listen, settings.zone);
-    loop.run();
-    return status;
-  } catch (const std::exception& e) {
-    std::cerr << "corkmux: " << e.what() << "\n";
+    return run(arguments);
+  } catch (const std::exception& error) {
+    std::cerr << "corkmux: " << error.what() << "\n";
     return 1;
   }
-  return 0;
 }
--- a/src/cmd/simulator_main.cc
+++ b/src/cmd/simulator_main.cc
@@ -1,42 +1,52 @@
-// Plays a world from its file and prints what happened. Exit status: 0 when every rule held and every class
-// and team was served, 1 when not, 2 when the file cannot be played.
-#include <spdlog/sinks/stdout_sinks.h>
-#include <spdlog/spdlog.h>
-
+// Plays a simulation from its file and prints what happened. Exit status: 0 when every rule held and every
+// class and team was served, 1 when not, 2 when the file cannot be played.
 #include <CLI/CLI.hpp>
-#include <cstdlib>
 #include <fstream>
 #include <iostream>
 
 #include "cluster_simulation.h"
+#include "logging.h"
+
+namespace {
+
+struct Arguments {
+  std::string file;
+  std::string scenario;
+  std::string json_file;
+  std::uint64_t seed = 1;
+};
+
+int run(const Arguments& arguments) {
+  corkmux::simulation::ClusterSimulation simulation(
+      corkmux::simulation::load_plan(arguments.file, arguments.scenario), arguments.seed);
+  simulation.run();
+  std::cout << simulation.account_text();
+  if (!arguments.json_file.empty()) {
+    std::ofstream out(arguments.json_file);
+    out << simulation.account().dump(2) << "\n";
+    if (!out.flush()) throw std::runtime_error(arguments.json_file + ": cannot be written");
+  }
+  return simulation.good() ? 0 : 1;
+}
+
+}  // namespace
 
 int main(int argc, char** argv) {
   CLI::App app{"corkmux-simulator: plays a whole cluster, simulated, from one seed"};
-  std::string file, day, json;
-  std::uint64_t seed = 1;
-  app.add_option("file", file, "the world (TOML; docs/simulation.md)")->required();
-  app.add_option("--day", day, "which of its days; the first if not given");
-  app.add_option("--seed", seed, "where chance begins");
-  app.add_option("--json", json, "also write the account there as JSON");
+  Arguments arguments;
+  app.add_option("file", arguments.file, "the simulation (TOML; docs/simulation.md)")->required();
+  app.add_option("--day", arguments.scenario, "which of its scenarios; the first if not given");
+  app.add_option("--seed", arguments.seed, "where the random draws begin");
+  app.add_option("--json", arguments.json_file, "also write the report there as JSON");
   CLI11_PARSE(app, argc, argv);
 
-  spdlog::set_default_logger(
-      std::make_shared<spdlog::logger>("", std::make_shared<spdlog::sinks::stderr_sink_st>()));
-  const char* level = std::getenv("LOG_LEVEL");
-  spdlog::set_level(level ? spdlog::level::from_str(level) : spdlog::level::off);
+  corkmux::log_to_stderr();
+  corkmux::set_log_level_from_environment(spdlog::level::off);
   spdlog::set_formatter(corkmux::simulation::log_formatter());
   try {
-    corkmux::simulation::ClusterSimulation simulation(corkmux::simulation::load_plan(file, day), seed);
-    simulation.run();
-    std::cout << simulation.account_text();
-    if (!json.empty()) {
-      std::ofstream out(json);
-      out << simulation.account().dump(2) << "\n";
-      if (!out.flush()) throw std::runtime_error(json + ": cannot be written");
-    }
-    return simulation.good() ? 0 : 1;
-  } catch (const std::exception& e) {
-    std::cerr << "corkmux-simulator: " << e.what() << "\n";
+    return run(arguments);
+  } catch (const std::exception& error) {
+    std::cerr << "corkmux-simulator: " << error.what() << "\n";
     return 2;
   }
 }
--- a/src/config/toml_reader.h
+++ b/src/config/toml_reader.h
@@ -1,5 +1,5 @@
-// A table of a TOML file whose fields are read with checks; what is wrong is said with the file and the
-// field.
+// A table of a TOML file whose fields are read with checks. Throws SettingsError, which names the file and
+// the field.
 #pragma once
 #include <algorithm>
 #include <cmath>
@@ -16,6 +16,7 @@
 
 namespace corkmux {
 
+/// Reads one table. The file's name and the table have to outlive it.
 class Reader {
  public:
   Reader(const std::string& file, const toml::table& table, std::string where = "")
@@ -29,28 +30,30 @@
   }
   bool flag_or(const char* name, bool otherwise) const {
     if (!table_.contains(name)) return otherwise;
-    auto v = table_[name].value<bool>();
-    if (!v) fail(name, "neither true nor false");
-    return *v;
+    auto value = table_[name].value<bool>();
+    if (!value) fail(name, "neither true nor false");
+    return *value;
   }
   std::string text(const char* name) const {
-    auto v = table_[name].value<std::string>();
-    if (!v || v->empty()) fail(name, "missing or not a text");
-    return *v;
+    auto value = table_[name].value<std::string>();
+    if (!value || value->empty()) fail(name, "missing or not a text");
+    return *value;
   }
+  /// A finite number, not negative; `positive`: nor 0.
   double amount(const char* name, bool positive) const {
-    auto v = table_[name].value<double>();
-    if (!v) fail(name, "missing or not a number");
-    if (!std::isfinite(*v) || *v < 0 || (positive && *v <= 0)) fail(name, "out of range");
-    return *v;
+    auto value = table_[name].value<double>();
+    if (!value) fail(name, "missing or not a number");
+    if (!std::isfinite(*value) || *value < 0 || (positive && *value <= 0)) fail(name, "out of range");
+    return *value;
   }
   double amount_or(const char* name, double otherwise) const {
     return table_.contains(name) ? amount(name, false) : otherwise;
   }
+  /// The table in that field.
   Reader sub(const char* name) const {
-    const auto* t = table_[name].as_table();
-    if (!t) fail(name, "missing or not a table");
-    return Reader(file_, *t, where_ + name + ".");
+    const auto* table = table_[name].as_table();
+    if (!table) fail(name, "missing or not a table");
+    return Reader(file_, *table, where_ + name + ".");
   }
   bool has(const char* name) const { return table_.contains(name); }
   /// For files of our own: a field that means nothing is a mistake.
@@ -60,19 +63,21 @@
       if (std::find(names.begin(), names.end(), key.str()) == names.end())
         fail(std::string(key.str()), "no such field");
   }
-  template <typename Fn>
-  void each(const char* name, bool required, Fn fn) const {
+  /// Calls `visit` with a Reader of each table in the list.
+  template <typename Visit>
+  void each(const char* name, bool required, Visit visit) const {
     const auto* list = table_[name].as_array();
     if (!list) {
       if (required || table_.contains(name)) fail(name, "missing or not a list");
       return;
     }
-    int i = 0;
+    int index = 0;
     for (const auto& item : *list) {
-      std::string at = where_ + name + "[" + std::to_string(i++) + "]";
-      const auto* t = item.as_table();
-      if (!t) throw SettingsError(file_ + ": " + at + ": not a table");
-      fn(Reader(file_, *t, at + "."));
+      std::string at = where_ + name + "[" + std::to_string(index) + "]";
+      ++index;
+      const auto* table = item.as_table();
+      if (!table) throw SettingsError(file_ + ": " + at + ": not a table");
+      visit(Reader(file_, *table, at + "."));
     }
   }
   std::vector<double> amounts(const char* name) const {
@@ -80,9 +85,9 @@
     if (!list || list->empty()) fail(name, "missing or empty");
     std::vector<double> out;
     for (const auto& item : *list) {
-      auto v = item.value<double>();
-      if (!v || !std::isfinite(*v) || *v < 0) fail(name, "not a list of numbers");
-      out.push_back(*v);
+      auto value = item.value<double>();
+      if (!value || !std::isfinite(*value) || *value < 0) fail(name, "not a list of numbers");
+      out.push_back(*value);
     }
     return out;
   }
@@ -91,9 +96,9 @@
     if (!list || list->empty()) fail(name, "missing or empty");
     std::vector<std::string> out;
     for (const auto& item : *list) {
-      auto v = item.value<std::string>();
-      if (!v) fail(name, "not a list of texts");
-      out.push_back(*v);
+      auto value = item.value<std::string>();
+      if (!value) fail(name, "not a list of texts");
+      out.push_back(*value);
     }
     return out;
   }
@@ -104,7 +109,8 @@
   std::string where_;
 };
 
-inline std::string slurp(const std::string& file) {
+/// Throws SettingsError if the file cannot be read.
+inline std::string read_file(const std::string& file) {
   std::ifstream in(file, std::ios::binary);
   if (!in) throw SettingsError(file + ": cannot be read");
   std::ostringstream out;
@@ -116,10 +122,10 @@
 inline toml::table parse_toml(const std::string& text, const std::string& file) {
   try {
     return toml::parse(text);
-  } catch (const toml::parse_error& e) {
+  } catch (const toml::parse_error& error) {
     std::ostringstream at;
-    at << e.source().begin;
-    throw SettingsError(file + ": not TOML: " + std::string(e.description()) + " (" + at.str() + ")");
+    at << error.source().begin;
+    throw SettingsError(file + ": not TOML: " + std::string(error.description()) + " (" + at.str() + ")");
   }
 }
 
--- a/src/kube/api.cc
+++ b/src/kube/api.cc
@@ -72,13 +72,13 @@
   if (!token_file_.empty()) tokens_ = Tokens::load(token_file_);
 }
 
-std::string Api::reload_tokens() {
-  if (token_file_.empty()) return "";
+std::optional<SettingsError> Api::reload_tokens() {
+  if (token_file_.empty()) return std::nullopt;
   try {
     tokens_ = Tokens::load(token_file_);
-    return "";
-  } catch (const SettingsError& e) {
-    return e.what();
+    return std::nullopt;
+  } catch (const SettingsError& error) {
+    return error;
   }
 }
 
@@ -263,7 +263,7 @@
   job.id = stored.job, job.team = teams_.at(call->space);
   // Whatever the native interface would refuse is refused here, for the same reasons.
   auto checked = codec::parse_job(codec::job_to_wire(job));
-  std::string why = checked.job ? gateway_.refusal(*checked.job) : checked.error;
+  std::string why = checked.job ? gateway_.refusal(*checked.job) : checked.error.text();
   if (!why.empty()) return invalid({{"spec", why}});
   auto record = to_record(stored).dump().size();
   if (std::max(record, Gateway::job_record(job).dump().size()) > gateway_.record_room())
--- a/src/kube/api.h
+++ b/src/kube/api.h
@@ -27,8 +27,8 @@
   }
   bool busy() const { return server_.busy(); }
   int port() const { return server_.port(); }
-  /// Reads the tokens again; what was wrong with the file, and then the former ones hold. Empty: nothing.
-  std::string reload_tokens();
+  /// Reads the tokens again. Returns what is wrong with the file, if anything; then the former ones hold.
+  std::optional<SettingsError> reload_tokens();
 
  private:
   using Id = http::Server::ConnectionId;
--- /dev/null
+++ b/src/net/http_parser.h
@@ -0,0 +1,70 @@
+// An incremental parser of HTTP/1.1 requests or responses. Takes any split of the bytes; knows no sockets.
+#pragma once
+#include <cstddef>
+#include <optional>
+#include <string>
+#include <string_view>
+
+namespace corkmux::http {
+
+class Parser {
+ public:
+  enum class Mode { Request, Response };
+  enum class State { NeedMore, Done, Bad };
+  Parser(Mode mode, std::size_t max_body) : mode_(mode), max_body_(max_body) {}
+  State feed(std::string_view bytes);
+  /// The peer closed: completes a response whose length only the end tells.
+  State finish();
+  /// Makes ready for the next message; bytes that came after the last one stay.
+  void reset();
+
+  int error_status() const { return error_; }  // 400, 413, 431 or 501 after Bad
+  bool idle() const { return stage_ == Stage::Head && buffer_.empty(); }
+
+  // What was parsed; complete after Done.
+  std::string method;
+  std::string target;
+  std::string body;
+  std::string content_type;
+  std::string accept;
+  std::string authorization;
+  int status = 0;
+  bool keep_alive = true;
+
+ private:
+  enum class Stage { Head, Body, ChunkSize, ChunkData, Trailer, UntilClose, Done, Bad };
+  /// What the head says about the length of the body.
+  struct Framing {
+    bool has_length = false;
+    bool chunked = false;
+  };
+  /// The state to return, or nothing when the next stage can go on with the buffered bytes.
+  using Step = std::optional<State>;
+  Step advance();
+  Step read_head();
+  Step read_body();
+  Step read_chunk_size();
+  Step read_chunk_data();
+  Step read_trailer();
+  Step read_until_close();
+
+  State bad(int status);
+  bool reject(int status);
+  bool parse_head(std::string_view head);
+  bool parse_request_line(std::string_view line);
+  bool parse_status_line(std::string_view line);
+  bool parse_version(std::string_view version);
+  bool parse_header(std::string_view line, Framing& framing);
+  bool parse_framing_header(std::string_view name, std::string_view value, Framing& framing);
+  bool begin_body(const Framing& framing);
+
+  Mode mode_;
+  std::size_t max_body_;  // bytes
+  Stage stage_ = Stage::Head;
+  std::string buffer_;
+  std::size_t scanned_ = 0;  // bytes of the buffer in which no head ends
+  std::size_t length_ = 0;   // bytes of the body, or of the chunk
+  int error_ = 400;
+};
+
+}  // namespace corkmux::http
--- a/src/net/traffic.cc
+++ b/src/net/traffic.cc
@@ -22,7 +22,7 @@
   name.append(method).append(" ").append(general_part(target));
   auto known = counts_.find(name);
   if (known != counts_.end()) return known->second;
-  if (counts_.size() >= kMostKinds) name = side == Side::Sent ? "sent other" : "served other";
+  if (counts_.size() >= kMaxKinds) name = side == Side::Sent ? "sent other" : "served other";
   return counts_[name];
 }
 
--- a/src/net/traffic.h
+++ b/src/net/traffic.h
@@ -1,4 +1,4 @@
-// Counts of the messages and bytes of this process, by kind: what `docs/CAPACITY.md` and the scale run
+// Counts of the messages and bytes of this process, by kind: what `docs/CAPACITY.md` and the scale test
 // measure. A kind is a method with the part of the path that names no single job, key or request.
 #pragma once
 #include <cstddef>
@@ -10,7 +10,9 @@
 namespace corkmux::http {
 
 struct TrafficCount {
-  std::uint64_t messages = 0, bytes_in = 0, bytes_out = 0;
+  std::uint64_t messages = 0;
+  std::uint64_t bytes_in = 0;
+  std::uint64_t bytes_out = 0;
 };
 
 class Traffic {
@@ -25,7 +27,7 @@
   const std::map<std::string, TrafficCount, std::less<>>& counts() const { return counts_; }
 
  private:
-  static constexpr std::size_t kMostKinds = 64;  // PROTOCOL and our own messages have some twenty
+  static constexpr std::size_t kMaxKinds = 64;  // PROTOCOL and our own messages have some twenty
   std::map<std::string, TrafficCount, std::less<>> counts_;
 };
 
--- a/src/net/transport.h
+++ b/src/net/transport.h
@@ -1,4 +1,4 @@
-// How requests travel where there are no sockets: whole, between the hosts of a world.
+// How requests travel where there are no sockets: whole, between the hosts of a simulation.
 #pragma once
 #include <functional>
 #include <string>
@@ -13,6 +13,7 @@
 
 class Transport {
  public:
+  /// Sends the response to the request that came with it.
   using Answer = std::function<void(const Response&)>;
   using Accept = std::function<void(Request, Answer)>;
   using Done = std::function<void(Result)>;
@@ -21,8 +22,7 @@
   virtual int listen(const std::string& address, Accept accept) = 0;
   virtual void unlisten(int port) = 0;
   /// `open`: the caller has a connection there already. `done` is called at most once, also long after the
-  /// caller gave up. Returns whether the request leaves this host; if not, its time runs out as without an
-  /// answer.
+  /// caller gave up. Returns whether the request leaves this host; if not, it runs into its deadline.
   virtual bool send(const std::string& address, Request request, bool open, Done done) = 0;
 };
 
--- a/src/scale_test/scale_test_plan.cc
+++ b/src/scale_test/scale_test_plan.cc
@@ -226,7 +226,7 @@
   return plan;
 }
 
-ScaleTestPlan load_scale_plan(const std::string& file) { return parse_scale_plan(slurp(file), file); }
+ScaleTestPlan load_scale_plan(const std::string& file) { return parse_scale_plan(read_file(file), file); }
 
 std::string refusal(const ScaleTestPlan& plan) {
   rlimit files{};
--- /dev/null
+++ b/src/wire/cloud_codec.cc
@@ -0,0 +1,105 @@
+#include "cloud_codec.h"
+
+#include <algorithm>
+#include <utility>
+
+#include "wire_fields.h"
+#include "wire_names.h"
+
+namespace corkmux::codec {
+namespace {
+
+using namespace names;
+
+constexpr double kMinFetchRate = 1e-3;   // GB/s; guards divisions against a catalog without it
+constexpr double kDefaultBootTime = 60;  // s
+
+MachineType parse_type(const Json& body) {
+  MachineType type;
+  type.name = text(body, kTypeName);
+  type.size = {number(body, kCpus), number(body, kGpus), number(body, kMemoryGb)};
+  type.cache_gb = number(body, kCacheGb);
+  type.fetch_gb_per_s = std::max(kMinFetchRate, number(body, kFetchRate, 1));
+  type.price = number(body, kPrice);
+  type.spot_price = number(body, kSpotPrice);
+  type.boot_s = number(body, kBootTime, kDefaultBootTime);
+  type.zones = texts(body, kZones);
+  return type;
+}
+
+ListedMachine::Phase parse_phase(const std::string& phase) {
+  if (phase == kBooting) return ListedMachine::Phase::Booting;
+  if (phase == kFailedMachine) return ListedMachine::Phase::Failed;
+  return ListedMachine::Phase::Running;
+}
+
+ListedMachine parse_machine(const Json& body) {
+  ListedMachine machine;
+  machine.name = text(body, kMachineName);
+  machine.address = text(body, kAddress);
+  machine.type = text(body, kMachineType);
+  machine.zone = text(body, kZone);
+  machine.spot = flag(body, kSpot);
+  machine.phase = parse_phase(text(body, kPhase));
+  machine.age_s = number(body, kAge);
+  return machine;
+}
+
+}  // namespace
+
+std::vector<MachineType> parse_catalog(const Json& body) {
+  std::vector<MachineType> types;
+  const Json* list = list_field(body, kMachineTypes);
+  if (!list) return types;
+  for (const auto& item : *list) {
+    auto type = parse_type(item);
+    if (!type.name.empty()) types.push_back(std::move(type));
+  }
+  return types;
+}
+
+Json catalog_to_wire(const std::vector<MachineType>& types) {
+  Json list = Json::array();
+  for (const auto& type : types)
+    list.push_back({{kTypeName, type.name},
+                    {kCpus, type.size.cpus},
+                    {kGpus, type.size.gpus},
+                    {kMemoryGb, type.size.memory_gb},
+                    {kCacheGb, type.cache_gb},
+                    {kFetchRate, type.fetch_gb_per_s},
+                    {kPrice, type.price},
+                    {kSpotPrice, type.spot_price},
+                    {kBootTime, type.boot_s},
+                    {kZones, type.zones}});
+  return {{kMachineTypes, std::move(list)}};
+}
+
+Json rent_request(const std::string& request, const std::string& type, const std::string& zone, bool spot,
+                  int count) {
+  return {{kRequestId, request}, {kMachineType, type}, {kZone, zone}, {kSpot, spot}, {kCount, count}};
+}
+
+std::vector<std::string> parse_rented(const Json& body) { return texts(body, kMachines); }
+
+bool is_no_capacity(const Json& body) { return text(body, kError) == kNoCapacity; }
+
+Json delete_request(const std::vector<std::string>& names) { return {{kMachines, names}}; }
+
+std::string list_path(const std::string& after, int most) {
+  return "/hosts?" + (after.empty() ? std::string() : "after=" + after + "&") +
+         "most=" + std::to_string(most);
+}
+
+MachineList parse_machines(const Json& body) {
+  MachineList out;
+  out.more = flag(body, kTruncated);
+  const Json* list = list_field(body, kMachines);
+  if (!list) return out;
+  for (const auto& item : *list) {
+    auto machine = parse_machine(item);
+    if (!machine.name.empty()) out.machines.push_back(std::move(machine));
+  }
+  return out;
+}
+
+}  // namespace corkmux::codec
--- /dev/null
+++ b/src/wire/cloud_codec.h
@@ -0,0 +1,35 @@
+// What the cloud is asked and answers: the catalog of machine types, requests for machines, lists of
+// machines.
+#pragma once
+#include <string>
+#include <vector>
+
+#include "machine_type.h"
+#include "msgpack.h"
+
+namespace corkmux::codec {
+
+inline constexpr const char* kCatalogPath = "/catalog";
+inline constexpr const char* kRentPath = "/hosts";
+inline constexpr const char* kDeletePath = "/hosts/delete";
+
+std::vector<MachineType> parse_catalog(const Json& body);
+Json catalog_to_wire(const std::vector<MachineType>& types);
+
+/// Asks for `count` machines; the cloud answers repeated requests of one id once.
+Json rent_request(const std::string& request, const std::string& type, const std::string& zone, bool spot,
+                  int count);
+/// The names of the machines that a request gave.
+std::vector<std::string> parse_rented(const Json& body);
+bool is_no_capacity(const Json& body);
+Json delete_request(const std::vector<std::string>& names);
+
+struct MachineList {
+  std::vector<ListedMachine> machines;
+  bool more = false;
+};
+/// The path of the page of at most `most` machines after that name.
+std::string list_path(const std::string& after, int most);
+MachineList parse_machines(const Json& body);
+
+}  // namespace corkmux::codec
--- /dev/null
+++ b/src/wire/wire_fields.h
@@ -0,0 +1,43 @@
+// Reading of single fields of a decoded body, for the codecs of this folder only. What is missing or of
+// another type reads as empty; the need_ functions throw FieldError instead.
+#pragma once
+#include <cstdint>
+#include <optional>
+#include <string>
+#include <string_view>
+#include <vector>
+
+#include "field_error.h"
+#include "msgpack.h"
+
+namespace corkmux::codec {
+
+/// Null if the field is missing or null.
+const Json* field(const Json& map, const char* name);
+/// Null unless the field is a list.
+const Json* list_field(const Json& map, const char* name);
+std::string text(const Json& map, const char* name);
+double number(const Json& map, const char* name, double otherwise = 0);
+/// Negative numbers read as 0.
+std::uint64_t integer(const Json& map, const char* name);
+bool flag(const Json& map, const char* name);
+/// The texts of a list; other items are left out.
+std::vector<std::string> texts(const Json& map, const char* name);
+
+/// Guards against hostile submissions: names end up in state keys, logs and memory.
+bool is_good_name(std::string_view name);
+
+std::string need_text(const Json& map, const char* name);
+/// An amount: finite, not negative, at most kMaxAmount.
+double need_amount(const Json& map, const char* name);
+bool need_flag(const Json& map, const char* name);
+
+/// The name of one task, as workers and controllers use it: <job>/<index>
+std::string task_name(const std::string& job, int index);
+struct TaskId {
+  std::string job;
+  int index = 0;
+};
+std::optional<TaskId> parse_task_name(const std::string& name);
+
+}  // namespace corkmux::codec
--- a/tests/codec_test.cc
+++ b/tests/codec_test.cc
@@ -19,7 +19,7 @@
 
 TEST(Job, SurvivesTheWayToTheStoreAndBack) {
   auto parsed = parse_job(good_job());
-  ASSERT_TRUE(parsed.job) << parsed.error;
+  ASSERT_TRUE(parsed.job) << parsed.error.text();
   auto again = parse_job(job_to_wire(*parsed.job));
   ASSERT_TRUE(again.job);
   EXPECT_EQ(job_to_wire(*again.job), job_to_wire(*parsed.job));
@@ -42,7 +42,7 @@
     job[name] = value;
     auto parsed = parse_job(job);
     EXPECT_FALSE(parsed.job) << name << " " << value;
-    EXPECT_EQ(parsed.error.substr(0, std::string(name).size()), name);
+    EXPECT_EQ(parsed.error.text().substr(0, std::string(name).size()), name);
   }
   EXPECT_FALSE(parse_job(Json::array()).job);
   EXPECT_FALSE(parse_job(Json(5)).job);
--- a/tests/kube_test.cc
+++ b/tests/kube_test.cc
@@ -408,10 +408,10 @@
   EXPECT_EQ(code("GET", second, all), 403);
   EXPECT_EQ(code("GET", "/readyz", ""), 200);
   write("token { name: 'all' secret: 'short' }");
-  EXPECT_NE(apis.at("one")->reload_tokens(), "");
+  EXPECT_TRUE(apis.at("one")->reload_tokens());
   EXPECT_EQ(code("GET", jobs, looks), 200) << "the former ones hold";
   write("token { name: 'all' secret: '" + all + "' changes: 'default' }");
-  EXPECT_EQ(apis.at("one")->reload_tokens(), "");
+  EXPECT_FALSE(apis.at("one")->reload_tokens());
   EXPECT_EQ(code("GET", jobs, looks), 401) << "taken back";
   EXPECT_EQ(code("DELETE", jobs + "/a", all), 200);
   ::unlink(name);
--- a/tests/scale_test_run_test.cc
+++ b/tests/scale_test_run_test.cc
@@ -15,7 +15,7 @@
 namespace corkmux::scale_test {
 namespace {
 
-std::string small_text() { return slurp(std::string(SCALE_PLANS) + "/small.toml"); }
+std::string small_text() { return read_file(std::string(SCALE_PLANS) + "/small.toml"); }
 
 std::string replaced(std::string text, const std::string& what, const std::string& by) {
   auto at = text.find(what);
@@ -210,7 +210,7 @@
 TEST(ScaleProgram, TheSmallRunHoldsAllRulesThroughTheLeadersEnd) {
   std::string output, account = ::testing::TempDir() + "/scale-run-test.json";
   EXPECT_EQ(run_program(std::string(SCALE_PLANS) + "/small.toml --json " + account, &output), 0) << output;
-  auto json = Json::parse(slurp(account));
+  auto json = Json::parse(read_file(account));
   EXPECT_TRUE(json["problems"].empty()) << json["problems"].dump();
   EXPECT_GT(json["users"]["starts"].get<int>(), 100);
   EXPECT_EQ(json["users"]["pauses"].size(), 2u);
