--- a/src/simulation/simulation_plan.cc
+++ b/src/simulation/simulation_plan.cc
@@ -197,7 +197,9 @@
   if (!found) throw SettingsError(file + ": no day '" + day + "'");
   return p;
 }
-Plan load_plan(const std::string& file, const std::string& day) { return parse_plan(read_file(file), file, day); }
+Plan load_plan(const std::string& file, const std::string& day) {
+  return parse_plan(read_file(file), file, day);
+}
 
 std::vector<std::string> day_names(const std::string& file) {
   auto table = parse_toml(read_file(file), file);
