--- a/src/cmd/corkmux_main.cc
+++ b/src/cmd/corkmux_main.cc
@@ -68,7 +68,8 @@
   void open_kubernetes() {
     // Guards against an address in the operators' file that cannot be had here: the scheduler itself goes on.
     try {
-      kubernetes_.emplace(loop_, settings_, *choices_.kubernetes, controller_.state(), controller_.gateway());
+      kubernetes_.emplace(loop_, settings_, *choices_.kubernetes, controller_.state(),
+                          controller_.admission(), controller_.status_cache());
     } catch (const std::runtime_error& error) {
       spdlog::error("Kubernetes-style clients are not served: {}; tried again", error.what());
       return kubernetes_retry_.once(constants::kKubeRetry, [this] { open_kubernetes(); });
--- a/src/cmd/scale_test_main.cc
+++ b/src/cmd/scale_test_main.cc
@@ -124,7 +124,7 @@
     std::cerr << "interrupted: every process of the run is ended\n";
     return 128 + interrupted;
   }
-  std::cout << run.account_text();
+  std::cout << run.report_text();
   if (!arguments.json.empty()) {
     std::ofstream out(arguments.json);
     out << run.account().dump(2) << "\n";
--- a/src/cmd/simulator_main.cc
+++ b/src/cmd/simulator_main.cc
@@ -20,10 +20,10 @@
   corkmux::simulation::ClusterSimulation simulation(
       corkmux::simulation::load_plan(arguments.file, arguments.scenario), arguments.seed);
   simulation.run();
-  std::cout << simulation.account_text();
+  std::cout << simulation.report_text();
   if (!arguments.json_file.empty()) {
     std::ofstream out(arguments.json_file);
-    out << simulation.account().dump(2) << "\n";
+    out << simulation.report().dump(2) << "\n";
     if (!out.flush()) throw std::runtime_error(arguments.json_file + ": cannot be written");
   }
   return simulation.good() ? 0 : 1;
@@ -34,7 +34,7 @@
 int main(int argc, char** argv) {
   CLI::App app{"corkmux-simulator: plays a whole cluster, simulated, from one seed"};
   Arguments arguments;
-  app.add_option("file", arguments.file, "the simulation (TOML; docs/simulation.md)")->required();
+  app.add_option("file", arguments.file, "the plan (TOML; docs/simulation.md)")->required();
   app.add_option("--day", arguments.scenario, "which of its scenarios; the first if not given");
   app.add_option("--seed", arguments.seed, "where the random draws begin");
   app.add_option("--json", arguments.json_file, "also write the report there as JSON");
--- /dev/null
+++ b/src/kube/job_translation.h
@@ -0,0 +1,22 @@
+// Translates a submitted batch/v1 Job into a JobSpec. Pure functions. What a field of a submission becomes,
+// and which are refused, is in docs/kubernetes.md.
+#pragma once
+#include <string>
+#include <vector>
+
+#include "job_spec.h"
+#include "objects.h"
+
+namespace corkmux::kube {
+
+struct Translated {
+  JobSpec job;                // without id and team
+  std::vector<Cause> causes;  // empty: the job can be submitted
+  std::vector<std::string> warnings;
+};
+Translated translate_job(const Json& object);
+
+/// Checks `metadata`: name or generateName, labels, annotations; and that it names no other namespace.
+std::vector<Cause> check_metadata(const Json& object, const std::string& space);
+
+}  // namespace corkmux::kube
--- a/src/kube/tokens.h
+++ b/src/kube/tokens.h
@@ -15,7 +15,8 @@
   static Tokens load(const std::string& file);
 
   struct Token {
-    std::string name, secret;
+    std::string name;
+    std::string secret;
     std::map<std::string, bool> spaces;  // namespaces it may read; whether it may change them as well
     bool reads(const std::string& space) const { return spaces.count(space) > 0; }
     bool changes(const std::string& space) const { return reads(space) && spaces.at(space); }
--- a/src/scheduler/capacity_index.cc
+++ b/src/scheduler/capacity_index.cc
@@ -3,149 +3,205 @@
 #include <algorithm>
 #include <cmath>
 
+#include "machine.h"
 #include "reserved_capacity.h"
-#include "scheduler.h"
 
 namespace corkmux {
 namespace {
 
 using Use = MachineCapacity::Use;
 
-CapacityIndex::FreeCapacity room_of(const Resources& free) {
-  return {std::llround(free.gpus * 1e6), std::llround(free.cpus * 1e6), std::llround(free.memory_gb * 1e6)};
+CapacityIndex::FreeCapacity free_capacity_of(const Resources& free) {
+  constexpr double kUnitsPerOne = 1e6;
+  return {std::llround(free.gpus * kUnitsPerOne), std::llround(free.cpus * kUnitsPerOne),
+          std::llround(free.memory_gb * kUnitsPerOne)};
 }
 
-/// What is at its floor does not fall below it.
-CapacityIndex::Drift drift(double value, double slope, double heard) {
+/// What is at zero does not fall below it.
+CapacityIndex::Drift drift(double value, double slope, double heard_at) {
   if (value <= 0 && slope < 0) slope = 0;
-  return {value, slope, slope * heard};
+  return {value, slope, slope * heard_at};
+}
+
+/// The lowest priority of tasks that may be stopped there; none if there are none.
+std::optional<std::size_t> lowest_stoppable(const Machine& machine) {
+  for (std::size_t priority = 0; priority < machine.stoppable.size(); ++priority)
+    if (machine.stoppable[priority] > 0) return priority;
+  return std::nullopt;
 }
 
 }  // namespace
 
-bool ByName::operator()(const Machine* a, const Machine* b) const { return a->name < b->name; }
-
-void CapacityIndex::take_out(Machine& m) {
-  IndexEntry& f = m.index_entry;
-  if (!f.level) return;
-  CapacityBucket& level = *f.level;
-  level.slack.add(f.slack, -1);
-  level.heat.add(f.heat, -1);
-  for (const auto& image : m.images)
-    if (auto i = level.images.find(image); i != level.images.end() && --i->second == 0) level.images.erase(i);
-  Machine* last = level.machines.back();
-  level.machines[f.position] = last;
-  last->index_entry.position = f.position;
-  level.machines.pop_back();
-  // An empty level goes, and with it what its sums have lost in rounding.
-  if (level.machines.empty()) f.levels->erase(room_of(level.free));
-  f.levels = nullptr, f.level = nullptr;
-}
-
-void CapacityIndex::update(Machine& m, const MachineCapacity& state, double slack) {
-  IndexEntry& f = m.index_entry;
-  if (!f.pool) {
-    if (!m.up) return;
-    const int reservation_tier = ReservedCapacity::reservation_tier(m.name);
-    Pool& pool = pools_[{m.type, m.zone, m.spot, reservation_tier}];
-    pool.type = m.type, pool.zone = m.zone, pool.spot = m.spot, pool.reservation_tier = reservation_tier;
-    if (m.size.cpus > 0) pool.size = m.size;
-    f.pool = &pool;
-    note_tasks(m);
+bool ByName::operator()(const Machine* left, const Machine* right) const { return left->name < right->name; }
+
+void CapacityIndex::Drift::add(const Drift& other) {
+  value += other.value;
+  slope += other.slope;
+  slope_heard += other.slope_heard;
+}
+
+void CapacityIndex::Drift::subtract(const Drift& other) {
+  value -= other.value;
+  slope -= other.slope;
+  slope_heard -= other.slope_heard;
+}
+
+void CapacityIndex::take_out(Machine& machine) {
+  IndexEntry& entry = machine.index_entry;
+  if (!entry.bucket) return;
+  CapacityBucket& bucket = *entry.bucket;
+  bucket.slack.subtract(entry.slack);
+  bucket.heat.subtract(entry.heat);
+  for (const auto& image : machine.images) {
+    auto count = bucket.images.find(image);
+    if (count == bucket.images.end()) continue;
+    --count->second;
+    if (count->second == 0) bucket.images.erase(count);
+  }
+  Machine* last = bucket.machines.back();
+  bucket.machines[entry.position] = last;
+  last->index_entry.position = entry.position;
+  bucket.machines.pop_back();
+  // An empty bucket goes, and with it what its sums have lost in rounding.
+  if (bucket.machines.empty()) entry.buckets->erase(free_capacity_of(bucket.free));
+  entry.buckets = nullptr;
+  entry.bucket = nullptr;
+}
+
+void CapacityIndex::enter_pool(Machine& machine) {
+  const int reservation_tier = ReservedCapacity::reservation_tier(machine.name);
+  Pool& pool = pools_[{machine.type, machine.zone, machine.spot, reservation_tier}];
+  pool.type = machine.type;
+  pool.zone = machine.zone;
+  pool.spot = machine.spot;
+  pool.reservation_tier = reservation_tier;
+  if (machine.size.cpus > 0) pool.size = machine.size;
+  machine.index_entry.pool = &pool;
+  note_tasks(machine);
+}
+
+void CapacityIndex::update_wake_up(Machine& machine, double at) {
+  IndexEntry& entry = machine.index_entry;
+  if (at == entry.wake_at) return;
+  wake_ups_.erase({entry.wake_at, &machine});
+  entry.wake_at = at;
+  if (at < kNever) wake_ups_.insert({at, &machine});
+}
+
+void CapacityIndex::update_kept_for(Machine& machine, const std::string& job) {
+  IndexEntry& entry = machine.index_entry;
+  if (entry.kept_for == job) return;
+  if (auto kept = kept_.find(entry.kept_for); kept != kept_.end()) {
+    kept->second.erase(&machine);
+    if (kept->second.empty()) kept_.erase(kept);
   }
-  if (state.until != f.wake_at) {
-    wakes_.erase({f.wake_at, &m});
-    f.wake_at = state.until;
-    if (state.until < 1e18) wakes_.insert({state.until, &m});
+  entry.kept_for = job;
+  if (!job.empty()) kept_[job].insert(&machine);
+}
+
+void CapacityIndex::update_totals(Machine& machine, bool counts) {
+  IndexEntry& entry = machine.index_entry;
+  free_ -= entry.counted_free;
+  size_ -= entry.counted_size;
+  entry.counted_free = counts ? machine.free : Resources{};
+  entry.counted_size = counts ? machine.size : Resources{};
+  free_ += entry.counted_free;
+  size_ += entry.counted_size;
+}
+
+void CapacityIndex::enter_bucket(Machine& machine, CapacityBuckets& buckets) {
+  CapacityBucket& bucket = buckets[free_capacity_of(machine.free)];
+  if (bucket.machines.empty()) bucket.free = machine.free;
+  IndexEntry& entry = machine.index_entry;
+  entry.buckets = &buckets;
+  entry.bucket = &bucket;
+  entry.position = bucket.machines.size();
+  bucket.machines.push_back(&machine);
+  for (const auto& image : machine.images) ++bucket.images[image];
+}
+
+void CapacityIndex::update(Machine& machine, const MachineCapacity& state, double slack) {
+  IndexEntry& entry = machine.index_entry;
+  if (!entry.pool) {
+    if (!machine.up) return;
+    enter_pool(machine);
   }
-  if (f.kept_for != state.kept_for) {
-    if (auto k = kept_.find(f.kept_for); k != kept_.end()) {
-      k->second.erase(&m);
-      if (k->second.empty()) kept_.erase(k);
-    }
-    f.kept_for = state.kept_for;
-    if (!f.kept_for.empty()) kept_[f.kept_for].insert(&m);
+  update_wake_up(machine, state.until);
+  update_kept_for(machine, state.kept_for);
+  entry.use = state.use;
+  update_totals(machine, state.use != Use::Out);
+
+  CapacityBuckets* buckets = state.use == Use::Ready     ? &entry.pool->ready
+                             : state.use == Use::Suspect ? &entry.pool->suspect
+                                                         : nullptr;
+  if (!buckets) {
+    take_out(machine);
+    return;
   }
-  f.use = state.use;
-  free_ -= f.counted_free, size_ -= f.counted_size;
-  bool counts = state.use != Use::Out;
-  f.counted_free = counts ? m.free : Resources{};
-  f.counted_size = counts ? m.size : Resources{};
-  free_ += f.counted_free, size_ += f.counted_size;
-
-  CapacityBuckets* levels = state.use == Use::Ready     ? &f.pool->ready
-                            : state.use == Use::Suspect ? &f.pool->suspect
-                                                        : nullptr;
-  const FreeCapacity room = room_of(m.free);
-  if (!levels || levels != f.levels || room_of(f.level->free) != room) {
-    take_out(m);
-    if (!levels) return;
-    CapacityBucket& level = (*levels)[room];
-    if (level.machines.empty()) level.free = m.free;
-    f.levels = levels, f.level = &level, f.position = level.machines.size();
-    level.machines.push_back(&m);
-    for (const auto& image : m.images) ++level.images[image];
+  const bool stays =
+      buckets == entry.buckets && free_capacity_of(entry.bucket->free) == free_capacity_of(machine.free);
+  if (stays) {
+    entry.bucket->slack.subtract(entry.slack);
+    entry.bucket->heat.subtract(entry.heat);
   } else {
-    f.level->slack.add(f.slack, -1);
-    f.level->heat.add(f.heat, -1);
+    take_out(machine);
+    enter_bucket(machine, *buckets);
   }
-  f.slack = drift(slack, m.slack_slope, m.last_heard);
-  f.heat = drift(m.heat, m.heat_slope, m.last_heard);
-  f.level->slack.add(f.slack, 1);
-  f.level->heat.add(f.heat, 1);
-}
-
-void CapacityIndex::remove(Machine& m) {
-  IndexEntry& f = m.index_entry;
-  if (!f.pool) return;
-  update(m, {}, 0);
-  list(m, -1);
-  f.pool->stopping.erase(&m);
-  f.pool = nullptr;
-}
-
-void CapacityIndex::list(Machine& m, int lowest) {
-  IndexEntry& f = m.index_entry;
-  if (f.lowest == lowest) return;
-  if (f.lowest >= 0) {
-    auto& from = f.pool->stoppable[static_cast<std::size_t>(f.lowest)];
-    from[f.lowest_position] = from.back();
-    from[f.lowest_position]->index_entry.lowest_position = f.lowest_position;
+  entry.slack = drift(slack, machine.slack_slope, machine.last_heard);
+  entry.heat = drift(machine.heat, machine.heat_slope, machine.last_heard);
+  entry.bucket->slack.add(entry.slack);
+  entry.bucket->heat.add(entry.heat);
+}
+
+void CapacityIndex::remove(Machine& machine) {
+  IndexEntry& entry = machine.index_entry;
+  if (!entry.pool) return;
+  update(machine, {}, 0);
+  list_stoppable(machine, std::nullopt);
+  entry.pool->stopping.erase(&machine);
+  entry.pool = nullptr;
+}
+
+void CapacityIndex::list_stoppable(Machine& machine, std::optional<std::size_t> priority) {
+  IndexEntry& entry = machine.index_entry;
+  if (entry.lowest_stoppable == priority) return;
+  if (entry.lowest_stoppable) {
+    auto& from = entry.pool->stoppable[*entry.lowest_stoppable];
+    from[entry.stoppable_position] = from.back();
+    from[entry.stoppable_position]->index_entry.stoppable_position = entry.stoppable_position;
     from.pop_back();
   }
-  f.lowest = lowest;
-  if (lowest < 0) return;
-  auto& to = f.pool->stoppable[static_cast<std::size_t>(lowest)];
-  f.lowest_position = to.size();
-  to.push_back(&m);
-}
-
-void CapacityIndex::note_tasks(Machine& m) {
-  if (!m.index_entry.pool) return;
-  int lowest = -1;
-  for (int p = 3; p >= 0; --p)
-    if (m.stoppable[static_cast<std::size_t>(p)] > 0) lowest = p;
-  list(m, lowest);
-  if (m.stopping > 0)
-    m.index_entry.pool->stopping.insert(&m);
+  entry.lowest_stoppable = priority;
+  if (!priority) return;
+  auto& into = entry.pool->stoppable[*priority];
+  entry.stoppable_position = into.size();
+  into.push_back(&machine);
+}
+
+void CapacityIndex::note_tasks(Machine& machine) {
+  Pool* pool = machine.index_entry.pool;
+  if (!pool) return;
+  list_stoppable(machine, lowest_stoppable(machine));
+  if (machine.stopping > 0)
+    pool->stopping.insert(&machine);
   else
-    m.index_entry.pool->stopping.erase(&m);
+    pool->stopping.erase(&machine);
 }
 
 std::vector<Machine*> CapacityIndex::due(double now) {
-  std::vector<Machine*> out;
-  for (const auto& [at, m] : wakes_) {
-    if (at > now) break;
-    out.push_back(m);
+  std::vector<Machine*> machines;
+  for (const auto& wake_up : wake_ups_) {
+    if (wake_up.at > now) break;
+    machines.push_back(wake_up.machine);
   }
-  std::sort(out.begin(), out.end(), ByName{});
-  return out;
+  std::sort(machines.begin(), machines.end(), ByName{});
+  return machines;
 }
 
 const MachineSet& CapacityIndex::kept_for(const std::string& job) const {
   static const MachineSet none;
-  auto k = kept_.find(job);
-  return k == kept_.end() ? none : k->second;
+  auto kept = kept_.find(job);
+  return kept == kept_.end() ? none : kept->second;
 }
 
 }  // namespace corkmux
--- a/src/simulation/state_service.h
+++ b/src/simulation/state_service.h
@@ -1,4 +1,4 @@
-// The state service of PROTOCOL, in memory: keys, conditioned transactions, grants, watches with a bounded
+// The state service of PROTOCOL, in memory: keys, conditional transactions, leases, watches with a bounded
 // history, rates with bursts, limits that fall, outages; and answers that a test holds back. Runs on any
 // Loop.
 #pragma once
@@ -20,7 +20,7 @@
 using Id = http::Server::ConnectionId;
 
 /// A rate with bursts of so many seconds' worth; 0: none.
-class Allowance {
+class RateLimiter {
  public:
   void set(double rate, double burst_s = 1) {
     rate_ = rate, burst_ = rate * burst_s, left_ = burst_, at_ = steady_now();
@@ -42,9 +42,9 @@
   /// A second address of the same service, so that one caller can be treated unlike the others.
   std::size_t add_door(const std::string& address);
   int door_port(std::size_t door) const { return doors_[door]->server.port(); }
-  /// Whoever comes through it gets 503; its grants run out and its open watches wait.
+  /// Whoever comes through it gets 503; its leases expire and its open watches wait.
   void refuse(std::size_t door, bool refused) { doors_[door]->refused = refused; }
-  /// Everybody gets 503. When it ends, every grant has its full time again.
+  /// Everybody gets 503. When it ends, every lease has its full time again.
   bool down = false;
   /// Neither executes nor answers anything.
   bool mute = false;
@@ -54,11 +54,11 @@
   bool swallow_next_txn = false;
   /// Limits; they may fall at any moment.
   std::size_t value_bytes = 1 << 20, txn_ops = 1000;
-  Allowance requests, changes;
+  RateLimiter requests, changes;
   int refused = 0;           // transactions beyond the limits
   int over_rate = 0;         // requests answered 429
   std::uint64_t served = 0;  // requests
-  /// Puts and removals that were carried out, by the part of the key before its first slash.
+  /// Puts and removals that were executed, by the part of the key before its first slash.
   std::map<std::string, std::uint64_t> changes_by_kind;
   /// Items that a page holds, whatever is asked for.
   std::size_t page_most = 1000;
@@ -100,7 +100,7 @@
     std::uint64_t after;
     double until;
   };
-  struct Grant {
+  struct Lease {
     double life = 0, until = 0;
   };
   struct Change {
@@ -120,9 +120,9 @@
   /// Answers the watches for which there is something, or whose time is over.
   void wake();
   Loop& loop_;
-  std::uint64_t epoch_ = 0, grants_made_ = 0, history_from_ = 0, woken_for_ = 0;
+  std::uint64_t epoch_ = 0, leases_created_ = 0, history_from_ = 0, woken_for_ = 0;
   std::map<std::string, Entry> data_;
-  std::map<std::uint64_t, Grant> grants_;
+  std::map<std::uint64_t, Lease> leases_;
   std::deque<Change> log_;
   std::vector<Watcher> watchers_;
   std::vector<Json> held_;
