--- a/src/config/settings.cc
+++ b/src/config/settings.cc
@@ -137,19 +137,21 @@
          name.find_first_not_of("abcdefghijklmnopqrstuvwxyz0123456789-") == std::string::npos;
 }
 
+void add_namespace(const Namespace& entry, const std::string& file, KubernetesChoices& choices) {
+  const std::string& name = entry.name();
+  if (!is_namespace_name(name))
+    throw SettingsError(file + ": kubernetes.namespace: not a name: '" + name + "'");
+  if (entry.team().empty())
+    throw SettingsError(file + ": kubernetes.namespace " + name + ": team is missing");
+  if (!choices.teams.emplace(name, entry.team()).second)
+    throw SettingsError(file + ": kubernetes.namespace " + name + ": given twice");
+}
+
 KubernetesChoices read_kubernetes(const Kubernetes& message, const std::string& file) {
   KubernetesChoices choices{message.listen(), {}, message.tokens()};
   if (choices.tokens.empty() && choices.listen.rfind("127.", 0) != 0)
     throw SettingsError(file + ": kubernetes.listen: has to be on loopback (127.x.y.z:port) without tokens");
-  for (const auto& entry : message.namespace_()) {
-    const std::string& name = entry.name();
-    if (!is_namespace_name(name))
-      throw SettingsError(file + ": kubernetes.namespace: not a name: '" + name + "'");
-    if (entry.team().empty())
-      throw SettingsError(file + ": kubernetes.namespace " + name + ": team is missing");
-    if (!choices.teams.emplace(name, entry.team()).second)
-      throw SettingsError(file + ": kubernetes.namespace " + name + ": given twice");
-  }
+  for (const auto& entry : message.namespace_()) add_namespace(entry, file, choices);
   if (choices.teams.empty()) throw SettingsError(file + ": kubernetes.namespace: none is given");
   return choices;
 }
--- a/src/wire/worker_codec.cc
+++ b/src/wire/worker_codec.cc
@@ -41,8 +41,8 @@
   return status;
 }
 
-std::string text_at(const Json& list, std::size_t i) {
-  return i < list.size() && list[i].is_string() ? list[i].get<std::string>() : std::string();
+std::string text_at(const Json& list, std::size_t index) {
+  return index < list.size() && list[index].is_string() ? list[index].get<std::string>() : std::string();
 }
 
 /// Empty if the index names nothing.
