--- a/src/controller/user_api.cc
+++ b/src/controller/user_api.cc
@@ -54,7 +54,7 @@
   auto parsed = codec::unpack(body);
   if (!parsed) return caller.error(400, "not MessagePack");
   auto result = codec::parse_job(*parsed);
-  if (!result.job) return caller.error(400, result.error);
+  if (!result.job) return caller.error(400, result.error.text());
   if (!admission_.types_known()) return caller.unavailable("the machine types are not known yet");
   auto job = std::make_shared<const JobSpec>(std::move(*result.job));
   // A job that was accepted stays accepted, even if the machine types have changed since.
--- a/src/kube/tokens.cc
+++ b/src/kube/tokens.cc
@@ -27,7 +27,8 @@
     throw SettingsError(file + ": line " + std::to_string(errors.line) +
                         ": not as proto/operator.proto has it");
   Tokens out;
-  std::set<std::string> names, secrets;
+  std::set<std::string> names;
+  std::set<std::string> secrets;
   for (const auto& t : message.token()) {
     const std::string where = file + ": token '" + t.name() + "': ";
     if (t.name().empty() || !names.insert(t.name()).second)
--- a/src/simulation/simulation_plan.cc
+++ b/src/simulation/simulation_plan.cc
@@ -198,11 +198,11 @@
   return p;
 }
 SimulationPlan load_plan(const std::string& file, const std::string& scenario) {
-  return parse_plan(slurp(file), file, scenario);
+  return parse_plan(read_file(file), file, scenario);
 }
 
 std::vector<std::string> scenario_names(const std::string& file) {
-  auto table = parse_toml(slurp(file), file);
+  auto table = parse_toml(read_file(file), file);
   std::vector<std::string> out;
   Reader(file, table).each("day", false, [&](const Reader& r) { out.push_back(r.text("name")); });
   return out;
