--- a/src/scheduler/guarantee_claims.cc
+++ b/src/scheduler/guarantee_claims.cc
@@ -186,8 +186,8 @@
 
 void GuaranteeClaims::update_admissions(double now) {
   using Admission = Job::GuaranteeAdmission;
-  const JobSet& promising = state_.job_index().promising();
-  for (Job* job : std::vector<Job*>(promising.begin(), promising.end())) {
+  const JobSet& candidates = state_.job_index().admission_candidates();
+  for (Job* job : std::vector<Job*>(candidates.begin(), candidates.end())) {
     ++steps_;
     if (job->guarantee_admission == Admission::Undecided) {
       const bool fresh = now - job->ready_at < c::kFreshArrival;
--- a/src/scheduler/job_index.cc
+++ b/src/scheduler/job_index.cc
@@ -23,7 +23,7 @@
 
 std::size_t index_of(Priority priority) { return static_cast<std::size_t>(priority); }
 
-bool is_promising(const Job& job) {
+bool is_admission_candidate(const Job& job) {
   using Admission = Job::GuaranteeAdmission;
   if (job.guarantee_admission == Admission::Undecided) return job.ready();
   return job.guarantee_admission == Admission::Granted;
@@ -112,7 +112,7 @@
   else
     indexed.running = running;
   set_member(waiting_, job, indexed.waiting, ready && job.queued > 0);
-  set_member(promising_, job, indexed.promising, is_promising(job));
+  set_member(admission_candidates_, job, indexed.admission_candidate, is_admission_candidate(job));
   count(accelerator_users_, indexed.accelerator_user, priority_if(job, ready && job.spec.need.gpus > 0));
   count(stoppable_, indexed.stoppable, priority_if(job, running && !job.is_gang()));
 }
@@ -124,7 +124,7 @@
     if (indexed.running) team->second.running[indexed.guaranteed].erase(&job);
   }
   waiting_.erase(&job);
-  promising_.erase(&job);
+  admission_candidates_.erase(&job);
   count(accelerator_users_, indexed.accelerator_user, std::nullopt);
   count(stoppable_, indexed.stoppable, std::nullopt);
   indexed = {};
--- a/src/scheduler/job_index.h
+++ b/src/scheduler/job_index.h
@@ -32,7 +32,7 @@
   struct Indexed {
     bool ready = false;
     bool waiting = false;
-    bool promising = false;
+    bool admission_candidate = false;
     bool running = false;
     bool guaranteed = false;  // with all its team accepted before, it is within the team's guarantee
     std::optional<Priority> accelerator_user;  // the priority it counts under
@@ -47,7 +47,7 @@
 
   const JobSet& waiting() const { return waiting_; }
   /// Jobs whose admission within a guarantee is granted, or open while they could run.
-  const JobSet& promising() const { return promising_; }
+  const JobSet& admission_candidates() const { return admission_candidates_; }
   /// Of a team's jobs with tasks on machines, those within its guarantee or those over it.
   const JobSet& running(const std::string& team, bool guaranteed) const;
   /// The highest priority of what could use accelerators; none if nothing could.
@@ -79,7 +79,7 @@
 
   std::map<std::string, Ledger> teams_;
   JobSet waiting_;
-  JobSet promising_;
+  JobSet admission_candidates_;
   CountByPriority accelerator_users_{};
   CountByPriority stoppable_{};
   std::uint64_t steps_ = 0;
--- a/src/scheduler/machine_reservations.h
+++ b/src/scheduler/machine_reservations.h
@@ -1,7 +1,7 @@
 // Which machines are reserved for starving classes and teams, and which work is kept out of them.
 //
-// Owns the starvation protection (ReservedCapacity) and the machine types that starving jobs can use. It
-// needs the jobs that wait, in the order in which they are placed. It never places work.
+// Owns the machine types that starving jobs can use. It tells ReservedCapacity, which it needs, what waits in
+// the order in which it is placed, and applies what that says. It never places work.
 #pragma once
 #include <set>
 #include <string>
@@ -19,12 +19,8 @@
 
 class MachineReservations {
  public:
-  explicit MachineReservations(ClusterState& state) : state_(state) {}
+  MachineReservations(ClusterState& state, ReservedCapacity& capacity) : state_(state), capacity_(capacity) {}
 
-  /// A job of theirs is done.
-  void served(const std::string& job_class, const std::string& team, double now) {
-    capacity_.served(job_class, team, now);
-  }
   /// Estimates how long each waiting job will have waited, and reserves machines for those who starve by
   /// that. `waiting`: in the order in which they are placed.
   void update(const std::vector<const Job*>& waiting, double now);
@@ -44,7 +40,7 @@
   void add_usable_types(const JobSpec& spec);
 
   ClusterState& state_;
-  ReservedCapacity capacity_;
+  ReservedCapacity& capacity_;
   std::set<std::string> reserved_types_;
   std::vector<std::string> noted_starving_;
 };
--- a/src/scheduler/placement.cc
+++ b/src/scheduler/placement.cc
@@ -160,11 +160,11 @@
       const Choice choice = pick(spec, groups, now);
       if (!choice.machine) break;
       slowest_fetch_s = std::max(slowest_fetch_s, choice.fetch_s);
-      assigner_.assign(job, assigned, *choice.machine, attempt, now);
+      lifecycle_.assign(job, assigned, *choice.machine, attempt, now);
       ++assigned;
     }
   if (assigned < spec.tasks) {
-    assigner_.abort_gang(job, now);
+    lifecycle_.abort_gang(job, now);
     return gang_waits(job);
   }
   note_gang_placed(job, slowest_fetch_s, now);
@@ -192,24 +192,14 @@
     best = name;
     most_places = zone.places;
   }
-  auto found = freed_by_zone_.find(best);
-  if (found == freed_by_zone_.end()) return;
-  const Freed& freed = found->second;
-  const double decay = std::exp(-std::max(0.0, now - freed.at) / c::kFreeingWindow) / c::kFreeingWindow;
+  const auto freed_per_s = freed_capacity_.rate(best, now);
+  if (!freed_per_s) return;
   const bool by_gpus = spec.need.gpus > 0;
-  const double rate = decay * (by_gpus ? freed.sum.gpus : freed.sum.cpus);
+  const double rate = by_gpus ? freed_per_s->gpus : freed_per_s->cpus;
   const double missing = (spec.tasks - most_places) * (by_gpus ? spec.need.gpus : spec.need.cpus);
   if (missing <= rate * c::kZoneHoldLimit) search_.hold_zone(best, spec.id);
 }
 
-void Placement::note_freed(const std::string& zone, const Resources& need, double now) {
-  Freed& freed = freed_by_zone_[zone];
-  const double keep = std::exp(-std::max(0.0, now - freed.at) / c::kFreeingWindow);
-  freed.sum.cpus = keep * freed.sum.cpus + need.cpus;
-  freed.sum.gpus = keep * freed.sum.gpus + need.gpus;
-  freed.at = std::max(freed.at, now);
-}
-
 // ---------------------------------------------------------------- single tasks
 
 std::vector<CandidateGroup> Placement::candidates_for_task(const Job& job,
@@ -250,7 +240,7 @@
     const Choice choice = pick(spec, groups, now);
     const std::optional<int> index = next_queued(job);
     if (!choice.machine || !index) break;
-    assigner_.assign(job, *index, *choice.machine, attempt, now);
+    lifecycle_.assign(job, *index, *choice.machine, attempt, now);
     ++tasks_in_zone[choice.machine->zone];
     ++placed;
   }
--- a/src/scheduler/placement.h
+++ b/src/scheduler/placement.h
@@ -1,9 +1,9 @@
 // Places waiting tasks on machines: a zone drawn by softmax of its utility, then the best of a sample of its
 // machines (DESIGN's zone draw and sampled pick). Gangs start as a whole or not at all.
 //
-// Owns the rates at which zones' places have become free of late, and the lines for the debug log. It needs
-// the machines that fit from CandidateSearch, and a TaskAssigner that carries its choice out. It never stops
-// anything and decides no order of jobs.
+// Owns the lines for the debug log and a count of the work done. It needs the machines that fit from
+// CandidateSearch, the rates at which zones' places become free from FreedCapacity, and TaskLifecycle, which
+// assigns. It never stops anything and decides no order of jobs.
 #pragma once
 #include <cstdint>
 #include <map>
@@ -13,7 +13,9 @@
 
 #include "candidate_search.h"
 #include "cluster_state.h"
+#include "freed_capacity.h"
 #include "random_source.h"
+#include "task_lifecycle.h"
 
 namespace corkmux {
 namespace constants {
@@ -25,27 +27,19 @@
 inline constexpr int kSampleSize = 12;       // machines looked at per pick
 inline constexpr double kScoreNoise = 0.05;  // standard deviation of the pick's jitter, in units of utility
 inline constexpr double kAcceleratorPenalty = 0.3;  // utility that an unneeded accelerator costs
-inline constexpr double kFreeingWindow = 10.0;  // s over which a zone's rate of places becoming free is taken
-inline constexpr double kZoneHoldLimit = 5.0;   // s; a zone is held for a gang no longer than that
+inline constexpr double kZoneHoldLimit = 5.0;       // s; a zone is held for a gang no longer than that
 
 }  // namespace constants
 
-/// Carries out what placement chooses.
-class TaskAssigner {
- public:
-  /// The queued task takes its place on the machine.
-  virtual void assign(Job& job, int index, Machine& machine, std::uint64_t attempt, double now) = 0;
-  /// All members of the gang give up their places.
-  virtual void abort_gang(Job& job, double now) = 0;
-
- protected:
-  ~TaskAssigner() = default;
-};
-
 class Placement {
  public:
-  Placement(ClusterState& state, CandidateSearch& search, RandomSource& random, TaskAssigner& assigner)
-      : state_(state), search_(search), random_(random), assigner_(assigner) {}
+  Placement(ClusterState& state, CandidateSearch& search, RandomSource& random,
+            const FreedCapacity& freed_capacity, TaskLifecycle& lifecycle)
+      : state_(state),
+        search_(search),
+        random_(random),
+        freed_capacity_(freed_capacity),
+        lifecycle_(lifecycle) {}
 
   /// Places all tasks of the gang, or says in the job why it waits. Returns whether it was placed.
   bool place_gang(Job& job, double now);
@@ -54,8 +48,6 @@
   int place_tasks(Job& job, int budget, double now);
   /// Holds a zone's free machines for a gang that is due, where the rest it needs is about to be free.
   void hold_zone_for_gang(const Job& job, double now);
-  /// A task has given its place in the zone back.
-  void note_freed(const std::string& zone, const Resources& need, double now);
 
   /// One line per placed gang, when the configuration asks for it.
   std::vector<std::string> take_details() { return std::exchange(details_, {}); }
@@ -75,11 +67,6 @@
     Machine* machine = nullptr;  // none: there are no candidates
     double fetch_s = 0;
   };
-  /// CPUs and accelerators that tasks have given back in a zone of late, decaying.
-  struct Freed {
-    Resources sum;
-    double at = kLongAgo;
-  };
 
   CapacityByZone capacity_by_zone(const JobSpec& spec, const std::vector<CandidateGroup>& groups,
                                   double now) const;
@@ -96,8 +83,8 @@
   ClusterState& state_;
   CandidateSearch& search_;
   RandomSource& random_;
-  TaskAssigner& assigner_;
-  std::map<std::string, Freed> freed_by_zone_;
+  const FreedCapacity& freed_capacity_;
+  TaskLifecycle& lifecycle_;
   std::vector<std::string> details_;
   std::uint64_t steps_ = 0;
 };
