--- a/src/scheduler/freed_capacity.h
+++ b/src/scheduler/freed_capacity.h
@@ -13,7 +13,7 @@
 namespace corkmux {
 namespace constants {
 
-inline constexpr double kFreeingWindow = 10.0;  // s over which the rate is taken
+inline constexpr double kFreeingWindow = 10.0;  // s over which a zone's rate of places becoming free is taken
 
 }  // namespace constants
 
--- a/src/scheduler/machine_reservations.cc
+++ b/src/scheduler/machine_reservations.cc
@@ -46,12 +46,12 @@
   if (starving == noted_starving_) return;
   noted_starving_ = std::move(starving);
   if (noted_starving_.empty()) {
-    state_.note("no class or team is in arrears any more: no machines are kept");
+    state_.note("no class or team is starving any more: no machines are reserved");
     return;
   }
   std::string names;
   for (const auto& name : noted_starving_) names += (names.empty() ? "" : ", ") + name;
-  state_.note("less than half would be served of " + names + ": machines are kept for them");
+  state_.note("less than half would be served of " + names + ": machines are reserved for them");
 }
 
 void MachineReservations::add_usable_types(const JobSpec& spec) {
--- a/src/scheduler/placement.h
+++ b/src/scheduler/placement.h
@@ -1,9 +1,9 @@
 // Places waiting tasks on machines: a zone drawn by softmax of its utility, then the best of a sample of its
 // machines (DESIGN's zone draw and sampled pick). Gangs start as a whole or not at all.
 //
-// Owns the lines for the debug log. It needs the machines that fit from CandidateSearch, the rates at which
-// zones' places become free from FreedCapacity, and TaskLifecycle, which carries its choice out. It never
-// stops anything and decides no order of jobs.
+// Owns the lines for the debug log and a count of the work done. It needs the machines that fit from
+// CandidateSearch, the rates at which zones' places become free from FreedCapacity, and TaskLifecycle, which
+// assigns. It never stops anything and decides no order of jobs.
 #pragma once
 #include <cstdint>
 #include <map>
--- a/src/scheduler/task_lifecycle.cc
+++ b/src/scheduler/task_lifecycle.cc
@@ -4,6 +4,7 @@
 #include <utility>
 
 #include "mutation.h"
+#include "scheduler_constants.h"
 
 namespace corkmux {
 namespace c = constants;
@@ -135,7 +136,8 @@
   for (int i = 0; job.gang_completed() && i < job.spec.tasks; ++i)
     if (all || job.phase[static_cast<std::size_t>(i)] == TaskPhase::Queued) finish(job, i, now);
   job.why.clear();
-  if (job.over() && note_ending(job.spec.id)) reservations_.served(job.spec.job_class, job.spec.team, now);
+  if (job.over() && note_ending(job.spec.id))
+    reserved_capacity_.served(job.spec.job_class, job.spec.team, now);
 }
 
 void TaskLifecycle::exited(Job& job, const TaskStatus& status, Machine& machine, double now) {
--- a/tests/failure_attribution_test.cc
+++ b/tests/failure_attribution_test.cc
@@ -33,7 +33,7 @@
   model.play(0.1);
   EXPECT_LE(model.lost(false), 1) << "of 100 healthy machines, returned as faulty";
   EXPECT_LT(model.of_broken, 0.25 * model.starts) << "starts wasted on broken jobs";
-  EXPECT_TRUE(model.held_bad.empty());
+  EXPECT_TRUE(model.held_failing.empty());
 }
 
 TEST_P(Seeds, ABatchOfFaultyMachinesMakesNoGoodJobBad) {
@@ -42,7 +42,7 @@
   EXPECT_GE(model.lost(true), 10) << "faulty machines that were found";
   EXPECT_EQ(model.lost(false), 0);
   // One that met three faulty machines before any of them was known is held bad until a task ends well.
-  EXPECT_LE(model.held_bad.size(), 0.1 * model.good);
+  EXPECT_LE(model.held_failing.size(), 0.1 * model.good);
   EXPECT_TRUE(model.scheduler->jobs().empty()) << "jobs that never ended";
 }
 
@@ -52,7 +52,7 @@
   // One that is avoided for a minute after each failure may not be found out in the time.
   EXPECT_GE(model.lost(true), 1);
   EXPECT_LE(model.lost(false), 2);
-  EXPECT_LE(model.held_bad.size(), 0.05 * model.good);
+  EXPECT_LE(model.held_failing.size(), 0.05 * model.good);
   EXPECT_TRUE(model.scheduler->jobs().empty());
 }
 INSTANTIATE_TEST_SUITE_P(Models, Seeds, ::testing::Range(1u, 9u));
--- a/tests/scheduling_cost_test.cc
+++ b/tests/scheduling_cost_test.cc
@@ -1,4 +1,4 @@
-// A grown site without the bench: 600 machines, thousands of tasks. What is counted is work (machines and
+// A large cluster: 600 machines and more, thousands of tasks. What is counted is work (machines and
 // tasks looked at), never time, so the verdict is the same on every machine.
 #include <gtest/gtest.h>
 
@@ -47,7 +47,7 @@
     spec.image_gb = 3;
     scheduler->put_job(spec, revision, false, 0);
   }
-  /// Work of one pass.
+  /// Work of one scheduling cycle.
   std::uint64_t pass(double now) {
     auto before = scheduler->steps();
     scheduler->schedule(now);
@@ -75,7 +75,7 @@
   std::size_t waiting = 0;
   for (const auto& [id, job] : site.scheduler->jobs()) waiting += job.queued > 0;
   ASSERT_GT(waiting, 100u);
-  // One look at all machines for each gang size that does not fit, doubtful machines included.
+  // One look at all machines for each gang size that does not fit, suspect machines included.
   EXPECT_LE(site.pass(7), 600u * 2 * 16);
 }
 
@@ -126,12 +126,12 @@
       EXPECT_LE(steps->at(n), steps->at(1000) * 3 / 2) << n;
       std::cout << n << " machines: " << steps->at(n) << " steps\n";
     }
-  // A task placed looks at some pools, levels and twelve machines.
+  // A task placed looks at some pools, buckets and twelve machines.
   EXPECT_LE(placing[1000], 90u * 60);
 }
 
 // Room for an urgent gang is found with one walk over machines and tasks, whatever its size.
-TEST(Scale, MakingRoomCostsOneWalkOverMachinesAndTasks) {
+TEST(Scale, PreemptionCostsOneWalkOverMachinesAndTasks) {
   LargeCluster site(600);
   for (int i = 0; i < 30; ++i) site.add(JobKind::Array, Priority::Normal, 100, 0);
   for (int i = 0; i < 60; ++i) site.pass(0.1 * i);
@@ -148,12 +148,12 @@
   for (const auto& [id, job] : site.scheduler->jobs())
     for (const auto& [i, a] : job.active) stopped += a.stop;
   EXPECT_EQ(stopped, 16u);
-  // Three looks at the machines (gang, doubtful ones, the arrays that wait) and two at each task.
+  // Three looks at the machines (gang, suspect ones, the arrays that wait) and two at each task.
   EXPECT_LE(steps, 600u * 4 + 2 * tasks);
 }
 
-// What a report changes is looked at, not all machines.
-TEST(Scale, OrdersAreLookedForOnlyWhereSomethingChanged) {
+// What a heartbeat changes is looked at, not all machines.
+TEST(Scale, CommandsAreLookedForOnlyWhereSomethingChanged) {
   LargeCluster site(600);
   site.scheduler->machines_with_commands();
   EXPECT_TRUE(site.scheduler->machines_with_commands().empty());
@@ -170,7 +170,7 @@
   for (int i = 0; i < 60; ++i) {
     site.scheduler->schedule(0.1 * i);
     auto batch = site.scheduler->next_writes(1000, true, 0);
-    for (const auto& w : batch) EXPECT_LE(w.value.dump().size(), 16u * 1024);
+    for (const auto& write : batch) EXPECT_LE(write.value.dump().size(), 16u * 1024);
     site.scheduler->written(batch, ++site.revision, 0.1 * i);
   }
   EXPECT_GT(site.started(), 700u);
