--- a/src/scheduler/task_lifecycle.h
+++ b/src/scheduler/task_lifecycle.h
@@ -13,7 +13,7 @@
 #include "cluster_state.h"
 #include "failure_tracker.h"
 #include "freed_capacity.h"
-#include "machine_reservations.h"
+#include "reserved_capacity.h"
 #include "task_record_store.h"
 
 namespace corkmux {
@@ -21,12 +21,12 @@
 class TaskLifecycle {
  public:
   TaskLifecycle(ClusterState& state, TaskRecordStore& records, FailureTracker& failures,
-                FreedCapacity& freed_capacity, MachineReservations& reservations)
+                FreedCapacity& freed_capacity, ReservedCapacity& reserved_capacity)
       : state_(state),
         records_(records),
         failures_(failures),
         freed_capacity_(freed_capacity),
-        reservations_(reservations) {}
+        reserved_capacity_(reserved_capacity) {}
 
   // --- tasks ---
   /// The queued task goes to the machine, once its record is stored.
@@ -80,7 +80,7 @@
   TaskRecordStore& records_;
   FailureTracker& failures_;
   FreedCapacity& freed_capacity_;
-  MachineReservations& reservations_;
+  ReservedCapacity& reserved_capacity_;
   std::map<std::string, std::uint64_t> ending_;
   std::uint64_t endings_ = 0;
 };
--- a/tests/index_consistency_test.cc
+++ b/tests/index_consistency_test.cc
@@ -64,14 +64,18 @@
     if (jobs > 1 && up_to(4) == 0) spec.dependencies = {"run-" + std::to_string(1 + up_to(jobs - 1))};
     scheduler->put_job(spec, ++revision, false, now);
   }
+  static void exit(TaskStatus& task, ExitReason why) {
+    task.state = TaskState::Exited;
+    task.why = why;
+  }
   void report(Heartbeat& heartbeat) {
     ++heartbeat.seq;
     for (auto& task : heartbeat.tasks) {
       if (task.state == TaskState::Exited) continue;
       int dice = up_to(20);
-      if (dice == 0) task.state = TaskState::Exited, task.why = ExitReason::Error;
-      if (dice == 1) task.state = TaskState::Exited, task.why = ExitReason::NoRoom;
-      if (dice == 2) task.state = TaskState::Exited, task.why = ExitReason::Done;
+      if (dice == 0) exit(task, ExitReason::Error);
+      if (dice == 1) exit(task, ExitReason::NoRoom);
+      if (dice == 2) exit(task, ExitReason::Done);
       if (dice > 10) task.state = TaskState::Running;
     }
     auto result = scheduler->on_heartbeat(heartbeat, Scheduler::Channel::Heartbeat, now);
@@ -88,7 +92,7 @@
           {command.job, command.index, command.attempt, TaskState::Fetching, ExitReason::None, false});
     else if (it != heartbeat.tasks.end() && command.op == TaskCommand::Op::Stop &&
              it->state != TaskState::Exited)
-      it->state = TaskState::Exited, it->why = ExitReason::Stopped;
+      exit(*it, ExitReason::Stopped);
     else if (it != heartbeat.tasks.end() && command.op == TaskCommand::Op::Forget)
       heartbeat.tasks.erase(it);
   }
@@ -124,7 +128,9 @@
               scheduler->decommission(heartbeat->machine, now);
               return;
             case 2:
-              ++heartbeat->worker_epoch, heartbeat->seq = 0, heartbeat->tasks.clear();
+              ++heartbeat->worker_epoch;
+              heartbeat->seq = 0;
+              heartbeat->tasks.clear();
               return;
             default:
               now += 2;
@@ -160,22 +166,22 @@
   void compare_jobs() {
     const JobIndex& index = scheduler->job_index();
     std::map<std::string, std::vector<const Job*>> by_team;
-    std::size_t waiting = 0, promising = 0;
+    std::size_t waiting = 0, admission_candidates = 0;
     std::optional<Priority> accelerators, lowest;
     for (const auto& [id, job] : scheduler->jobs()) {
       by_team[job.spec.team].push_back(&job);
       bool waits = job.ready() && job.queued > 0;
       waiting += waits;
       EXPECT_EQ(index.waiting().count(const_cast<Job*>(&job)), waits) << id;
-      promising += job.guarantee_admission == Job::GuaranteeAdmission::Granted ||
-                   (job.guarantee_admission == Job::GuaranteeAdmission::Undecided && job.ready());
+      admission_candidates += job.guarantee_admission == Job::GuaranteeAdmission::Granted ||
+                              (job.guarantee_admission == Job::GuaranteeAdmission::Undecided && job.ready());
       if (job.ready() && job.spec.need.gpus > 0)
         accelerators = std::max(accelerators.value_or(job.priority), job.priority);
       if (!job.active.empty() && job.spec.kind != JobKind::Gang)
         lowest = std::min(lowest.value_or(job.priority), job.priority);
     }
     EXPECT_EQ(index.waiting().size(), waiting);
-    EXPECT_EQ(index.promising().size(), promising);
+    EXPECT_EQ(index.admission_candidates().size(), admission_candidates);
     EXPECT_EQ(index.accelerator_users(), accelerators);
     EXPECT_EQ(index.lowest_stoppable(), lowest);
     for (const auto& team : config.teams) {
@@ -200,7 +206,7 @@
       for (bool within : {false, true}) EXPECT_EQ(index.running(team.name, within).size(), running[within]);
     }
   }
-  void compare_room() {
+  void compare_free_capacity() {
     double free_gpus = 0, all_gpus = 0;
     std::map<const CapacityIndex::CapacityBucket*, std::vector<const Machine*>> members;
     for (const auto& [name, machine] : scheduler->machines()) {
@@ -209,7 +215,10 @@
       ASSERT_NE(machine.index_entry.pool, nullptr) << name;
       EXPECT_EQ(machine.index_entry.use, should.use) << name;
       EXPECT_EQ(machine.index_entry.kept_for, should.kept_for) << name;
-      if (should.use != Use::Out) free_gpus += machine.free.gpus, all_gpus += machine.size.gpus;
+      if (should.use != Use::Out) {
+        free_gpus += machine.free.gpus;
+        all_gpus += machine.size.gpus;
+      }
       kept += should.use == Use::Kept;
       suspect += should.use == Use::Suspect;
       EXPECT_EQ(scheduler->capacity_index().kept_for(should.kept_for).count(const_cast<Machine*>(&machine)),
@@ -266,7 +275,7 @@
   }
 };
 
-TEST(Index, SaysWhatAWalkOverAllJobsAndMachinesSays) {
+TEST(IndexConsistency, SaysWhatAWalkOverAllJobsAndMachinesSays) {
   int placed = 0, suspect = 0, kept = 0, stopping = 0, guaranteed = 0, beyond = 0;
   for (unsigned seed = 1; seed <= 40 && !::testing::Test::HasFailure(); ++seed) {
     RandomEvents events(seed);
@@ -276,7 +285,7 @@
       events.compare_jobs();
       if (i % 3) continue;
       events.scheduler->schedule(events.now);
-      events.compare_room();
+      events.compare_free_capacity();
       events.compare_jobs();
     }
     placed += events.placed;
--- a/tests/placement_test.cc
+++ b/tests/placement_test.cc
@@ -58,7 +58,7 @@
 bool plainly_allowed(const JobSpec& spec, const Machine& machine) {
   bool type = !spec.types;
   if (spec.types)
-    for (const auto& t : *spec.types) type |= t == machine.type;
+    for (const auto& allowed_type : *spec.types) type |= allowed_type == machine.type;
   return type && (!spec.zone || *spec.zone == machine.zone) && (spec.spot || !machine.spot);
 }
 
@@ -108,9 +108,10 @@
       for (const auto& [other_id, other] : simulation.scheduler->jobs())
         more_urgent |= other.queued > 0 && other.spec.priority > job.spec.priority;
       if (more_urgent) continue;
-      Resources t = team[job.spec.team];
-      t += job.spec.need;
-      if (t.cpus > (job.spec.team == "x" ? 90 : 200) || (job.spec.team == "y" && t.gpus > 12)) continue;
+      Resources wanted = team[job.spec.team];
+      wanted += job.spec.need;
+      if (wanted.cpus > (job.spec.team == "x" ? 90 : 200) || (job.spec.team == "y" && wanted.gpus > 12))
+        continue;
       for (const auto& [name, machine] : simulation.scheduler->machines()) {
         if (machine.size.gpus > 0 && job.spec.need.gpus <= 0) continue;
         Resources room = machine.size;
--- a/tests/preemption_test.cc
+++ b/tests/preemption_test.cc
@@ -1,4 +1,4 @@
-// Work that is stopped for more urgent work must not come back in the next pass only to be stopped again.
+// Work that is stopped for more urgent work must not come back in the next cycle only to be stopped again.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -46,7 +46,7 @@
     spec.save_s = 4;
     return spec;
   }
-  /// One round: store writes succeed, orders are executed, every task runs at once, stopped tasks exit at
+  /// One round: store writes succeed, commands are executed, every task runs at once, stopped tasks exit at
   /// once.
   void settle(double now) {
     scheduler->tick(now);
@@ -87,38 +87,41 @@
 };
 
 TEST(Preemption, TheTeamsLimitMakesWayForItsUrgentGangOnce) {
-  PreemptionTestCluster f({{"x", 64, 64, 0, 0}}, 8);
-  f.scheduler->put_job(f.job("run-array", "x", Priority::Normal, 40, 4), 1, false, 1);
+  PreemptionTestCluster cluster({{"x", 64, 64, 0, 0}}, 8);
+  cluster.scheduler->put_job(cluster.job("run-array", "x", Priority::Normal, 40, 4), 1, false, 1);
   double now = 1;
-  for (; now < 3; now += 0.05) f.settle(now);
-  EXPECT_EQ(f.scheduler->job("run-array")->active.size(), 16u);
-  f.scheduler->put_job(f.job("run-gang", "x", Priority::High, 2, 15, JobKind::Gang), 2, false, now);
-  for (double end = now + 10; now < end; now += 0.05) f.settle(now);
-  EXPECT_EQ(f.scheduler->job("run-gang")->active.size(), 2u);
-  EXPECT_EQ(f.stops, 8) << "32 of 64 CPUs are needed, no more, and once only";
+  for (; now < 3; now += 0.05) cluster.settle(now);
+  EXPECT_EQ(cluster.scheduler->job("run-array")->active.size(), 16u);
+  cluster.scheduler->put_job(cluster.job("run-gang", "x", Priority::High, 2, 15, JobKind::Gang), 2, false,
+                             now);
+  for (double end = now + 10; now < end; now += 0.05) cluster.settle(now);
+  EXPECT_EQ(cluster.scheduler->job("run-gang")->active.size(), 2u);
+  EXPECT_EQ(cluster.stops, 8) << "32 of 64 CPUs are needed, no more, and once only";
 }
 
 TEST(Preemption, WorkWithinAGuaranteeIsNotStoppedForWorkBeyondAnother) {
-  PreemptionTestCluster f({{"x", 32, 0, 0, 0}, {"y", 0, 0, 0, 0}}, 2);
-  f.scheduler->put_job(f.job("run-array", "x", Priority::Normal, 8, 4), 1, false, 1);
+  PreemptionTestCluster cluster({{"x", 32, 0, 0, 0}, {"y", 0, 0, 0, 0}}, 2);
+  cluster.scheduler->put_job(cluster.job("run-array", "x", Priority::Normal, 8, 4), 1, false, 1);
   double now = 1;
-  for (; now < 3; now += 0.05) f.settle(now);
-  f.scheduler->put_job(f.job("run-gang", "y", Priority::High, 1, 15, JobKind::Gang), 2, false, now);
-  for (double end = now + 5; now < end; now += 0.05) f.settle(now);
-  EXPECT_EQ(f.stops, 0);
-  EXPECT_EQ(f.scheduler->job("run-array")->active.size(), 8u);
+  for (; now < 3; now += 0.05) cluster.settle(now);
+  cluster.scheduler->put_job(cluster.job("run-gang", "y", Priority::High, 1, 15, JobKind::Gang), 2, false,
+                             now);
+  for (double end = now + 5; now < end; now += 0.05) cluster.settle(now);
+  EXPECT_EQ(cluster.stops, 0);
+  EXPECT_EQ(cluster.scheduler->job("run-array")->active.size(), 8u);
 }
 
 TEST(Preemption, LowerPriorityMakesRoomOnMachines) {
-  PreemptionTestCluster f({{"x", 0, 0, 0, 0}, {"y", 0, 0, 0, 0}}, 2);
-  f.scheduler->put_job(f.job("run-array", "x", Priority::Low, 20, 4), 1, false, 1);
+  PreemptionTestCluster cluster({{"x", 0, 0, 0, 0}, {"y", 0, 0, 0, 0}}, 2);
+  cluster.scheduler->put_job(cluster.job("run-array", "x", Priority::Low, 20, 4), 1, false, 1);
   double now = 1;
-  for (; now < 3; now += 0.05) f.settle(now);
-  f.scheduler->put_job(f.job("run-gang", "y", Priority::High, 1, 15, JobKind::Gang), 2, false, now);
-  for (double end = now + 5; now < end; now += 0.05) f.settle(now);
-  EXPECT_EQ(f.scheduler->job("run-gang")->active.size(), 1u);
-  EXPECT_EQ(f.stops, 4);
-  EXPECT_EQ(f.scheduler->job("run-array")->active.size(), 4u);
+  for (; now < 3; now += 0.05) cluster.settle(now);
+  cluster.scheduler->put_job(cluster.job("run-gang", "y", Priority::High, 1, 15, JobKind::Gang), 2, false,
+                             now);
+  for (double end = now + 5; now < end; now += 0.05) cluster.settle(now);
+  EXPECT_EQ(cluster.scheduler->job("run-gang")->active.size(), 1u);
+  EXPECT_EQ(cluster.stops, 4);
+  EXPECT_EQ(cluster.scheduler->job("run-array")->active.size(), 4u);
 }
 
 }  // namespace
--- a/tests/scheduler_model.h
+++ b/tests/scheduler_model.h
@@ -1,6 +1,6 @@
-// A plain model of what is around the book, for tests that play it for minutes: machines are faulty or not,
-// jobs are broken or not, and a task runs for a while and ends as these say. Reports and orders once a
-// second.
+// A plain model of what is around the scheduler, for tests that run it for minutes: machines are faulty or
+// not, jobs are broken or not, and a task runs for a while and ends as these say. Heartbeats and commands
+// once a second.
 #pragma once
 #include <algorithm>
 #include <map>
@@ -21,7 +21,7 @@
   };
   std::map<std::string, Host> hosts;
   std::map<std::string, double> broken;  // job -> when its user cancels it
-  std::set<std::string> held_bad;        // good jobs that were
+  std::set<std::string> held_failing;    // good jobs that were
   std::mt19937 rng;
   std::uint64_t revision = 100;
   int starts = 0, of_broken = 0, good = 0;
@@ -35,43 +35,55 @@
     scheduler = std::make_unique<Scheduler>(config, 1, 0, seed);
     scheduler->set_catalog({{"plain", {32, 0, 128}, 60, 1, 1, 1, 10, {"a"}}});
     for (int i = 0; i < 100; ++i) {
-      Heartbeat r;
-      r.machine = "n-" + std::to_string(100 + i), r.address = "x", r.type = "plain", r.zone = "a";
-      r.worker_epoch = 1;
-      hosts[r.machine] = {r, std::uniform_real_distribution<double>(0, 1)(rng) < faulty, {}};
+      Heartbeat heartbeat;
+      heartbeat.machine = "n-" + std::to_string(100 + i);
+      heartbeat.address = "x";
+      heartbeat.type = "plain";
+      heartbeat.zone = "a";
+      heartbeat.worker_epoch = 1;
+      hosts[heartbeat.machine] = {heartbeat, std::uniform_real_distribution<double>(0, 1)(rng) < faulty, {}};
     }
   }
   /// A drawn job; `broken_share` of them fail wherever they start.
   void submit_any(double now, double broken_share) {
-    JobSpec s;
-    s.id = "run-" + std::to_string(++revision), s.team = "x", s.job_class = "k", s.image = "i";
-    s.kind = rng() % 3 ? JobKind::Array : JobKind::Gang;
-    s.tasks = s.kind == JobKind::Gang ? 1 + static_cast<int>(rng() % 16) : 1 + static_cast<int>(rng() % 40);
-    s.need = {4, 0, 8}, s.estimate_s = 10;
+    JobSpec spec;
+    spec.id = "run-" + std::to_string(++revision);
+    spec.team = "x";
+    spec.job_class = "k";
+    spec.image = "i";
+    spec.kind = rng() % 3 ? JobKind::Array : JobKind::Gang;
+    spec.tasks =
+        spec.kind == JobKind::Gang ? 1 + static_cast<int>(rng() % 16) : 1 + static_cast<int>(rng() % 40);
+    spec.need = {4, 0, 8};
+    spec.estimate_s = 10;
     if (std::uniform_real_distribution<double>(0, 1)(rng) < broken_share)
-      broken[s.id] = now + 100;
+      broken[spec.id] = now + 100;
     else
       ++good;
-    put(s, now);
+    put(spec, now);
   }
-  void put(const JobSpec& s, double now) {
-    scheduler->put_job(s, revision, false, now);
-    ++came[s.job_class];
+  void put(const JobSpec& spec, double now) {
+    scheduler->put_job(spec, revision, false, now);
+    ++came[spec.job_class];
   }
-  void obey(Host& h, const TaskCommand& c, double now) {
-    auto it = std::find_if(h.heartbeat.tasks.begin(), h.heartbeat.tasks.end(),
-                           [&](const TaskStatus& t) { return t.job == c.job && t.index == c.index; });
-    if (c.op == TaskCommand::Op::Start) {
+  void obey(Host& host, const TaskCommand& command, double now) {
+    auto it = std::find_if(
+        host.heartbeat.tasks.begin(), host.heartbeat.tasks.end(),
+        [&](const TaskStatus& task) { return task.job == command.job && task.index == command.index; });
+    if (command.op == TaskCommand::Op::Start) {
       ++starts;
-      of_broken += broken.count(c.job) > 0;
-      h.heartbeat.tasks.push_back({c.job, c.index, c.attempt, TaskState::Running, ExitReason::None, false});
-      bool fails = h.faulty || broken.count(c.job);
-      h.ends[{c.job, c.index}] = now + (fails ? 2 : run_s);
-    } else if (it != h.heartbeat.tasks.end() && c.op == TaskCommand::Op::Stop) {
-      if (it->state != TaskState::Exited) it->state = TaskState::Exited, it->why = ExitReason::Stopped;
-    } else if (it != h.heartbeat.tasks.end() && c.op == TaskCommand::Op::Forget) {
-      h.ends.erase({c.job, c.index});
-      h.heartbeat.tasks.erase(it);
+      of_broken += broken.count(command.job) > 0;
+      host.heartbeat.tasks.push_back(
+          {command.job, command.index, command.attempt, TaskState::Running, ExitReason::None, false});
+      bool fails = host.faulty || broken.count(command.job);
+      host.ends[{command.job, command.index}] = now + (fails ? 2 : run_s);
+    } else if (it != host.heartbeat.tasks.end() && command.op == TaskCommand::Op::Stop) {
+      if (it->state == TaskState::Exited) return;
+      it->state = TaskState::Exited;
+      it->why = ExitReason::Stopped;
+    } else if (it != host.heartbeat.tasks.end() && command.op == TaskCommand::Op::Forget) {
+      host.ends.erase({command.job, command.index});
+      host.heartbeat.tasks.erase(it);
     }
   }
   void round(double now) {
@@ -91,43 +103,50 @@
     std::vector<std::string> returned;
     for (const auto& name : scheduler->decommissioning()) returned.push_back(name);
     scheduler->deleted(returned, now);
-    for (auto& [name, h] : hosts) {
-      Machine* m = scheduler->machine(name);
-      if (now > 1 && !m) continue;
-      for (auto& t : h.heartbeat.tasks)
-        if (auto e = h.ends.find({t.job, t.index});
-            t.state == TaskState::Running && e != h.ends.end() && now >= e->second)
-          t.state = TaskState::Exited,
-          t.why = h.faulty || broken.count(t.job) ? ExitReason::Error : ExitReason::Done;
-      if (m && scheduler->has_commands(*m)) {
+    for (auto& [name, host] : hosts) {
+      Machine* machine = scheduler->machine(name);
+      if (now > 1 && !machine) continue;
+      for (auto& task : host.heartbeat.tasks) {
+        auto end = host.ends.find({task.job, task.index});
+        if (task.state != TaskState::Running || end == host.ends.end() || now < end->second) continue;
+        task.state = TaskState::Exited;
+        task.why = host.faulty || broken.count(task.job) ? ExitReason::Error : ExitReason::Done;
+      }
+      if (machine && scheduler->has_commands(*machine)) {
         auto command_batch = scheduler->take_commands(name, now);
-        h.heartbeat.fencing_token = std::max(h.heartbeat.fencing_token, command_batch.fencing_token);
-        for (const auto& c : command_batch.commands) obey(h, c, now);
+        host.heartbeat.fencing_token = std::max(host.heartbeat.fencing_token, command_batch.fencing_token);
+        for (const auto& command : command_batch.commands) obey(host, command, now);
         scheduler->dispatch_done(name, command_batch, Scheduler::DispatchOutcome::Executed, now);
       }
-      ++h.heartbeat.seq;
-      auto result = scheduler->on_heartbeat(h.heartbeat, Scheduler::Channel::Heartbeat, now);
-      h.heartbeat.fencing_token = std::max(h.heartbeat.fencing_token, result.fencing_token);
-      for (const auto& c : result.commands) obey(h, c, now);
+      ++host.heartbeat.seq;
+      auto result = scheduler->on_heartbeat(host.heartbeat, Scheduler::Channel::Heartbeat, now);
+      host.heartbeat.fencing_token = std::max(host.heartbeat.fencing_token, result.fencing_token);
+      for (const auto& command : result.commands) obey(host, command, now);
       scheduler->answered(name, now);
     }
     for (const auto& [id, job] : scheduler->jobs())
-      if (job.bad && !broken.count(id)) held_bad.insert(id);
+      if (job.fails_by_itself && !broken.count(id)) held_failing.insert(id);
   }
   int lost(bool faulty) const {
     int n = 0;
-    for (const auto& [name, h] : hosts)
-      n += h.faulty == faulty && !const_cast<Scheduler&>(*scheduler).machine(name);
+    for (const auto& [name, host] : hosts)
+      n += host.faulty == faulty && !const_cast<Scheduler&>(*scheduler).machine(name);
     return n;
   }
   /// Three times as much urgent work as the machines hold for 500 s, and beside it some that is not urgent.
   void flood() {
     run_s = 40;
     auto job = [&](const char* job_class, Priority priority, int tasks) {
-      JobSpec s;
-      s.id = "run-" + std::to_string(++revision), s.team = "x", s.job_class = job_class, s.image = "i";
-      s.priority = priority, s.tasks = tasks, s.need = {15, 0, 8}, s.estimate_s = 40;
-      return s;
+      JobSpec spec;
+      spec.id = "run-" + std::to_string(++revision);
+      spec.team = "x";
+      spec.job_class = job_class;
+      spec.image = "i";
+      spec.priority = priority;
+      spec.tasks = tasks;
+      spec.need = {15, 0, 8};
+      spec.estimate_s = 40;
+      return spec;
     };
     for (double now = 0; now < 700; ++now) {
       if (now > 2 && now < 500) {
