--- a/src/scheduler/failure_attribution.h
+++ b/src/scheduler/failure_attribution.h
@@ -9,8 +9,8 @@
 namespace constants {
 
 inline constexpr double kFaultyWeight = 1.5;  // two jobs that failed nowhere else, with half a one to spare
-inline constexpr int kFailingJobMachines =
-    3;  // machines a job failed on before it is held to be its own fault
+/// Machines a job failed on before it is held to be its own fault.
+inline constexpr int kFailingJobMachines = 3;
 inline constexpr double kErrorBackoff = 2.0;      // s, doubled per failure of a job
 inline constexpr double kErrorBackoffMax = 60.0;  // s
 
--- a/src/scheduler/freed_capacity.h
+++ b/src/scheduler/freed_capacity.h
@@ -8,7 +8,7 @@
 #include <string>
 
 #include "model.h"
-#include "time_points.h"
+#include "time_constants.h"
 
 namespace corkmux {
 namespace constants {
--- a/src/scheduler/machine.h
+++ b/src/scheduler/machine.h
@@ -12,7 +12,7 @@
 #include "capacity_index.h"
 #include "model.h"
 #include "task.h"
-#include "time_points.h"
+#include "time_constants.h"
 
 namespace corkmux {
 
--- a/src/scheduler/preemption.h
+++ b/src/scheduler/preemption.h
@@ -18,10 +18,10 @@
 namespace corkmux {
 namespace constants {
 
-inline constexpr double kCheckpointWorth =
-    2.0;  // saves that half a checkpoint has to cost before one is asked for
-inline constexpr std::size_t kPreemptionCandidatesExamined =
-    512;                                     // machines or tasks per job; bounds a decision
+/// Saves that half a checkpoint has to cost before one is asked for.
+inline constexpr double kCheckpointWorth = 2.0;
+/// Machines or tasks per job; bounds a decision.
+inline constexpr std::size_t kPreemptionCandidatesExamined = 512;
 inline constexpr double kFreshStart = 30.0;  // s; PROTOCOL counts a start only if it is left alone that long
 
 }  // namespace constants
--- a/src/scheduler/reserved_capacity.h
+++ b/src/scheduler/reserved_capacity.h
@@ -17,8 +17,8 @@
 namespace corkmux {
 namespace constants {
 
-inline constexpr double kDeficitFrom =
-    450.0;  // s until its end, waiting included, from which a job is in deficit
+/// s until its end, waiting included, from which a job is in deficit.
+inline constexpr double kDeficitFrom = 450.0;
 inline constexpr double kDeficitFull = 600.0;        // s; by then all tiers are reserved
 inline constexpr double kServiceWindow = 600.0;      // s over which what was served counts
 inline constexpr double kServedShareTarget = 0.65;   // of what came; half is promised, the rest is margin
--- a/src/scheduler/scheduling_cycle.h
+++ b/src/scheduler/scheduling_cycle.h
@@ -24,14 +24,14 @@
 inline constexpr int kPreemptorsPerCycle = 4;    // jobs that may stop others in one cycle; bounds its time
 inline constexpr double kGuaranteeBoost = 64.0;  // weight factor for work within its team's guarantee
 inline constexpr double kDueShare = 0.8;  // of the time to its last start aim, after which a job is due
-inline constexpr double kHeldPatience =
-    75.0;  // s that a job waits for more urgent work under its team's limit
+/// s that a job waits for more urgent work under its team's limit.
+inline constexpr double kHeldPatience = 75.0;
 inline constexpr double kBeginWithin = 240.0;  // s within which large arrays should begin
-inline constexpr double kBeginShare =
-    0.5;                                // of it, after which an array of which nothing has begun goes first
+/// Share of kBeginWithin after which a large array of which nothing has begun goes first.
+inline constexpr double kBeginShare = 0.5;
 inline constexpr int kBeginTasks = 20;  // tasks of a large array
-inline constexpr double kClaimAfter =
-    0.25;  // of the guarantee's aim that a job waits before it claims places
+/// Share of the aim on starting within a guarantee that a job waits before it claims places.
+inline constexpr double kClaimAfter = 0.25;
 
 }  // namespace constants
 
--- a/src/simulation/event_simulator.h
+++ b/src/simulation/event_simulator.h
@@ -1,7 +1,7 @@
-// Stepped time: one queue of events for all hosts of a world, run in order of time, then of their making. The
-// same seed gives the same order. Hosts have clocks of their own, may stand still, end, or be without power;
-// what they say to each other goes through a network with delays and cuts. Knows nothing of what the hosts
-// are.
+// Stepped time: one queue of events for all hosts of a simulation, run in order of time, then of their
+// making. The same seed gives the same order. Hosts have clocks of their own, may stand still, end, or be
+// without power; what they say to each other goes through a network with delays and cuts. Knows nothing of
+// what the hosts are.
 #pragma once
 #include <cstdint>
 #include <deque>
@@ -28,7 +28,8 @@
 
 class EventSimulator;
 
-/// A process or machine at one address. Kept until the world ends, since late messages may still name it.
+/// A process or machine at one address. Kept until the simulation ends, since late messages may still name
+/// it.
 class Host : public Runtime, public http::Transport {
  public:
   Host(EventSimulator& simulation, std::string name, std::string ip, std::string zone);
@@ -43,9 +44,9 @@
   void unlisten(int port) override;
   bool send(const std::string& address, http::Request request, bool open, Done done) override;
 
-  /// It runs nothing until then, while its clocks run on. s of the world.
-  void stand_still(double until);
-  bool standing_still() const;
+  /// It runs nothing until then, while its clocks run on. s of simulated time.
+  void stall(double until);
+  bool stalled() const;
   /// It is no more: nothing of it runs. A process that ends refuses what comes; a machine without power is
   /// silent.
   void end(bool silent);
@@ -53,15 +54,15 @@
   const std::string& name() const { return name_; }
   const std::string& zone() const { return zone_; }  // empty: regional
   const std::string& ip() const { return ip_; }
-  double world_time() const;  // s since the world began
-  std::string role;           // what cuts go by: "controller", "worker", "state", "cloud", "users"
+  double simulated_time() const;  // s since the simulation began
+  std::string role;               // what cuts go by: "controller", "worker", "state", "cloud", "users"
 
  private:
   friend class EventSimulator;
   EventSimulator& simulation_;
   std::string name_, ip_, zone_;
-  double rate_, skew_;  // steady s per s of the world; s of the time of day
-  double still_until_ = 0;
+  double rate_, skew_;  // steady s per s of simulated time; s of the time of day
+  double stalled_until_ = 0;
   bool alive_ = true, silent_ = false;
   int next_port_ = 20000;
   std::map<int, Accept> ports_;
@@ -74,7 +75,7 @@
   EventSimulator(const EventSimulator&) = delete;
   EventSimulator& operator=(const EventSimulator&) = delete;
 
-  double now() const { return now_; }  // s since the world began
+  double now() const { return now_; }  // s since the simulation began
   std::mt19937_64& rng() { return rng_; }
   double uniform(double from, double to) { return std::uniform_real_distribution<double>(from, to)(rng_); }
   std::size_t below(std::size_t n) { return std::uniform_int_distribution<std::size_t>(0, n - 1)(rng_); }
@@ -99,7 +100,7 @@
   void lose_requests(Between between, double until);
   /// That share of the requests to this path come once more, from `least_s` to `most_s` later, and whatever
   /// is answered then is lost; or come only then, so that whoever asked gets no answer.
-  struct Late {
+  struct DelayedDelivery {
     Between between;
     std::string path;
     double share = 0, least_s = 0, most_s = 0;
@@ -108,7 +109,7 @@
     bool kept = false;
     double until = 0;
   };
-  void come_late(Late late) { late_.push_back(std::move(late)); }
+  void delay_deliveries(DelayedDelivery late) { late_.push_back(std::move(late)); }
   /// The kept copies arrive now at each of these hosts, at that port; gives how many there were.
   std::size_t deliver_kept(const std::vector<Host*>& to, int port);
   /// Multiplies delays.
@@ -143,7 +144,7 @@
     CutMode mode;
     double until;
   };
-  struct Weak {
+  struct LossRule {
     Between between;
     double value, until;
     std::string path = {};
@@ -173,10 +174,10 @@
   std::map<std::string, std::uint64_t> peer_requests_;
   std::map<std::uint64_t, Call> calls_;
   std::vector<Cut> cuts_;
-  std::vector<Weak> lossy_, mute_, slow_;
-  std::vector<Late> late_;
+  std::vector<LossRule> lossy_, mute_, slow_;
+  std::vector<DelayedDelivery> late_;
   std::deque<std::pair<Host*, http::Request>> kept_;
-  std::unique_ptr<Host> outside_;  // whose clocks tell while no host runs
+  std::unique_ptr<Host> services_loop_;  // whose clocks tell while no host runs
 };
 
 }  // namespace corkmux::simulation
