--- a/src/scheduler/arrival_tracker.cc
+++ b/src/scheduler/arrival_tracker.cc
@@ -1,6 +1,6 @@
 #include "arrival_tracker.h"
 
-#include "scheduler_constants.h"
+#include "job.h"
 
 namespace corkmux {
 namespace c = constants;
--- a/src/scheduler/failure_tracker.cc
+++ b/src/scheduler/failure_tracker.cc
@@ -4,7 +4,6 @@
 #include <utility>
 
 #include "failure_attribution.h"
-#include "scheduler_constants.h"
 
 namespace corkmux {
 namespace c = constants;
--- a/src/scheduler/machine.h
+++ b/src/scheduler/machine.h
@@ -15,6 +15,11 @@
 #include "time_constants.h"
 
 namespace corkmux {
+namespace constants {
+
+inline constexpr double kNominationTime = 8.0;  // s a machine stays nominated for a job
+
+}  // namespace constants
 
 struct Machine {
   /// Failures of a job here since the machine last completed anything.
--- a/src/scheduler/machine_lifecycle.h
+++ b/src/scheduler/machine_lifecycle.h
@@ -4,6 +4,7 @@
 // It needs the cluster's state, TaskLifecycle for tasks whose machine is gone, and FailureTracker for
 // machines that count as faulty. It never talks to the cloud: it says which machines are to be returned.
 #pragma once
+#include <cstddef>
 #include <map>
 #include <set>
 #include <string>
@@ -14,6 +15,15 @@
 #include "task_lifecycle.h"
 
 namespace corkmux {
+namespace constants {
+
+inline constexpr double kDeadReports = 3.6;     // heartbeat intervals without one: returned to the cloud
+inline constexpr double kMaxSilentShare = 0.4;  // of a zone's machines; above, the network is at fault
+inline constexpr double kBootLate = 3.0;    // times the catalog's boot time before a boot counts as failed
+inline constexpr double kBootGrace = 15.0;  // s beyond that
+inline constexpr std::size_t kReturnedNames = 2000;  // returned machines remembered; lists lag by seconds
+
+}  // namespace constants
 
 class MachineLifecycle {
  public:
--- a/src/scheduler/scaling.cc
+++ b/src/scheduler/scaling.cc
@@ -3,8 +3,6 @@
 #include <algorithm>
 #include <cmath>
 
-#include "scheduler_constants.h"
-
 namespace corkmux {
 namespace c = constants;
 namespace {
--- a/src/scheduler/scheduler.h
+++ b/src/scheduler/scheduler.h
@@ -12,6 +12,7 @@
 #include <string>
 #include <unordered_map>
 #include <unordered_set>
+#include <utility>
 #include <vector>
 
 #include "arrival_tracker.h"
@@ -28,7 +29,6 @@
 #include "placement.h"
 #include "preemption.h"
 #include "random_source.h"
-#include "reserved_capacity.h"
 #include "scheduler_config.h"
 #include "scheduling_cycle.h"
 #include "task_lifecycle.h"
@@ -197,16 +197,15 @@
   ClusterState state_;
   ArrivalTracker arrivals_;
   FreedCapacity freed_capacity_;
-  ReservedCapacity reserved_capacity_;
+  MachineReservations reservations_{state_};
   FailureTracker failures_{state_};
   TaskRecordStore records_{state_};
-  TaskLifecycle lifecycle_{state_, records_, failures_, freed_capacity_, reserved_capacity_};
+  TaskLifecycle lifecycle_{state_, records_, failures_, freed_capacity_, reservations_};
   CommandQueue commands_{state_, lifecycle_};
   MachineLifecycle machines_{state_, lifecycle_, failures_};
   HeartbeatReconciler reconciler_{state_, records_, lifecycle_, commands_, machines_};
   DependencyGraph dependencies_{state_, lifecycle_};
   RandomSource random_;
-  MachineReservations reservations_{state_, reserved_capacity_};
   CandidateSearch search_{state_, reservations_};
   Placement placement_{state_, search_, random_, freed_capacity_, lifecycle_};
   Preemption preemption_{state_, search_, random_};
--- a/src/scheduler/scheduling_cycle.cc
+++ b/src/scheduler/scheduling_cycle.cc
@@ -3,8 +3,6 @@
 #include <algorithm>
 #include <tuple>
 
-#include "scheduler_constants.h"
-
 namespace corkmux {
 namespace c = constants;
 namespace {
--- a/src/scheduler/task_record_store.cc
+++ b/src/scheduler/task_record_store.cc
@@ -5,7 +5,6 @@
 #include <optional>
 
 #include "constants.h"
-#include "scheduler_constants.h"
 
 namespace corkmux {
 namespace c = constants;
