--- a/src/scheduler/placement.h
+++ b/src/scheduler/placement.h
@@ -16,6 +16,7 @@
 #include "freed_capacity.h"
 #include "random_source.h"
 #include "task_lifecycle.h"
+#include "time_constants.h"
 
 namespace corkmux {
 namespace constants {
@@ -58,7 +59,7 @@
   struct ZoneCapacity {
     double slack = 0;
     double heat = 0;
-    double fetch_s = 1e9;  // the least of any machine
+    double fetch_s = kNever;  // the least of any machine
     double machines = 0;
     int places = 0;
   };
