--- a/src/kube/api_changes.cc
+++ b/src/kube/api_changes.cc
@@ -239,17 +239,18 @@
     writes.push_back({kJobs + job, std::move(record), 0});
     writes.push_back({kFinals + job, Json{{"p", "cancelled"}, {"n", 0}, {"t", wall_now()}}, 0});
   }
-  state_.transaction(conditions, writes, [this, call, job, unfinished, uid = found.stored.uid](StateReply reply) {
-    if (reply.ok()) {
-      if (unfinished) status_cache_.note_cancelled(job);
-      return fail(call, {200, "", "", "", "", {}, uid});
-    }
-    // It ended meanwhile, or somebody else deleted it.
-    if (reply.status == StateStatus::Conflict && ++call->tries < c::kKubeTries) return remove(call);
-    unavailable(call, reply.status == StateStatus::Unanswered
-                          ? "the state service did not answer, the job may be gone: delete it again"
-                          : "the state service takes no changes now");
-  });
+  state_.transaction(
+      conditions, writes, [this, call, job, unfinished, uid = found.stored.uid](StateReply reply) {
+        if (reply.ok()) {
+          if (unfinished) status_cache_.note_cancelled(job);
+          return fail(call, {200, "", "", "", "", {}, uid});
+        }
+        // It ended meanwhile, or somebody else deleted it.
+        if (reply.status == StateStatus::Conflict && ++call->tries < c::kKubeTries) return remove(call);
+        unavailable(call, reply.status == StateStatus::Unanswered
+                              ? "the state service did not answer, the job may be gone: delete it again"
+                              : "the state service takes no changes now");
+      });
 }
 
 }  // namespace corkmux::kube
--- a/tests/upgrade_test.cc
+++ b/tests/upgrade_test.cc
@@ -110,11 +110,11 @@
       auto command_batch = scheduler.take_commands(name, now);
       for (std::size_t i = 0; i < command_batch.launches.size(); ++i)
         workers[name].tasks[command_batch.launches[i].index] = {"run-1",
-                                                                 command_batch.launches[i].index,
-                                                                 command_batch.attempts[i],
-                                                                 TaskState::Running,
-                                                                 ExitReason::None,
-                                                                 false};
+                                                                command_batch.launches[i].index,
+                                                                command_batch.attempts[i],
+                                                                TaskState::Running,
+                                                                ExitReason::None,
+                                                                false};
       scheduler.dispatch_done(name, command_batch, Scheduler::DispatchOutcome::Executed, now);
     }
   }
