--- a/benchmarks/scheduler_benchmark.cc
+++ b/benchmarks/scheduler_benchmark.cc
@@ -1,5 +1,4 @@
-// The leader's book on fleets of three sizes, full of work: what one pass, report, load and batch of writes
-// takes. Works over any version of the book: where calls differ, each is asked for what it has.
+// The scheduler on fleets of three sizes, full of work: what one cycle, heartbeat, load and batch of writes takes.
 #include <benchmark/benchmark.h>
 
 #include <algorithm>
@@ -12,47 +11,21 @@
 namespace corkmux {
 namespace {
 
-template <class C>
-auto next_writes(C& scheduler) {
-  if constexpr (requires { scheduler.next_writes(12, true, 0.0); })
-    return scheduler.next_writes(12, true, 0.0);
-  else
-    return scheduler.next_writes(12);
-}
-
-template <class C, class W>
-void load(C& scheduler, const W& w) {
-  if constexpr (requires { scheduler.load_record(w.key, w.value, w.version); })
-    scheduler.load_record(w.key, w.value, 1);
-  else
-    scheduler.load_shard(w.job, w.shard, w.value, 1);
-}
-
-template <class C>
-void all_loaded(C& scheduler) {
-  if constexpr (requires { scheduler.loaded(); }) scheduler.loaded();
-}
-
-template <class C>
-void newest_form(C& scheduler) {
-  if constexpr (requires { scheduler.use_v2_records(); }) scheduler.use_v2_records();
-}
-
-using Writes = decltype(next_writes(std::declval<Scheduler&>()));
+using Writes = std::vector<TaskRecordWrite>;
 
-std::unique_ptr<Scheduler> empty_book() {
+std::unique_ptr<Scheduler> empty_scheduler() {
   SchedulerConfig config;
   config.zones = {"a", "b", "c"};
   config.teams = {{"x", 1000, 0, 0, 0}, {"y", 0, 0, 0, 0}};
   auto scheduler = std::make_unique<Scheduler>(config, 1, 0, 5);
   scheduler->set_catalog({{"plain", {32, 0, 128}, 60, 0.5, 2, 1, 15, {"a", "b", "c"}},
                           {"gpu", {32, 4, 128}, 150, 1, 14, 4, 60, {"a", "b", "c"}}});
-  newest_form(*scheduler);
+  scheduler->use_v2_records();
   return scheduler;
 }
 
 struct Site {
-  std::unique_ptr<Scheduler> scheduler = empty_book();
+  std::unique_ptr<Scheduler> scheduler = empty_scheduler();
   std::vector<Heartbeat> workers;
   std::vector<JobSpec> jobs;
   Writes stored;
@@ -92,7 +65,7 @@
   }
   void store(bool keep) {
     for (;;) {
-      auto batch = next_writes(*scheduler);
+      auto batch = scheduler->next_writes(12, true, 0.0);
       if (batch.empty()) return;
       scheduler->written(batch, ++revision, now);
       if (keep) stored.insert(stored.end(), batch.begin(), batch.end());
@@ -147,11 +120,11 @@
 void Load(benchmark::State& state) {
   Site& s = site(static_cast<int>(state.range(0)));
   for (auto _ : state) {
-    auto fresh = empty_book();
+    auto fresh = empty_scheduler();
     std::uint64_t revision = 0;
     for (const auto& spec : s.jobs) fresh->put_job(spec, ++revision, false, 0, 100);
-    for (const auto& w : s.stored) load(*fresh, w);
-    all_loaded(*fresh);
+    for (const auto& w : s.stored) fresh->load_record(w.key, w.value, 1);
+    fresh->loaded();
     benchmark::DoNotOptimize(fresh->jobs().size());
   }
 }
--- a/benchmarks/submit_benchmark.cc
+++ b/benchmarks/submit_benchmark.cc
@@ -7,9 +7,10 @@
 #include <algorithm>
 #include <cstdio>
 
-#include "../tests/stand_ins.h"
 #include "api.h"
+#include "cloud.h"
 #include "controller.h"
+#include "state_service.h"
 
 namespace {
 
@@ -18,8 +19,8 @@
 
 struct Site {
   Loop loop;
-  standin::State state{loop};
-  standin::Cloud cloud{loop};
+  simulation::State state{loop};
+  simulation::Cloud cloud{loop};
   std::vector<std::unique_ptr<Controller>> controllers;
   std::vector<std::unique_ptr<kube::Api>> apis;
   std::vector<std::unique_ptr<http::Client>> native, translated;
--- a/src/controller/worker_endpoint.cc
+++ b/src/controller/worker_endpoint.cc
@@ -151,7 +151,7 @@
 }
 
 void WorkerEndpoint::forward(Heartbeat heartbeat, const std::string& body, LeaderReplyCallback reply) {
-  routes_.forwarder.tell([heartbeat = std::move(heartbeat), body,
+  routes_.forwarder.tell([heartbeat = std::move(heartbeat), body = std::string(body),
                           reply = std::move(reply)](fanin::HeartbeatForwarder& forwarder) mutable {
     forwarder.forward(heartbeat, std::move(body), std::move(reply));
   });
--- a/src/scheduler/reserved_capacity.cc
+++ b/src/scheduler/reserved_capacity.cc
@@ -129,8 +129,8 @@
 int ReservedCapacity::reservation_tier(const std::string& machine) {
   std::uint64_t hash = stable_hash(machine);
   hash ^= hash >> 29;  // names differ in their last bytes only
-  constexpr auto kGroups = static_cast<std::uint64_t>(1 / c::kReservationTierShare + 0.5);
-  const int group = static_cast<int>(hash % kGroups);
+  const auto groups = static_cast<std::uint64_t>(std::lround(1 / c::kReservationTierShare));
+  const int group = static_cast<int>(hash % groups);
   return group < c::kReservationTiers ? group + 1 : 0;
 }
 
