--- a/src/scheduler/heartbeat_reconciler.cc
+++ b/src/scheduler/heartbeat_reconciler.cc
@@ -33,7 +33,7 @@
 
 HeartbeatResult HeartbeatReconciler::reconcile(const Heartbeat& heartbeat, HeartbeatChannel channel,
                                                double now) {
-  // Guards against unassigned: a held-back heartbeat of a machine that was returned must not revive it.
+  // Guards against a returned machine that seems alive: a held-back heartbeat of it must not revive it.
   if (machines_.was_returned(heartbeat.machine)) return {};
   Machine& machine = adopt_machine(heartbeat, now);
   HeartbeatResult refusal;
