--- a/benchmarks/scheduler_benchmark.cc
+++ b/benchmarks/scheduler_benchmark.cc
@@ -1,4 +1,5 @@
-// The scheduler on fleets of three sizes, full of work: what one cycle, heartbeat, load and batch of writes takes.
+// The scheduler on fleets of three sizes, full of work: what one cycle, heartbeat, load and batch of writes
+// takes.
 #include <benchmark/benchmark.h>
 
 #include <algorithm>
