--- a/benchmarks/submit_benchmark.cc
+++ b/benchmarks/submit_benchmark.cc
@@ -7,7 +7,7 @@
 #include <algorithm>
 #include <cstdio>
 
-#include "api.h"
+#include "api_server.h"
 #include "cloud.h"
 #include "controller.h"
 #include "state_service.h"
@@ -22,7 +22,7 @@
   simulation::State state{loop};
   simulation::Cloud cloud{loop};
   std::vector<std::unique_ptr<Controller>> controllers;
-  std::vector<std::unique_ptr<kube::Api>> apis;
+  std::vector<std::unique_ptr<kube::ApiServer>> apis;
   std::vector<std::unique_ptr<http::Client>> native, translated;
 
   explicit Site(int n) {
@@ -36,9 +36,9 @@
       s.list_lag_s = 1, s.next = {500, 16, 12}, s.max_connections = 4000;
       controllers.push_back(std::make_unique<Controller>(loop, s, load_operator("")));
       auto& c = *controllers.back();
-      apis.push_back(std::make_unique<kube::Api>(loop, s,
-                                                 KubernetesChoices{"127.0.0.1:0", {{"default", "x"}}},
-                                                 c.state(), c.admission(), c.status_cache()));
+      apis.push_back(std::make_unique<kube::ApiServer>(loop, s,
+                                                       KubernetesChoices{"127.0.0.1:0", {{"default", "x"}}},
+                                                       c.state(), c.admission(), c.status_cache()));
       c.start(), apis.back()->start();
       auto to = [&](int port) {
         return std::make_unique<http::Client>(loop, "127.0.0.1:" + std::to_string(port), 8, 1000);
--- a/src/cmd/corkmux_main.cc
+++ b/src/cmd/corkmux_main.cc
@@ -5,7 +5,7 @@
 #include <nlohmann/json.hpp>
 #include <optional>
 
-#include "api.h"
+#include "api_server.h"
 #include "cmd_constants.h"
 #include "controller.h"
 #include "logging.h"
@@ -35,13 +35,13 @@
   auto choices = load_operator(arguments.operator_file);
   check_choices(choices, settings);
   if (choices.kubernetes && !choices.kubernetes->tokens.empty())
-    kube::Tokens::load(choices.kubernetes->tokens);
+    kube::BearerTokens::load(choices.kubernetes->tokens);
   return choices;
 }
 
 /// Sockets for Kubernetes-style clients are taken off those for users and workers.
 Settings share_connections(Settings settings, const OperatorChoices& choices) {
-  if (choices.kubernetes) settings.max_connections -= kube::Api::connections(settings);
+  if (choices.kubernetes) settings.max_connections -= kube::ApiServer::connections(settings);
   return settings;
 }
 
@@ -110,7 +110,7 @@
   OperatorChoices choices_;
   Loop loop_;
   Controller controller_;
-  std::optional<kube::Api> kubernetes_;
+  std::optional<kube::ApiServer> kubernetes_;
   Timer kubernetes_retry_;
   int status_ = 0;
   bool ending_ = false;
--- a/src/kube/api_changes.cc
+++ b/src/kube/api_server_writes.cc
@@ -1,25 +1,20 @@
 // Creating and deleting of objects.
-#include <fmt/format.h>
-
 #include <algorithm>
 #include <utility>
 
-#include "api.h"
+#include "api_server.h"
 #include "codec.h"
 #include "job_translation.h"
-#include "kube_constants.h"
+#include "object_keys.h"
+#include "request_body.h"
 #include "store_keys.h"
 #include "stored_job_record.h"
 
 namespace corkmux::kube {
-namespace c = constants;
 using codec::Write;
 
 namespace {
 
-constexpr std::size_t kGeneratedNamePrefix = 58;  // bytes of generateName that are kept
-constexpr int kGeneratedNameLetters = 5;
-
 bool is_text(const Json& object, const char* field, const char* value) {
   auto it = object.find(field);
   return it != object.end() && it->is_string() && *it == value;
@@ -48,48 +43,16 @@
 
 // ---------------------------------------------------------------- create
 
-std::string Api::random_text(int letters) {
-  // As the API's own generated names: without vowels and digits that are taken for them.
-  static constexpr std::string_view kLetters = "bcdfghjklmnpqrstvwxz2456789";
-  std::string out;
-  std::uniform_int_distribution<std::size_t> any(0, kLetters.size() - 1);
-  for (int i = 0; i < letters; ++i) out += kLetters[any(rng_)];
-  return out;
-}
-
-/// RFC 9562, version 4.
-std::string Api::random_uid() {
-  std::uniform_int_distribution<std::uint64_t> any;
-  std::uint64_t high = (any(rng_) & ~0xf000ULL) | 0x4000ULL;
-  std::uint64_t low = (any(rng_) & ~(3ULL << 62)) | (2ULL << 62);
-  return fmt::format("{:08x}-{:04x}-{:04x}-{:04x}-{:012x}", high >> 32, (high >> 16) & 0xffff, high & 0xffff,
-                     low >> 48, low & 0xffffffffffffULL);
-}
-
-void Api::fail_invalid(const CallPtr& call, const std::string& given_name, std::vector<Cause> causes) {
-  std::string text = "Job.batch \"" + given_name + "\" is invalid";
-  const char* separator = ": ";
-  for (const auto& cause : causes) {
-    text += separator + cause.field + ": " + cause.message;
-    separator = "; ";
-  }
-  fail(call, {422, "Invalid", text, given_name, "", std::move(causes), ""});
-}
-
-void Api::fail_exists(const CallPtr& call) {
-  fail(call, 409, "AlreadyExists", "jobs.batch \"" + call->name + "\" already exists");
-}
-
-std::string Api::object_name(const Json& metadata) {
+std::string ApiServer::object_name(const Json& metadata) {
   auto given = given_name(metadata);
   if (!given.empty()) return given;
   auto prefix = metadata["generateName"].get<std::string>().substr(0, kGeneratedNamePrefix);
-  return prefix + random_text(kGeneratedNameLetters);
+  return prefix + random_ids_.name_suffix();
 }
 
-Stored Api::make_stored(const Json& object, const Json& metadata, const std::string& name) {
-  Stored stored;
-  stored.uid = random_uid();
+StoredObject ApiServer::make_stored(const Json& object, const Json& metadata, const std::string& name) {
+  StoredObject stored;
+  stored.uid = random_ids_.uid();
   // Not to be guessed, so no native submission has taken it; the transaction looks all the same.
   stored.job = "run-" + stored.uid;
   stored.created = wall_now();
@@ -100,7 +63,8 @@
   return stored;
 }
 
-bool Api::check_admission(const CallPtr& call, const Submission& submission, const std::string& given_name) {
+bool ApiServer::check_admission(const CallPtr& call, const Submission& submission,
+                                const std::string& given_name) {
   auto refuse = [&](const std::string& why) {
     fail_invalid(call, given_name, {{"spec", why}});
     return false;
@@ -116,141 +80,148 @@
   return false;
 }
 
-void Api::create(const CallPtr& call) {
+void ApiServer::create(const CallPtr& call) {
   auto body = parse_body(call->body, call->content_type);
-  if (!body.error.empty()) return fail(call, 400, "BadRequest", body.error);
-  const Json& object = body.value;
+  if (!body.object) return fail_bad_request(call, body.error.text);
+  const Json& object = *body.object;
   if (!is_text(object, "kind", "Job") || !is_text(object, "apiVersion", "batch/v1"))
-    return fail(call, 400, "BadRequest", "the object is not a batch/v1 Job");
-  auto causes = check_metadata(object, call->space);
+    return fail_bad_request(call, "the object is not a batch/v1 Job");
+  auto causes = check_metadata(object, call->namespace_name);
   auto translated = translate_job(object);
   causes.insert(causes.end(), translated.causes.begin(), translated.causes.end());
   const Json& metadata = metadata_of(object);
   const std::string given = given_name(metadata);
   if (!causes.empty()) return fail_invalid(call, given, std::move(causes));
-  if (!admission_.types_known()) return unavailable(call, "the machine types are not known yet");
+  if (!admission_.types_known()) return fail_unavailable(call, "the machine types are not known yet");
 
   call->name = object_name(metadata);
   Submission submission;
   submission.stored = make_stored(object, metadata, call->name);
   submission.job = std::move(translated.job);
   submission.job.id = submission.stored.job;
-  submission.job.team = teams_.at(call->space);
+  submission.job.team = teams_.at(call->namespace_name);
   submission.warnings = std::move(translated.warnings);
   if (!check_admission(call, submission, given)) return;
   auto dry_run = call->query.find("dryRun");
   if (dry_run == call->query.end()) return store(call, submission);
-  if (dry_run->second != "All") return fail(call, 400, "BadRequest", "dryRun: only All is known");
-  create_dry(call, submission);
+  if (dry_run->second != "All") return fail_bad_request(call, "dryRun: only All is known");
+  dry_run_create(call, submission);
 }
 
-void Api::create_dry(const CallPtr& call, const Submission& submission) {
-  state_.get(object_key(call->space, call->name), [this, call, submission](StateReply reply) {
+void ApiServer::dry_run_create(const CallPtr& call, const Submission& submission) {
+  state_.get(object_key(call->namespace_name, call->name), [this, call, submission](StateReply reply) {
     if (reply.ok()) return fail_exists(call);
     if (reply.status != StateStatus::Missing)
-      return unavailable(call, "the state service cannot be read now");
+      return fail_unavailable(call, "the state service cannot be read now");
     Progress progress;
     progress.tasks = submission.job.tasks;
-    answer(call, 201, job_object(submission.stored, call->space, progress), submission.warnings);
+    answer(call, 201, job_object(submission.stored, call->namespace_name, progress), submission.warnings);
   });
 }
 
-void Api::store(const CallPtr& call, const Submission& submission) {
+void ApiServer::store(const CallPtr& call, const Submission& submission) {
   const JobSpec& job = submission.job;
-  auto key = object_key(call->space, call->name);
+  auto key = object_key(call->namespace_name, call->name);
   state_.transaction(
       {{key, 0}, {kJobs + job.id, 0}, {kFinals + job.id, 0}},
       {{key, to_record(submission.stored), 0}, {kJobs + job.id, StoredJobRecord::for_new_job(job).json(), 0}},
       [this, call, submission](StateReply reply) { on_stored(call, submission, reply); });
 }
 
-void Api::on_stored(const CallPtr& call, const Submission& submission, const StateReply& reply) {
+void ApiServer::on_stored(const CallPtr& call, const Submission& submission, const StateReply& reply) {
   switch (reply.status) {
     case StateStatus::Ok: {
       Progress progress;
       progress.tasks = submission.job.tasks;
       progress.revision = codec::parse_revision(reply.body);
-      return answer(call, 201, job_object(submission.stored, call->space, progress), submission.warnings);
+      return answer(call, 201, job_object(submission.stored, call->namespace_name, progress),
+                    submission.warnings);
     }
     case StateStatus::Conflict:
       // Perhaps an earlier try of the same client whose answer was lost; it can read which it is.
       return fail_exists(call);
     case StateStatus::Refused:
-      return unavailable(call, "the state service takes no changes now: nothing was stored");
+      return fail_unavailable(call, "the state service takes no changes now: nothing was stored");
     case StateStatus::Invalid:
       return fail(call, 413, "RequestEntityTooLarge", "the object is larger than a record may be now");
     default:
-      return unavailable(call,
-                         "the state service did not answer, the job may have been stored: create it again, "
-                         "AlreadyExists then says that it was");
+      return fail_unavailable(
+          call,
+          "the state service did not answer, the job may have been stored: create it again, "
+          "AlreadyExists then says that it was");
   }
 }
 
 // ---------------------------------------------------------------- delete
 
-std::optional<Json> Api::read_delete_options(const CallPtr& call) {
+std::optional<Json> ApiServer::read_delete_options(const CallPtr& call) {
   Json options = Json::object();
   if (!call->body.empty()) {
     auto body = parse_body(call->body, call->content_type);
-    if (!body.error.empty()) {
-      fail(call, 400, "BadRequest", body.error);
+    if (!body.object) {
+      fail_bad_request(call, body.error.text);
       return std::nullopt;
     }
-    options = std::move(body.value);
+    options = std::move(*body.object);
   }
   std::string policy = call->query["propagationPolicy"];
   if (policy.empty() && options.contains("propagationPolicy") && options["propagationPolicy"].is_string())
     policy = options["propagationPolicy"].get<std::string>();
   if (policy.empty() || policy == "Background") return options;
-  fail(call, {422,
-              "Invalid",
-              "propagationPolicy: only Background is served: tasks are stopped after the job is gone",
-              "",
-              "",
-              {{"propagationPolicy", "only Background is served", "FieldValueNotSupported"}},
-              ""});
+  answer_status(
+      call,
+      {.code = 422,
+       .reason = "Invalid",
+       .message = "propagationPolicy: only Background is served: tasks are stopped after the job is gone",
+       .causes = {{"propagationPolicy", "only Background is served", kNotSupported}}});
   return std::nullopt;
 }
 
-void Api::remove(const CallPtr& call) {
+void ApiServer::delete_object(const CallPtr& call) {
   auto options = read_delete_options(call);
   if (!options) return;
   bool dry_run =
       call->query["dryRun"] == "All" || (options->contains("dryRun") && !(*options)["dryRun"].empty());
   read(call, [this, call, options = std::move(*options), dry_run](FoundObject found) {
     if (!preconditions_hold(options, found))
-      return fail(call, {409, "Conflict", "the precondition does not hold", "", "", {}, found.stored.uid});
-    if (dry_run) return fail(call, {200, "", "", "", "", {}, found.stored.uid});
-    remove_found(call, found);
+      return answer_status(call, {.code = 409,
+                                  .reason = "Conflict",
+                                  .message = "the precondition does not hold",
+                                  .uid = found.stored.uid});
+    if (dry_run) return answer_status(call, {.code = 200, .uid = found.stored.uid});
+    delete_found(call, found);
   });
 }
 
-void Api::remove_found(const CallPtr& call, const FoundObject& found) {
-  const std::string job = found.stored.job;
-  const std::string key = object_key(call->space, call->name);
+void ApiServer::delete_found(const CallPtr& call, const FoundObject& found) {
+  const std::string& job = found.stored.job;
+  const std::string key = object_key(call->namespace_name, call->name);
   std::vector<codec::Condition> conditions{{key, found.revision}};
   std::vector<Write> writes{{key, std::nullopt, 0}};
   const bool unfinished = found.job_revision != 0;
   if (unfinished) {
-    Json record = found.job_record;
-    record["c"] = 1;
+    StoredJobRecord record = found.job_record;
+    record.mark_cancelled();
     conditions.push_back({kJobs + job, found.job_revision});
     conditions.push_back({kFinals + job, 0});
-    writes.push_back({kJobs + job, std::move(record), 0});
-    writes.push_back({kFinals + job, Json{{"p", "cancelled"}, {"n", 0}, {"t", wall_now()}}, 0});
+    writes.push_back({kJobs + job, record.json(), 0});
+    const JobOutcomeRecord outcome{job_phase::kCancelled, 0, wall_now()};
+    writes.push_back({kFinals + job, to_json(outcome), 0});
   }
-  state_.transaction(
-      conditions, writes, [this, call, job, unfinished, uid = found.stored.uid](StateReply reply) {
-        if (reply.ok()) {
-          if (unfinished) status_cache_.note_cancelled(job);
-          return fail(call, {200, "", "", "", "", {}, uid});
-        }
-        // It ended meanwhile, or somebody else deleted it.
-        if (reply.status == StateStatus::Conflict && ++call->tries < c::kKubeTries) return remove(call);
-        unavailable(call, reply.status == StateStatus::Unanswered
-                              ? "the state service did not answer, the job may be gone: delete it again"
-                              : "the state service takes no changes now");
-      });
+  state_.transaction(conditions, writes, [this, call, found, unfinished](const StateReply& reply) {
+    if (!reply.ok()) return on_delete_failed(call, reply.status);
+    if (unfinished) status_cache_.note_cancelled(found.stored.job);
+    answer_status(call, {.code = 200, .uid = found.stored.uid});
+  });
+}
+
+void ApiServer::on_delete_failed(const CallPtr& call, StateStatus status) {
+  // It ended meanwhile, or somebody else deleted it.
+  if (status == StateStatus::Conflict && ++call->delete_attempts < kDeleteAttempts)
+    return delete_object(call);
+  fail_unavailable(call, status == StateStatus::Unanswered
+                             ? "the state service did not answer, the job may be gone: delete it again"
+                             : "the state service takes no changes now");
 }
 
 }  // namespace corkmux::kube
--- a/src/kube/job_translation.cc
+++ b/src/kube/job_translation.cc
@@ -1,299 +1,105 @@
 #include "job_translation.h"
 
 #include <algorithm>
-#include <cmath>
-#include <map>
-#include <optional>
-#include <set>
+#include <limits>
 
-#include "kube_constants.h"
-#include "quantity.h"
+#include "annotation_translation.h"
+#include "field_reader.h"
+#include "pod_translation.h"
 #include "wire_constants.h"
 
 namespace corkmux::kube {
-namespace c = constants;
 namespace {
 
-constexpr const char* kPrefix = "corkmux.io/";
-constexpr const char* kGpu = "corkmux.io/accelerator";
+constexpr int kUnlimitedRetries = std::numeric_limits<int>::max();
 
-/// Walks an object field by field and notes what is wrong; what nobody has asked for at the end is refused.
-class Fields {
- public:
-  Fields(const Json& object, std::string path, std::vector<Cause>& causes)
-      : object_(object.is_object() ? object : kNothing), path_(std::move(path)), causes_(causes) {
-    if (!object.is_null() && !object.is_object()) wrong("", "not an object");
-  }
-  const Json* get(const std::string& name) {
-    seen_.insert(name);
-    auto it = object_.find(name);
-    return it == object_.end() || it->is_null() ? nullptr : &*it;
-  }
-  std::string text(const std::string& name) {
-    const Json* value = get(name);
-    if (!value) return "";
-    if (value->is_string()) return value->get<std::string>();
-    wrong(name, "not a text");
-    return "";
-  }
-  std::optional<int> count(const std::string& name, int least, int most) {
-    const Json* value = get(name);
-    if (!value) return std::nullopt;
-    if (value->is_number_integer() && *value >= least && *value <= most) return value->get<int>();
-    wrong(name, "not a whole number from " + std::to_string(least) + " to " + std::to_string(most));
-    return std::nullopt;
-  }
-  void refuse(const std::string& name, const std::string& why) {
-    if (get(name)) causes_.push_back({at(name), why, "FieldValueNotSupported"});
-  }
-  void wrong(const std::string& name, const std::string& why) { causes_.push_back({at(name), why}); }
-  void missing(const std::string& name, const std::string& why) {
-    causes_.push_back({at(name), why, "FieldValueRequired"});
-  }
-  /// Empty objects and lists mean nothing, so they may stay.
-  void refuse_rest(const std::string& why) {
-    for (const auto& [name, value] : object_.items())
-      if (!seen_.count(name) && !value.is_null() && !(value.is_structured() && value.empty()))
-        causes_.push_back({at(name), why, "FieldValueNotSupported"});
-  }
-  std::string at(const std::string& name) const {
-    return name.empty() ? path_ : path_.empty() ? name : path_ + "." + name;
-  }
-  const Json& object() const { return object_; }
-
- private:
-  inline static const Json kNothing = Json::object();
-  const Json& object_;
-  std::string path_;
-  std::vector<Cause>& causes_;
-  std::set<std::string> seen_;
-};
-
-std::string quantity_text(const Json& value) {
-  if (value.is_string()) return value.get<std::string>();
-  return value.is_number() ? value.dump() : "";
+/// Number of tasks. One job has all its tasks from its start on.
+void read_counts(FieldReader& spec, JobSpec& job) {
+  auto parallelism = spec.whole_number("parallelism", 0, constants::kMaxTasks);
+  auto completions = spec.whole_number("completions", 1, constants::kMaxTasks);
+  job.tasks = completions.value_or(1);
+  if (!completions && parallelism.value_or(1) != 1)
+    spec.add_invalid("completions",
+                     "has to be given: work queues without a number of completions are not supported");
+  if (completions && parallelism && *parallelism < *completions)
+    spec.add_invalid("parallelism",
+                     "below completions: tasks are started as machines, limits and guarantees allow");
+  if (auto mode = spec.text("completionMode"); !mode.empty() && mode != "NonIndexed" && mode != "Indexed")
+    spec.add_invalid("completionMode", "neither NonIndexed nor Indexed");
 }
 
-void read_resources(const Json& container, const std::string& path, JobSpec& job,
-                    std::vector<Cause>& causes) {
-  const Json none = Json::object();
-  Fields fields(container.contains("resources") ? container.at("resources") : none, path + ".resources",
-                causes);
-  const Json* requests = fields.get("requests");
-  const Json* limits = fields.get("limits");
-  fields.refuse_rest("not supported");
-  auto read = [&](const Json* list, const std::string& name) -> std::optional<double> {
-    if (!list || !list->is_object() || !list->contains(name)) return std::nullopt;
-    auto amount = parse_quantity(quantity_text(list->at(name)));
-    if (!amount) causes.push_back({path + ".resources", name + ": not a quantity"});
-    return amount;
-  };
-  for (const auto* list : {requests ? requests : &none, limits ? limits : &none})
-    for (const auto& [name, value] : list->items())
-      if (name != "cpu" && name != "memory" && name != kGpu)
-        causes.push_back({path + ".resources",
-                          name + ": no such resource here; there are cpu, memory and " + kGpu,
-                          "FieldValueNotSupported"});
-  auto amount = [&](const std::string& name) {
-    auto asked = read(requests, name);
-    auto most = read(limits, name);
-    // The platform gives a task exactly what it asks for.
-    if (asked && most && std::abs(*asked - *most) > 1e-9 * std::max(1.0, *asked))
-      causes.push_back({path + ".resources.limits." + name,
-                        "has to be what is requested: a task gets exactly that", "FieldValueNotSupported"});
-    return asked ? *asked : most.value_or(0);
-  };
-  job.need = {amount("cpu"), amount(kGpu), amount("memory") / 1e9};
-  if (job.need.cpus <= 0)
-    causes.push_back({path + ".resources.requests.cpu", "has to be given, above 0", "FieldValueRequired"});
-  if (job.need.gpus != std::floor(job.need.gpus))
-    causes.push_back({path + ".resources.requests", std::string(kGpu) + ": has to be a whole number"});
+/// Fields that would change how a job runs and cannot be kept.
+void refuse_unsupported(FieldReader& spec) {
+  if (auto limit = spec.whole_number("backoffLimit", 0, kUnlimitedRetries);
+      limit && *limit != kUnlimitedRetries)
+    spec.add_invalid(
+        "backoffLimit",
+        "tasks that fail are started again, with pauses, until the job is done or deleted; leave it out");
+  if (const Json* suspend = spec.get("suspend"); suspend && *suspend != false)
+    spec.add_invalid("suspend", "not supported: a job waits from its submission on");
+  for (const char* name :
+       {"ttlSecondsAfterFinished", "activeDeadlineSeconds", "podFailurePolicy", "backoffLimitPerIndex",
+        "maxFailedIndexes", "selector", "manualSelector", "podReplacementPolicy"})
+    spec.refuse(name, "not supported");
 }
 
-void read_placement(Fields& pod, JobSpec& job, std::vector<Cause>& causes,
-                    std::vector<std::string>& warnings) {
-  if (const Json* selector = pod.get("nodeSelector")) {
-    if (!selector->is_object()) pod.wrong("nodeSelector", "not an object");
-    for (const auto& [name, value] : selector->items()) {
-      std::string where = pod.at("nodeSelector");
-      if (!value.is_string())
-        causes.push_back({where, name + ": not a text"});
-      else if (name == "topology.kubernetes.io/zone")
-        job.zone = value.get<std::string>();
-      else if (name == "node.kubernetes.io/instance-type")
-        job.types = std::vector<std::string>{value.get<std::string>()};
-      else
-        causes.push_back({where, name + ": machines have no such label", "FieldValueNotSupported"});
-    }
-  }
-  if (const Json* tolerations = pod.get("tolerations")) {
-    if (!tolerations->is_array()) pod.wrong("tolerations", "not a list");
-    for (const auto& toleration : *tolerations) {
-      bool has_key = toleration.is_object() && toleration.contains("key") && toleration["key"].is_string();
-      std::string key = has_key ? toleration["key"].get<std::string>() : "";
-      if (key == std::string(kPrefix) + "spot")
-        job.spot = true;
-      else
-        warnings.push_back("toleration of " + (key.empty() ? "everything" : key) + " has no effect");
-    }
-  }
-  static const std::map<std::string, Priority> kClasses{{"low", Priority::Low},
-                                                        {"normal", Priority::Normal},
-                                                        {"high", Priority::High},
-                                                        {"production", Priority::Production}};
-  job.priority = Priority::Normal;
-  if (auto name = pod.text("priorityClassName"); !name.empty()) {
-    auto it = kClasses.find(name);
-    if (it == kClasses.end())
-      pod.wrong("priorityClassName", "not one of low, normal, high, production");
-    else
-      job.priority = it->second;
-  }
+void read_template(const Json& pod_template, JobTranslation& translation) {
+  FieldReader fields(pod_template, "spec.template", translation.causes);
+  fields.get("metadata");
+  if (const Json* pod_spec = fields.get("spec"))
+    read_pod(*pod_spec, "spec.template.spec", translation);
+  else
+    fields.add_missing("spec", "has to be given");
 }
 
-/// The project's own terms, by annotation.
-void read_annotations(const Json& object, JobSpec& job, std::vector<Cause>& causes) {
-  const Json none = Json::object();
-  const Json& metadata = object.contains("metadata") ? object.at("metadata") : none;
-  Fields own(metadata.is_object() && metadata.contains("annotations") ? metadata.at("annotations") : none,
-             "metadata.annotations", causes);
-  auto text = [&](const char* name) { return own.text(std::string(kPrefix) + name); };
-  auto amount = [&](const char* name) -> std::optional<double> {
-    auto value = text(name);
-    if (value.empty()) return std::nullopt;
-    auto parsed = parse_quantity(value);
-    if (parsed && *parsed <= c::kKubeMostAmount) return parsed;
-    own.wrong(std::string(kPrefix) + name, "not a number from 0 on");
-    return std::nullopt;
-  };
-  auto number = [&](const char* name, double& into) { into = amount(name).value_or(into); };
-  auto flag = [&](const char* name, bool& into) {
-    auto value = text(name);
-    into = value == "true";
-    if (!value.empty() && value != "true" && value != "false")
-      own.wrong(std::string(kPrefix) + name, "neither true nor false");
-  };
-  bool gang = false;
-  job.job_class = text("class");
-  if (job.job_class.empty()) job.job_class = "kubernetes";
-  flag("gang", gang);
-  if (gang) job.kind = JobKind::Gang;
-  flag("one-zone", job.one_zone);
-  flag("spread", job.spread);
-  number("image-gb", job.image_gb);
-  number("estimate-s", job.estimate_s);
-  number("checkpoint-s", job.checkpoint_s);
-  number("save-s", job.save_s);
-  if (auto deadline = amount("deadline-s")) job.deadline_s = deadline;
-  if (job.one_zone && job.spread)
-    own.wrong(std::string(kPrefix) + "spread", "cannot be kept together with one-zone");
-  for (const auto& [name, value] : own.object().items())
-    if (name.rfind(kPrefix, 0) == 0) {
-      static const std::set<std::string> kKnown{"class",        "gang",     "one-zone",
-                                                "spread",       "image-gb", "estimate-s",
-                                                "checkpoint-s", "save-s",   "deadline-s"};
-      if (!kKnown.count(name.substr(std::string(kPrefix).size())))
-        causes.push_back({"metadata.annotations", name + ": not known", "FieldValueNotSupported"});
-    }
+void check_name(FieldReader& metadata) {
+  const std::string name = metadata.text("name");
+  const std::string prefix = metadata.text("generateName");
+  if (name.empty() && prefix.empty()) metadata.add_missing("name", "name or generateName has to be given");
+  if (!name.empty() && !valid_name(name))
+    metadata.add_invalid("name", "has to be lower case letters, digits, '-' and '.', at most 63 of them");
+  if (name.empty() && !prefix.empty() && !valid_name(prefix.substr(0, kGeneratedNamePrefix) + "x"))
+    metadata.add_invalid("generateName", "has to begin a name: lower case letters, digits, '-' and '.'");
 }
 
-void read_pod(const Json& pod_spec, const std::string& path, JobSpec& job, std::vector<Cause>& causes,
-              std::vector<std::string>& warnings) {
-  Fields pod(pod_spec, path, causes);
-  auto restart = pod.text("restartPolicy");
-  if (restart != "Never" && restart != "OnFailure")
-    pod.wrong("restartPolicy", "has to be Never or OnFailure; what fails is started again elsewhere");
-  read_placement(pod, job, causes, warnings);
-  const Json* containers = pod.get("containers");
-  if (!containers || !containers->is_array() || containers->size() != 1) {
-    pod.wrong("containers", "has to hold exactly one container");
-  } else {
-    const std::string where = pod.at("containers[0]");
-    Fields container(containers->front(), where, causes);
-    if (auto name = container.text("name"); name.empty()) container.missing("name", "has to be given");
-    job.image = container.text("image");
-    if (job.image.empty()) container.missing("image", "has to be given");
-    container.get("resources");
-    if (container.get("imagePullPolicy"))
-      warnings.push_back(container.at("imagePullPolicy") + " has no effect");
-    container.refuse_rest("not supported: workers start an image as it is");
-    if (containers->front().is_object()) read_resources(containers->front(), where, job, causes);
-  }
-  for (const char* name : {"terminationGracePeriodSeconds", "dnsPolicy", "schedulerName", "securityContext"})
-    if (pod.get(name)) warnings.push_back(pod.at(name) + " has no effect");
-  pod.refuse_rest("not supported");
+bool is_map_of_texts(const Json& value) {
+  return value.is_object() &&
+         std::all_of(value.begin(), value.end(), [](const Json& member) { return member.is_string(); });
 }
 
 }  // namespace
 
-std::vector<Cause> check_metadata(const Json& object, const std::string& space) {
+std::vector<Cause> check_metadata(const Json& object, const std::string& namespace_name) {
   std::vector<Cause> causes;
-  const Json none = Json::object();
-  Fields metadata(object.contains("metadata") ? object.at("metadata") : none, "metadata", causes);
-  auto name = metadata.text("name");
-  auto prefix = metadata.text("generateName");
-  if (name.empty() && prefix.empty()) metadata.missing("name", "name or generateName has to be given");
-  if (!name.empty() && !valid_name(name))
-    metadata.wrong("name", "has to be lower case letters, digits, '-' and '.', at most 63 of them");
-  if (name.empty() && !prefix.empty() && !valid_name(prefix.substr(0, 58) + "x"))
-    metadata.wrong("generateName", "has to begin a name: lower case letters, digits, '-' and '.'");
-  if (auto other = metadata.text("namespace"); !other.empty() && other != space)
-    metadata.wrong("namespace", "does not match the namespace of the request");
-  for (const char* field : {"labels", "annotations"})
-    if (const Json* map = metadata.get(field)) {
-      bool texts = map->is_object() &&
-                   std::all_of(map->begin(), map->end(), [](const Json& value) { return value.is_string(); });
-      if (!texts) metadata.wrong(field, "not a map of texts");
-    }
+  FieldReader metadata(member_or_empty(object, "metadata"), "metadata", causes);
+  check_name(metadata);
+  if (auto other = metadata.text("namespace"); !other.empty() && other != namespace_name)
+    metadata.add_invalid("namespace", "does not match the namespace of the request");
+  for (const char* field : {"labels", "annotations"}) {
+    const Json* map = metadata.get(field);
+    if (map && !is_map_of_texts(*map)) metadata.add_invalid(field, "not a map of texts");
+  }
   metadata.refuse("finalizers", "not supported");
   metadata.refuse("ownerReferences", "not supported");
   return causes;
 }
 
-Translated translate_job(const Json& object) {
-  Translated out;
-  auto& causes = out.causes;
-  JobSpec& job = out.job;
-  const Json none = Json::object();
-  Fields spec(object.contains("spec") ? object.at("spec") : none, "spec", causes);
-  auto parallelism = spec.count("parallelism", 0, c::kMaxTasks);
-  auto completions = spec.count("completions", 1, c::kMaxTasks);
-  job.tasks = completions.value_or(1);
-  if (!completions && parallelism.value_or(1) != 1)
-    spec.wrong("completions",
-               "has to be given: work queues without a number of completions are not supported");
-  if (completions && parallelism && *parallelism < *completions)
-    spec.wrong("parallelism",
-               "below completions: tasks are started as machines, limits and guarantees allow");
-  if (auto mode = spec.text("completionMode"); !mode.empty() && mode != "NonIndexed" && mode != "Indexed")
-    spec.wrong("completionMode", "neither NonIndexed nor Indexed");
-  if (auto limit = spec.count("backoffLimit", 0, 2147483647); limit && *limit != 2147483647)
-    spec.wrong(
-        "backoffLimit",
-        "tasks that fail are started again, with pauses, until the job is done or deleted; leave it out");
-  if (const Json* suspend = spec.get("suspend"); suspend && *suspend != false)
-    spec.wrong("suspend", "not supported: a job waits from its submission on");
-  for (const char* name :
-       {"ttlSecondsAfterFinished", "activeDeadlineSeconds", "podFailurePolicy", "backoffLimitPerIndex",
-        "maxFailedIndexes", "selector", "manualSelector", "podReplacementPolicy"})
-    spec.refuse(name, "not supported");
+JobTranslation translate_job(const Json& object) {
+  JobTranslation translation;
+  JobSpec& job = translation.job;
+  FieldReader spec(member_or_empty(object, "spec"), "spec", translation.causes);
+  read_counts(spec, job);
+  refuse_unsupported(spec);
   const Json* pod_template = spec.get("template");
   spec.refuse_rest("not known");
-  if (!pod_template) {
-    spec.missing("template", "has to be given");
-  } else {
-    Fields fields(*pod_template, "spec.template", causes);
-    fields.get("metadata");
-    const Json* pod = fields.get("spec");
-    if (pod)
-      read_pod(*pod, "spec.template.spec", job, causes, out.warnings);
-    else
-      fields.missing("spec", "has to be given");
-  }
-  read_annotations(object, job, causes);
+  if (pod_template)
+    read_template(*pod_template, translation);
+  else
+    spec.add_missing("template", "has to be given");
+  read_annotations(object, translation);
   if (job.kind == JobKind::Array && (job.one_zone || job.spread) && job.tasks == 1)
-    out.warnings.push_back("one-zone and spread have no effect on a single task");
-  return out;
+    translation.warnings.emplace_back("one-zone and spread have no effect on a single task");
+  return translation;
 }
 
 }  // namespace corkmux::kube
--- a/src/kube/object_reader.h
+++ b/src/kube/object_reader.h
@@ -2,29 +2,27 @@
 #pragma once
 #include <cstdint>
 #include <functional>
+#include <memory>
 #include <optional>
 #include <string>
 
 #include "job_status_cache.h"
 #include "objects.h"
 #include "state_client.h"
+#include "stored_job_record.h"
 
 namespace corkmux::kube {
 
-/// The key under which an object is stored.
-std::string object_key(const std::string& space, const std::string& name);
-/// The prefix of the keys of all objects of a namespace.
-std::string objects_prefix(const std::string& space);
-
 /// An object as it stands in the store.
 struct FoundObject {
-  Stored stored;
+  StoredObject stored;
   std::uint64_t revision = 0;      // of its record
   std::uint64_t job_revision = 0;  // of its job's record; 0: the job is over
-  Json job_record;
+  StoredJobRecord job_record;      // while the job is unfinished
   Progress progress;
 };
 
+/// Reads single objects. The client and the cache have to outlive it and its reads.
 class ObjectReader {
  public:
   enum class Error { NoSuchObject, StoreUnavailable };
@@ -34,11 +32,15 @@
   ObjectReader(StateClient& state, JobStatusCache& status_cache)
       : state_(state), status_cache_(status_cache) {}
   /// Reads an object's record and how its job stands. The error means something only without an object.
-  void read(const std::string& space, const std::string& name, ReadCallback done);
+  void read(const std::string& namespace_name, const std::string& name, ReadCallback done);
   /// Reads how the job of an object stands, whose record had that revision; nullopt: it cannot be read.
-  void read_progress(Stored stored, std::uint64_t revision, ObjectCallback done);
+  void read_progress(StoredObject stored, std::uint64_t revision, ObjectCallback done);
 
  private:
+  using FoundObjectPtr = std::shared_ptr<FoundObject>;
+  void on_job_record(const FoundObjectPtr& found, const StateReply& reply, const ObjectCallback& done);
+  void read_outcome(const FoundObjectPtr& found, const ObjectCallback& done);
+
   StateClient& state_;
   JobStatusCache& status_cache_;
 };
--- a/src/kube/objects.cc
+++ b/src/kube/objects.cc
@@ -3,8 +3,8 @@
 #include <algorithm>
 #include <ctime>
 
-#include "kube_constants.h"
 #include "responder.h"
+#include "stored_job_record.h"
 
 namespace corkmux::kube {
 namespace c = constants;
@@ -17,9 +17,10 @@
 bool valid_name(const std::string& name) {
   // RFC 1123 subdomain; at most 63, since the tasks are named after it.
   if (name.empty() || name.size() > kMaxObjectName) return false;
-  auto plain = [](char ch) { return (ch >= 'a' && ch <= 'z') || (ch >= '0' && ch <= '9'); };
-  return plain(name.front()) && plain(name.back()) &&
-         std::all_of(name.begin(), name.end(), [&](char ch) { return plain(ch) || ch == '-' || ch == '.'; });
+  auto is_alphanumeric = [](char ch) { return (ch >= 'a' && ch <= 'z') || (ch >= '0' && ch <= '9'); };
+  auto is_allowed = [&](char ch) { return is_alphanumeric(ch) || ch == '-' || ch == '.'; };
+  return is_alphanumeric(name.front()) && is_alphanumeric(name.back()) &&
+         std::all_of(name.begin(), name.end(), is_allowed);
 }
 
 std::string time_text(double since_1970) {
@@ -31,43 +32,49 @@
   return out;
 }
 
-std::map<std::string, std::string> labels_of(const Stored& stored) {
-  std::map<std::string, std::string> out;
+std::string name_of(const StoredObject& stored) {
+  auto name = stored.metadata.find("name");
+  return name != stored.metadata.end() && name->is_string() ? name->get<std::string>() : "";
+}
+
+std::map<std::string, std::string> labels_of(const StoredObject& stored) {
+  std::map<std::string, std::string> texts;
   auto labels = stored.metadata.find("labels");
-  if (labels == stored.metadata.end() || !labels->is_object()) return out;
+  if (labels == stored.metadata.end() || !labels->is_object()) return texts;
   for (const auto& [name, value] : labels->items())
-    if (value.is_string()) out[name] = value.get<std::string>();
-  return out;
+    if (value.is_string()) texts[name] = value.get<std::string>();
+  return texts;
 }
 
-int tasks_of(const Stored& stored) {
+int tasks_of(const StoredObject& stored) {
   auto completions = stored.spec.find("completions");
   bool given = completions != stored.spec.end() && completions->is_number_integer();
   return given ? completions->get<int>() : 1;
 }
 
-Json to_record(const Stored& stored) {
+Json to_record(const StoredObject& stored) {
   return {
       {"f", 1},          {"u", stored.uid}, {"j", stored.job}, {"t", stored.created}, {"m", stored.metadata},
       {"s", stored.spec}};
 }
 
-std::optional<Stored> from_record(const Json& record) {
+std::optional<StoredObject> parse_record(const Json& record) {
   if (!record.is_object() || record.value("f", 0) != 1) return std::nullopt;
   if (!record.contains("m") || !record.contains("s")) return std::nullopt;
-  return Stored{record.value("u", ""), record.value("j", ""), record.value("t", 0.0), record.at("m"),
-                record.at("s")};
+  return StoredObject{record.value("u", ""), record.value("j", ""), record.value("t", 0.0), record.at("m"),
+                      record.at("s")};
 }
 
 namespace {
 
-Json condition(const char* type, const std::string& reason, const std::string& message, double since) {
+Json condition(const char* type, const std::string& reason, const std::string& message,
+               std::optional<double> since) {
   Json out = {{"type", type}, {"status", "True"}, {"reason", reason}, {"message", message}};
-  if (since > 0) out["lastTransitionTime"] = time_text(since);
+  if (since) out["lastTransitionTime"] = time_text(*since);
   return out;
 }
 
-Json job_status(const Stored& stored, const Progress& progress) {
+Json job_status(const StoredObject& stored, const Progress& progress) {
   Json status = {{"succeeded", progress.done}, {"failed", 0}};
   Json conditions = Json::array();
   switch (progress.phase) {
@@ -75,17 +82,17 @@
       status["active"] = progress.tasks - progress.done;
       status["ready"] = progress.running;
       if (!progress.reason.empty())
-        conditions.push_back(condition("corkmux.io/Waiting", "Waiting", progress.reason, 0));
+        conditions.push_back(condition("corkmux.io/Waiting", "Waiting", progress.reason, std::nullopt));
       break;
     case Progress::Phase::Done:
       status["active"] = 0;
       status["succeeded"] = progress.tasks;
-      if (progress.ended > 0) status["completionTime"] = time_text(progress.ended);
-      conditions.push_back(condition("Complete", "CompletionsReached", "", progress.ended));
+      if (progress.ended_at) status["completionTime"] = time_text(*progress.ended_at);
+      conditions.push_back(condition("Complete", "CompletionsReached", "", progress.ended_at));
       break;
     case Progress::Phase::Cancelled:
       status["active"] = 0;
-      conditions.push_back(condition("Failed", "Cancelled", "the job was cancelled", progress.ended));
+      conditions.push_back(condition("Failed", "Cancelled", "the job was cancelled", progress.ended_at));
       break;
   }
   if (!conditions.empty()) status["conditions"] = std::move(conditions);
@@ -95,9 +102,14 @@
 
 }  // namespace
 
-Json job_object(const Stored& stored, const std::string& space, const Progress& progress) {
+void apply_outcome(Progress& progress, const JobOutcomeRecord& outcome) {
+  progress.phase = outcome.phase == job_phase::kDone ? Progress::Phase::Done : Progress::Phase::Cancelled;
+  progress.ended_at = outcome.ended_at;
+}
+
+Json job_object(const StoredObject& stored, const std::string& namespace_name, const Progress& progress) {
   Json metadata = stored.metadata;
-  metadata["namespace"] = space;
+  metadata["namespace"] = namespace_name;
   metadata["uid"] = stored.uid;
   metadata["resourceVersion"] = std::to_string(progress.revision);
   metadata["generation"] = 1;
@@ -141,25 +153,25 @@
           {"rows", std::move(rows)}};
 }
 
-Json status_object(const Failure& failure) {
+Json status_object(const ApiStatus& status) {
   Json details = Json::object();
-  if (!failure.name.empty()) details["name"] = failure.name;
-  if (!failure.kind.empty()) {
+  if (!status.name.empty()) details["name"] = status.name;
+  if (!status.kind.empty()) {
     details["group"] = "batch";
-    details["kind"] = failure.kind;
+    details["kind"] = status.kind;
   }
-  if (!failure.uid.empty()) details["uid"] = failure.uid;
-  if (failure.code == 503 || failure.code == 429) details["retryAfterSeconds"] = c::kRetryAfter;
-  for (const auto& cause : failure.causes)
+  if (!status.uid.empty()) details["uid"] = status.uid;
+  if (status.code == 503 || status.code == 429) details["retryAfterSeconds"] = c::kRetryAfter;
+  for (const auto& cause : status.causes)
     details["causes"].push_back(
         {{"reason", cause.reason}, {"message", cause.message}, {"field", cause.field}});
   Json out = {{"kind", "Status"},
               {"apiVersion", "v1"},
               {"metadata", Json::object()},
-              {"status", failure.code < 300 ? "Success" : "Failure"},
-              {"code", failure.code}};
-  if (!failure.message.empty()) out["message"] = failure.message;
-  if (!failure.reason.empty()) out["reason"] = failure.reason;
+              {"status", status.code < 300 ? "Success" : "Failure"},
+              {"code", status.code}};
+  if (!status.message.empty()) out["message"] = status.message;
+  if (!status.reason.empty()) out["reason"] = status.reason;
   if (!details.empty()) out["details"] = std::move(details);
   return out;
 }
--- a/src/kube/selector.cc
+++ b/src/kube/selector.cc
@@ -7,7 +7,7 @@
 namespace {
 
 using namespace tao::pegtl;
-using Op = Requirement::Op;
+using Operator = Requirement::Operator;
 
 // Rules bear the names of the grammar, as is the custom with PEGTL.
 // NOLINTBEGIN(readability-identifier-naming)
@@ -28,39 +28,39 @@
 struct requirement : seq<blanks, sor<absent, present>, blanks> {};
 struct grammar : seq<sor<seq<blanks, eof>, seq<list<requirement, one<','>>, eof>>> {};
 
-using Found = std::vector<Requirement>;
+using Requirements = std::vector<Requirement>;
 template <typename Rule>
 struct action : nothing<Rule> {};
 template <>
 struct action<key> {
   template <typename Input>
-  static void apply(const Input& in, Found& out) {
-    out.push_back({Op::Exists, in.string(), {}});
+  static void apply(const Input& in, Requirements& out) {
+    out.push_back({Operator::Exists, in.string(), {}});
   }
 };
 template <>
 struct action<absent_key> {
   template <typename Input>
-  static void apply(const Input& in, Found& out) {
-    out.push_back({Op::Absent, in.string(), {}});
+  static void apply(const Input& in, Requirements& out) {
+    out.push_back({Operator::Absent, in.string(), {}});
   }
 };
-template <Op op>
+template <Operator parsed>
 struct sets {
-  static void apply0(Found& out) { out.back().op = op; }
+  static void apply0(Requirements& out) { out.back().op = parsed; }
 };
 template <>
-struct action<equal> : sets<Op::In> {};
+struct action<equal> : sets<Operator::In> {};
 template <>
-struct action<unequal> : sets<Op::NotIn> {};
+struct action<unequal> : sets<Operator::NotIn> {};
 template <>
-struct action<in> : sets<Op::In> {};
+struct action<in> : sets<Operator::In> {};
 template <>
-struct action<not_in> : sets<Op::NotIn> {};
+struct action<not_in> : sets<Operator::NotIn> {};
 template <>
 struct action<value> {
   template <typename Input>
-  static void apply(const Input& in, Found& out) {
+  static void apply(const Input& in, Requirements& out) {
     out.back().values.push_back(in.string());
   }
 };
@@ -71,7 +71,7 @@
 }  // namespace
 
 std::optional<std::vector<Requirement>> parse_selector(std::string_view text) {
-  Found out;
+  Requirements out;
   memory_input<> input(text.data(), text.size(), "selector");
   try {
     if (!parse<grammar, action>(input, out)) return std::nullopt;
@@ -81,22 +81,31 @@
   return out;
 }
 
+namespace {
+
+bool holds(const Requirement& requirement, const std::map<std::string, std::string>& labels) {
+  const auto label = labels.find(requirement.key);
+  const bool present = label != labels.end();
+  const auto& values = requirement.values;
+  const bool listed = present && std::find(values.begin(), values.end(), label->second) != values.end();
+  switch (requirement.op) {
+    case Operator::Exists:
+      return present;
+    case Operator::Absent:
+      return !present;
+    case Operator::In:
+      return listed;
+    case Operator::NotIn:
+      return !listed;  // also of what has no such label
+  }
+  return false;
+}
+
+}  // namespace
+
 bool selects(const std::vector<Requirement>& selector, const std::map<std::string, std::string>& labels) {
-  return std::all_of(selector.begin(), selector.end(), [&](const Requirement& r) {
-    auto label = labels.find(r.key);
-    bool there = label != labels.end();
-    bool listed = there && std::find(r.values.begin(), r.values.end(), label->second) != r.values.end();
-    switch (r.op) {
-      case Op::Exists:
-        return there;
-      case Op::Absent:
-        return !there;
-      case Op::In:
-        return listed;
-      default:  // `!=` and `notin` hold of what has no such label
-        return !listed;
-    }
-  });
+  return std::all_of(selector.begin(), selector.end(),
+                     [&](const Requirement& requirement) { return holds(requirement, labels); });
 }
 
 }  // namespace corkmux::kube
--- a/src/kube/selector.h
+++ b/src/kube/selector.h
@@ -8,14 +8,17 @@
 
 namespace corkmux::kube {
 
+/// What a selector asks of one label or field.
 struct Requirement {
-  enum class Op { Exists, Absent, In, NotIn } op = Op::Exists;
+  enum class Operator { Exists, Absent, In, NotIn };
+  Operator op = Operator::Exists;
   std::string key;
   std::vector<std::string> values;  // of In and NotIn; `=` and `!=` have one
 };
 
-/// All have to hold. An empty text selects everything; nullopt: not a selector.
+/// The requirements of a selector. An empty text has none; nullopt: not a selector.
 std::optional<std::vector<Requirement>> parse_selector(std::string_view text);
+/// Whether all requirements hold of the labels, so that no requirement selects everything.
 bool selects(const std::vector<Requirement>& selector, const std::map<std::string, std::string>& labels);
 
 }  // namespace corkmux::kube
