--- a/benchmarks/scheduler_benchmark.cc
+++ b/benchmarks/scheduler_benchmark.cc
@@ -61,14 +61,14 @@
     s.id = "run-" + std::to_string(++revision), s.team = "x", s.kind = kind, s.priority = priority;
     s.tasks = tasks, s.need = need, s.one_zone = kind == JobKind::Gang;
     s.image = "i" + std::to_string(revision % 20), s.image_gb = 3;
-    scheduler->put_job(s, revision, false, now);
+    scheduler->upsert_job(s, revision, false, now);
     return s.id;
   }
   void store(bool keep) {
     for (;;) {
       auto batch = scheduler->next_writes(12, true, 0.0);
       if (batch.empty()) return;
-      scheduler->written(batch, ++revision, now);
+      scheduler->records_written(batch, ++revision, now);
       if (keep) stored.insert(stored.end(), batch.begin(), batch.end());
     }
   }
@@ -123,9 +123,9 @@
   for (auto _ : state) {
     auto fresh = empty_scheduler();
     std::uint64_t revision = 0;
-    for (const auto& spec : s.jobs) fresh->put_job(spec, ++revision, false, 0, 100);
+    for (const auto& spec : s.jobs) fresh->upsert_job(spec, ++revision, false, 0, 100);
     for (const auto& w : s.stored) fresh->load_record(w.key, w.value, 1);
-    fresh->loaded();
+    fresh->records_loaded();
     benchmark::DoNotOptimize(fresh->jobs().size());
   }
 }
--- a/src/leader/dependency_barrier_publisher.cc
+++ b/src/leader/dependency_barrier_publisher.cc
@@ -16,9 +16,9 @@
 
 std::optional<double> DependencyBarrierPublisher::update() {
   double seen = job_watcher_.seen_at();
-  if (!barrier_.news(seen) || job_watcher_.joining()) return std::nullopt;
-  double barrier_at =
-      barrier_.look(seen, scheduler_.dependents_of_cancelled(), !scheduler_.unknown().empty());
+  if (!barrier_.can_advance(seen) || job_watcher_.joining()) return std::nullopt;
+  double barrier_at = barrier_.advance(seen, scheduler_.dependents_of_cancelled(),
+                                       !scheduler_.unknown_dependencies().empty());
   if (barrier_at != kLongAgo && scheduler_.has_dependencies()) store(barrier_at);
   return barrier_at;
 }
--- a/src/leader/job_watcher.cc
+++ b/src/leader/job_watcher.cc
@@ -46,7 +46,7 @@
   if (record.holds_spec) {
     if (!put(record, stored.revision)) spdlog::error("unreadable job record {}", stored.key);
   } else if (known) {
-    scheduler_.put_job(JobSpec(known->spec), stored.revision, record.cancelled, steady_now());
+    scheduler_.upsert_job(JobSpec(known->spec), stored.revision, record.cancelled, steady_now());
   } else {
     to_join_[id] = {std::move(record), stored.revision};
   }
@@ -64,13 +64,13 @@
   // No controller takes a job with dependencies before all controllers are new.
   if (!record.spec->dependencies.empty()) callbacks_.upgrade_records(RecordUpgradeReason::JobHasDependencies);
   double age_s = record.accepted_at ? std::max(0.0, wall_now() - *record.accepted_at) : 0.0;
-  scheduler_.put_job(JobSpec(*record.spec), revision, record.cancelled, steady_now(), age_s);
+  scheduler_.upsert_job(JobSpec(*record.spec), revision, record.cancelled, steady_now(), age_s);
   return true;
 }
 
 void JobWatcher::cancel(const std::string& job) {
   const Job* known = scheduler_.job(job);
-  scheduler_.put_job(JobSpec(known->spec), known->revision, true, steady_now());
+  scheduler_.upsert_job(JobSpec(known->spec), known->revision, true, steady_now());
 }
 
 std::vector<std::string> JobWatcher::take_side_keys(const std::string& job) {
@@ -213,7 +213,7 @@
     asked_.clear();
     asked_at_ = now;
   }
-  for (const auto& id : scheduler_.unknown()) {
+  for (const auto& id : scheduler_.unknown_dependencies()) {
     if (outcome_reads_in_flight_ >= c::kOutcomeReads) return;
     if (!asked_.insert(id).second) continue;
     ++outcome_reads_in_flight_;
@@ -234,8 +234,8 @@
   // Where the record does not say when, the job's dependents count from their own acceptance.
   double ended_at = kLongAgo;
   if (outcome.ended_at) ended_at = steady_now() - std::max(0.0, wall_now() - *outcome.ended_at);
-  if (outcome.phase == "done") scheduler_.outcome(job, Scheduler::Outcome::Done, ended_at);
-  if (outcome.phase == "cancelled") scheduler_.outcome(job, Scheduler::Outcome::Cancelled, ended_at);
+  if (outcome.phase == "done") scheduler_.record_outcome(job, Scheduler::Outcome::Done, ended_at);
+  if (outcome.phase == "cancelled") scheduler_.record_outcome(job, Scheduler::Outcome::Cancelled, ended_at);
 }
 
 }  // namespace corkmux
--- a/src/leader/leader.cc
+++ b/src/leader/leader.cc
@@ -219,7 +219,7 @@
   Scheduler& scheduler = *leadership_->scheduler;
   for (const auto& id : jobs)
     if (Job* job = scheduler.job(id); job && !job->cancelled)
-      scheduler.put_job(JobSpec(job->spec), job->revision, true, steady_now());
+      scheduler.upsert_job(JobSpec(job->spec), job->revision, true, steady_now());
   react();
 }
 
@@ -233,8 +233,8 @@
   if (!leading() || reaction_deferred_) return;
   LeadershipState& state = *leadership_;
   for (const auto& note : state.scheduler->take_notes()) spdlog::info("{}", note);
-  for (const auto& detail : state.scheduler->take_details()) spdlog::debug("{}", detail);
-  if (!state.scheduler->unknown().empty()) state.job_watcher->look_up_dependencies();
+  for (const auto& detail : state.scheduler->take_placement_details()) spdlog::debug("{}", detail);
+  if (!state.scheduler->unknown_dependencies().empty()) state.job_watcher->look_up_dependencies();
   if (resumed()) state.dispatcher->flush();
   state.writer->pump();
   if (auto barrier_at = state.dependency_barrier->update()) dependency_barrier_at_ = *barrier_at;
@@ -325,7 +325,7 @@
   if (!leading()) return 0;
   int up = 0;
   for (const auto& [name, machine] : leadership_->scheduler->machines())
-    up += machine.up && !machine.decommissioning;
+    up += machine.is_up() && !machine.is_decommissioning();
   return up;
 }
 
--- a/src/leader/leader_heartbeats.cc
+++ b/src/leader/leader_heartbeats.cc
@@ -63,7 +63,7 @@
     return election_.verify();
   }
   leadership_->dispatcher->served_by(heartbeat.machine, incoming.server);
-  scheduler.answered(heartbeat.machine, now);
+  scheduler.heartbeat_answered(heartbeat.machine, now);
   auto commands = codec::commands_to_wire(result.fencing_token, result.commands, std::nullopt);
   incoming.reply({HeartbeatReply::Status::Answered, codec::pack(commands)});
   react();
--- a/src/leader/machine_provisioner.cc
+++ b/src/leader/machine_provisioner.cc
@@ -102,7 +102,8 @@
 
 void MachineProvisioner::add_machines(const ScaleOutRequest& request, const std::vector<std::string>& names) {
   double now = steady_now();
-  for (const auto& name : names) scheduler_.provisioned(name, request.type, request.zone, request.spot, now);
+  for (const auto& name : names)
+    scheduler_.machine_provisioned(name, request.type, request.zone, request.spot, now);
   if (static_cast<int>(names.size()) < request.count) refused_until_[request.key()] = now + kNoCapacityPause;
   spdlog::info("rented {} {} machines in {}{}", names.size(), request.type, request.zone,
                request.spot ? ", spot" : "");
@@ -116,7 +117,7 @@
   deleting_ = true;
   auto deleted = [this, names](const http::Result& result) {
     deleting_ = false;
-    if (result.ok()) scheduler_.deleted(names, steady_now());
+    if (result.ok()) scheduler_.machines_deleted(names, steady_now());
     callbacks_.changed();
   };
   cloud_.request("POST", codec::kDeletePath, codec::pack(codec::delete_request(names)), c::kCloudTimeout,
@@ -142,7 +143,7 @@
   listing_ = false;
   if (!body) return;
   auto page = codec::parse_machines(*body);
-  scheduler_.listed(page.machines, now);
+  scheduler_.machines_listed(page.machines, now);
   // After a change of leader the machines are asked at once, before their workers have found us.
   if (now - term_.since < settings_.lease_s) inspect_unheard(page.machines);
   if (page.more && !page.machines.empty()) {
@@ -155,7 +156,7 @@
 void MachineProvisioner::inspect_unheard(const std::vector<ListedMachine>& machines) {
   for (const auto& listed : machines) {
     const Machine* machine = scheduler_.machine(listed.name);
-    bool unheard = machine && !machine->up && !machine->decommissioning;
+    bool unheard = machine && !machine->is_up() && !machine->is_decommissioning();
     if (unheard && listed.phase == ListedMachine::Phase::Running) inspect_(listed.name);
   }
 }
--- a/src/leader/state_loader.cc
+++ b/src/leader/state_loader.cc
@@ -39,7 +39,7 @@
     return retry_timer_.once(c::kRetryPause, std::move(retry));
   }
   if (prefix == kTaskRecordsV2) return load_records(kTaskRecordsV1, "");
-  scheduler_.loaded();
+  scheduler_.records_loaded();
   callbacks_.loaded(std::move(garbage_));
 }
 
--- a/src/leader/store_writer.cc
+++ b/src/leader/store_writer.cc
@@ -121,7 +121,7 @@
   --in_flight_;
   if (reply.ok()) {
     term_.confirmed(reply.sent_at);
-    scheduler_.written(batch, codec::parse_revision(reply.body), steady_now());
+    scheduler_.records_written(batch, codec::parse_revision(reply.body), steady_now());
     return callbacks_.changed();
   }
   if (deposed(reply)) return scheduler_.write_failed(batch);
@@ -160,7 +160,7 @@
   const Job* job = scheduler_.job(id);
   if (!job || job->cancelled) return;
   spdlog::debug("job {} has its end: nothing of it is started", id);
-  scheduler_.put_job(JobSpec(job->spec), job->revision, true, steady_now());
+  scheduler_.upsert_job(JobSpec(job->spec), job->revision, true, steady_now());
 }
 
 void StoreWriter::read_back(const TaskRecordWrite& write) {
@@ -175,7 +175,7 @@
   --in_flight_;
   auto kv = reply.ok() ? codec::parse_value(reply.body) : std::nullopt;
   if (kv && kv->revision > write.revision && kv->value == write.value) {
-    scheduler_.written({write}, kv->revision, steady_now());
+    scheduler_.records_written({write}, kv->revision, steady_now());
     return callbacks_.changed();
   }
   if (kv)
@@ -229,7 +229,8 @@
   }
   remove_later(job_watcher_.take_side_keys(id));
   spdlog::debug("job {} is {}", id, phase_of_end(done));
-  scheduler_.outcome(id, done ? Scheduler::Outcome::Done : Scheduler::Outcome::Cancelled, steady_now());
+  scheduler_.record_outcome(id, done ? Scheduler::Outcome::Done : Scheduler::Outcome::Cancelled,
+                            steady_now());
   scheduler_.forget_job(id);
   callbacks_.changed();
 }
@@ -238,7 +239,8 @@
   Job* job = scheduler_.job(id);
   if (!job || job->finalizing) return;  // the answer to our own write decides
   // Guards quota and capacity: what still runs of it is stopped first, and counts until there is proof.
-  if (!job->active.empty()) return scheduler_.put_job(JobSpec(job->spec), job->revision, true, steady_now());
+  if (!job->active.empty())
+    return scheduler_.upsert_job(JobSpec(job->spec), job->revision, true, steady_now());
   reread(id);
 }
 
--- a/src/scheduler/candidate_search.cc
+++ b/src/scheduler/candidate_search.cc
@@ -97,7 +97,7 @@
 bool CandidateSearch::may_use(const Job& job, const Machine& machine, double now) const {
   const JobSpec& spec = job.spec;
   if (!state_.usable(machine, now)) return false;
-  if (now < machine.nominated_until && machine.nominated_job != spec.id) return false;
+  if (now < machine.nomination.until && machine.nomination.job != spec.id) return false;
   if (!allowed(spec, machine)) return false;
   const CapacityIndex::Pool* pool = machine.index_entry.pool;
   if (reservations_.excludes(job, machine.type, pool ? pool->reservation_tier : 0)) return false;
@@ -116,7 +116,7 @@
   int examined = 0;
   int places = 0;
   for (auto it = buckets.begin(); it != buckets.end();) {
-    ++steps_;
+    ++items_examined_;
     const auto& [free_capacity, bucket] = *it;
     if (need.gpus > bucket.free.gpus + kRounding) return;
     if (examined >= c::kBucketsExamined && places >= enough) return;
@@ -157,7 +157,7 @@
 }
 
 void CandidateSearch::add_machine(const Query& query, Machine& machine, std::vector<CandidateGroup>& groups) {
-  ++steps_;
+  ++items_examined_;
   const JobSpec& spec = query.job.spec;
   if (!allowed(spec, machine) || zone_closed(query, machine.zone) || !spec.need.fits(machine.free)) return;
   if (machine.size.gpus > 0 && machine.free.gpus > query.most_free_gpus) return;
@@ -185,9 +185,10 @@
 
 void CandidateSearch::add_nominated_machines(const Query& query, Found& found) {
   const Job& job = query.job;
-  for (Machine* machine : state_.capacity_index().kept_for(job.spec.id)) {
+  for (Machine* machine : state_.capacity_index().nominated_for(job.spec.id)) {
     const bool gpus_unneeded = job.spec.need.gpus <= 0 && machine->size.gpus > 0;
-    const bool suspect = query.now < machine->cordoned_until || job.failed_on.contains(machine->name);
+    const bool suspect =
+        query.now < machine->failures.cordoned_until || job.failed_on.contains(machine->name);
     add_machine(query, *machine,
                 gpus_unneeded ? found.with_unneeded_gpus
                 : suspect     ? found.suspect
@@ -202,7 +203,7 @@
   Found found;
   const PositionsByBucket failed = add_failed_machines(query, found);
   for (const auto& [key, pool] : state_.capacity_index().pools()) {
-    ++steps_;
+    ++items_examined_;
     if (pool_open(query, pool)) add_pool(query, pool, failed, found);
   }
   add_nominated_machines(query, found);
--- a/src/scheduler/candidate_search.h
+++ b/src/scheduler/candidate_search.h
@@ -73,7 +73,7 @@
   bool may_use(const Job& job, const Machine& machine, double now) const;
 
   /// Buckets, pools and machines looked at so far.
-  std::uint64_t steps() const { return steps_; }
+  std::uint64_t items_examined() const { return items_examined_; }
 
  private:
   /// What of a job decides whether it fits.
@@ -128,7 +128,7 @@
   std::map<std::string, std::string> held_zones_;  // zone -> the job it is held for
   bool accelerators_wanted_ = false;
   std::optional<Priority> accelerator_users_;
-  std::uint64_t steps_ = 0;
+  std::uint64_t items_examined_ = 0;
 };
 
 }  // namespace corkmux
--- a/src/scheduler/capacity_index.cc
+++ b/src/scheduler/capacity_index.cc
@@ -88,15 +88,15 @@
   if (at < kNever) wake_ups_.insert({at, &machine});
 }
 
-void CapacityIndex::update_kept_for(Machine& machine, const std::string& job) {
+void CapacityIndex::update_nomination(Machine& machine, const std::string& job) {
   IndexEntry& entry = machine.index_entry;
-  if (entry.kept_for == job) return;
-  if (auto kept = kept_.find(entry.kept_for); kept != kept_.end()) {
-    kept->second.erase(&machine);
-    if (kept->second.empty()) kept_.erase(kept);
+  if (entry.nominated_job == job) return;
+  if (auto before = nominated_.find(entry.nominated_job); before != nominated_.end()) {
+    before->second.erase(&machine);
+    if (before->second.empty()) nominated_.erase(before);
   }
-  entry.kept_for = job;
-  if (!job.empty()) kept_[job].insert(&machine);
+  entry.nominated_job = job;
+  if (!job.empty()) nominated_[job].insert(&machine);
 }
 
 void CapacityIndex::update_totals(Machine& machine, bool counts) {
@@ -123,11 +123,11 @@
 void CapacityIndex::update(Machine& machine, const MachineCapacity& state, double slack) {
   IndexEntry& entry = machine.index_entry;
   if (!entry.pool) {
-    if (!machine.up) return;
+    if (!machine.is_up()) return;
     enter_pool(machine);
   }
   update_wake_up(machine, state.until);
-  update_kept_for(machine, state.kept_for);
+  update_nomination(machine, state.nominated_job);
   entry.use = state.use;
   update_totals(machine, state.use != Use::Out);
 
@@ -147,8 +147,8 @@
     take_out(machine);
     enter_bucket(machine, *buckets);
   }
-  entry.slack = drift(slack, machine.slack_slope, machine.last_heard);
-  entry.heat = drift(machine.heat, machine.heat_slope, machine.last_heard);
+  entry.slack = drift(slack, machine.load.slack_slope, machine.worker.last_heard);
+  entry.heat = drift(machine.load.heat, machine.load.heat_slope, machine.worker.last_heard);
   entry.bucket->slack.add(entry.slack);
   entry.bucket->heat.add(entry.heat);
 }
@@ -198,10 +198,10 @@
   return machines;
 }
 
-const MachineSet& CapacityIndex::kept_for(const std::string& job) const {
+const MachineSet& CapacityIndex::nominated_for(const std::string& job) const {
   static const MachineSet none;
-  auto kept = kept_.find(job);
-  return kept == kept_.end() ? none : kept->second;
+  auto machines = nominated_.find(job);
+  return machines == nominated_.end() ? none : machines->second;
 }
 
 }  // namespace corkmux
--- a/src/scheduler/capacity_index.h
+++ b/src/scheduler/capacity_index.h
@@ -32,12 +32,12 @@
 /// Where new work may go as things stand, and until when that holds if nothing else changes.
 struct MachineCapacity {
   enum class Use {
-    Out,      // takes no new work
-    Ready,    // takes any
-    Suspect,  // failed lately: takes work only where nothing else has room
-    Kept,     // only of one job, which it is nominated for
+    Out,        // takes no new work
+    Ready,      // takes any
+    Suspect,    // failed lately: takes work only where nothing else has room
+    Nominated,  // takes work only of the job that it is nominated for
   } use = Use::Out;
-  std::string kept_for;
+  std::string nominated_job;
   double until = kNever;  // s of the steady clock
 };
 
@@ -92,7 +92,7 @@
     Drift slack;
     Drift heat;
     MachineCapacity::Use use = MachineCapacity::Use::Out;
-    std::string kept_for;
+    std::string nominated_job;
     double wake_at = kNever;
     Resources counted_free;  // in the totals
     Resources counted_size;
@@ -113,8 +113,8 @@
   std::vector<Machine*> due(double now);
 
   const std::map<PoolKey, Pool>& pools() const { return pools_; }
-  /// Machines kept for a job, few.
-  const MachineSet& kept_for(const std::string& job) const;
+  /// Machines nominated for a job, few.
+  const MachineSet& nominated_for(const std::string& job) const;
   /// Of machines that take work.
   double free_gpus() const { return free_.gpus; }
   double all_gpus() const { return size_.gpus; }
@@ -129,13 +129,13 @@
   };
   void enter_pool(Machine& machine);
   void update_wake_up(Machine& machine, double at);
-  void update_kept_for(Machine& machine, const std::string& job);
+  void update_nomination(Machine& machine, const std::string& job);
   void update_totals(Machine& machine, bool counts);
   void enter_bucket(Machine& machine, CapacityBuckets& buckets);
   void list_stoppable(Machine& machine, std::optional<std::size_t> priority);
 
   std::map<PoolKey, Pool> pools_;
-  std::map<std::string, MachineSet> kept_;
+  std::map<std::string, MachineSet> nominated_;  // by job
   std::set<WakeUp> wake_ups_;
   Resources free_;
   Resources size_;
--- a/src/scheduler/cluster_state.cc
+++ b/src/scheduler/cluster_state.cc
@@ -42,11 +42,12 @@
   return found == jobs_.end() ? nullptr : &found->second;
 }
 
-std::pair<Job&, bool> ClusterState::add_job(const JobSpec& spec, std::uint64_t revision, double accepted_at) {
-  auto [entry, fresh] = jobs_.try_emplace(spec.id);
+ClusterState::AddedJob ClusterState::add_job(const JobSpec& spec, std::uint64_t revision,
+                                             double accepted_at) {
+  auto [entry, added] = jobs_.try_emplace(spec.id);
   Job& job = entry->second;
   job.revision = revision;
-  if (fresh) {
+  if (added) {
     job.spec = spec;
     job.priority = spec.priority;
     job.order = revision;
@@ -55,7 +56,7 @@
     job.phase.assign(static_cast<std::size_t>(spec.tasks), TaskPhase::Queued);
     job.queued = spec.tasks;
   }
-  return {job, fresh};
+  return {job, added};
 }
 
 void ClusterState::remove_job(const std::string& id) {
@@ -89,15 +90,15 @@
   return found == machines_.end() ? nullptr : &found->second;
 }
 
-std::pair<Machine&, bool> ClusterState::add_machine(const std::string& name, double now) {
-  auto [entry, fresh] = machines_.try_emplace(name);
+ClusterState::AddedMachine ClusterState::add_machine(const std::string& name, double now) {
+  auto [entry, added] = machines_.try_emplace(name);
   Machine& machine = entry->second;
-  if (fresh) {
+  if (added) {
     machine.name = name;
     raise_fencing_token(machine);
     machine.provisioned_at = now;
   }
-  return {machine, fresh};
+  return {machine, added};
 }
 
 void ClusterState::remove_machine(const std::string& name) {
@@ -110,7 +111,7 @@
 void ClusterState::remove_unknown_machines() {
   std::erase_if(machines_, [](const auto& entry) {
     const Machine& machine = entry.second;
-    return !machine.up && machine.type.empty() && machine.tasks.empty();
+    return !machine.is_up() && machine.type.empty() && machine.tasks.empty();
   });
 }
 
@@ -120,32 +121,32 @@
 
 MachineCapacity ClusterState::machine_capacity(const Machine& machine, double now) const {
   using Use = MachineCapacity::Use;
-  const double silent_at = machine.last_heard + c::kSilentReports * config_.report_s;
+  const double silent_at = machine.worker.last_heard + c::kSilentAfterHeartbeats * config_.report_s;
   if (!takes_work(machine) || now >= silent_at) return {};
   auto until = [&](Use use, double at) { return MachineCapacity{use, "", std::min(at, silent_at)}; };
   if (now < machine.no_capacity_until) return until(Use::Out, machine.no_capacity_until);
-  if (now < machine.nominated_until) {
-    MachineCapacity kept = until(Use::Kept, machine.nominated_until);
-    kept.kept_for = machine.nominated_job;
-    return kept;
+  if (now < machine.nomination.until) {
+    MachineCapacity nominated = until(Use::Nominated, machine.nomination.until);
+    nominated.nominated_job = machine.nomination.job;
+    return nominated;
   }
-  if (now < machine.cordoned_until) return until(Use::Suspect, machine.cordoned_until);
+  if (now < machine.failures.cordoned_until) return until(Use::Suspect, machine.failures.cordoned_until);
   return until(Use::Ready, silent_at);
 }
 
 bool ClusterState::takes_work(const Machine& machine) const {
-  return machine.up && !machine.decommissioning && !machine.faulty && !machine.gone_at &&
-         machine.size.cpus > 0 && machine.observed_token >= first_number() &&
-         machine.observed_token >= machine.required_token;
+  return machine.is_up() && !machine.is_decommissioning() && !machine.is_faulty() && !machine.gone_at &&
+         machine.size.cpus > 0 && machine.worker.observed_token >= first_number() &&
+         machine.worker.observed_token >= machine.worker.required_token;
 }
 
 bool ClusterState::usable(const Machine& machine, double now) const {
   return takes_work(machine) && now >= machine.no_capacity_until &&
-         now < machine.last_heard + c::kSilentReports * config_.report_s;
+         now < machine.worker.last_heard + c::kSilentAfterHeartbeats * config_.report_s;
 }
 
 bool ClusterState::silent(const Machine& machine, double now) const {
-  return now - machine.last_heard > c::kSilentReports * config_.report_s;
+  return now - machine.worker.last_heard > c::kSilentAfterHeartbeats * config_.report_s;
 }
 
 void ClusterState::clear_images(Machine& machine) {
@@ -206,7 +207,7 @@
       at->idle_since = now;
       at->free = at->size;
     }
-    std::erase(at->outbox, TaskId{job.spec.id, index});
+    std::erase(at->commands.outbox, TaskId{job.spec.id, index});
     count_task(*at, job, task, -1);
     reindex(*at, now);
   }
@@ -239,7 +240,7 @@
   }
   task.grace_s = grace_s;
   if (!at) return;
-  at->needs_dispatch = true;
+  at->commands.needs_dispatch = true;
   mark_for_dispatch(at->name);
 }
 
@@ -278,9 +279,9 @@
 std::uint64_t ClusterState::next_number() { return first_number() | ++counter_; }
 
 std::uint64_t ClusterState::raise_fencing_token(Machine& machine) {
-  machine.fencing_token = next_number();
-  machine.required_token = machine.fencing_token;
-  return machine.fencing_token;
+  machine.worker.fencing_token = next_number();
+  machine.worker.required_token = machine.worker.fencing_token;
+  return machine.worker.fencing_token;
 }
 
 }  // namespace corkmux
--- a/src/scheduler/cluster_state.h
+++ b/src/scheduler/cluster_state.h
@@ -25,7 +25,7 @@
 namespace corkmux {
 namespace constants {
 
-inline constexpr double kSilentReports = 2.6;  // heartbeat intervals without one: nothing is placed there
+inline constexpr double kSilentAfterHeartbeats = 2.6;  // heartbeats missed: nothing is placed there
 
 }  // namespace constants
 
@@ -51,8 +51,12 @@
   /// None if there is no such job.
   Job* job(const std::string& id);
   const Job* job(const std::string& id) const;
-  /// The job, with this revision, and whether it was added now, with all its tasks queued.
-  std::pair<Job&, bool> add_job(const JobSpec& spec, std::uint64_t revision, double accepted_at);
+  struct AddedJob {
+    Job& job;
+    bool added;  // false: it was known
+  };
+  /// The job gets this revision; a new one is added with all its tasks queued.
+  AddedJob add_job(const JobSpec& spec, std::uint64_t revision, double accepted_at);
   /// It must have no task on any machine.
   void remove_job(const std::string& id);
   /// To be called after every change of what the index knows of a job.
@@ -67,8 +71,12 @@
   /// None if there is no such machine.
   Machine* machine(const std::string& name);
   const Machine* machine(const std::string& name) const;
-  /// The machine, and whether it was added now.
-  std::pair<Machine&, bool> add_machine(const std::string& name, double now);
+  struct AddedMachine {
+    Machine& machine;
+    bool added;  // false: it was known
+  };
+  /// The machine, which is added if it is not known.
+  AddedMachine add_machine(const std::string& name, double now);
   void remove_machine(const std::string& name);
   /// Forgets machines known only from a record whose tasks are gone.
   void remove_unknown_machines();
--- a/src/scheduler/command_queue.cc
+++ b/src/scheduler/command_queue.cc
@@ -6,9 +6,10 @@
 using Stage = ActiveTask::Stage;
 
 bool CommandQueue::has_commands(const Machine& machine) const {
-  if (machine.dispatch_in_flight || !machine.up || machine.address.empty()) return false;
-  return machine.direct && (!machine.outbox.empty() || machine.needs_dispatch ||
-                            machine.observed_token < machine.required_token);
+  if (machine.commands.dispatch_in_flight || !machine.is_up() || machine.address.empty()) return false;
+  return machine.takes_commands_directly() &&
+         (!machine.commands.outbox.empty() || machine.commands.needs_dispatch ||
+          machine.worker.observed_token < machine.worker.required_token);
 }
 
 std::vector<std::string> CommandQueue::machines_with_commands() {
@@ -26,14 +27,14 @@
 
 CommandBatch CommandQueue::take(const std::string& name, double now) {
   Machine& machine = state_.machines().at(name);
-  machine.dispatch_in_flight = true;
-  machine.needs_dispatch = false;
+  machine.commands.dispatch_in_flight = true;
+  machine.commands.needs_dispatch = false;
   CommandBatch out;
-  out.fencing_token = machine.fencing_token;
-  out.worker_epoch = machine.worker_epoch;
+  out.fencing_token = machine.worker.fencing_token;
+  out.worker_epoch = machine.worker.epoch;
   take_stops(machine, out);
   take_launches(machine, out, now);
-  if (!out.launches.empty()) machine.last_launch_token = machine.fencing_token;
+  if (!out.launches.empty()) machine.worker.last_launch_token = machine.worker.fencing_token;
   return out;
 }
 
@@ -46,17 +47,17 @@
 }
 
 void CommandQueue::take_launches(Machine& machine, CommandBatch& out, double now) {
-  for (const TaskId& id : std::exchange(machine.outbox, {})) {
+  for (const TaskId& id : std::exchange(machine.commands.outbox, {})) {
     Job* job = state_.job(id.job);
     ActiveTask* task = job ? job->find_active(id.index) : nullptr;
     if (!task) continue;
-    if (task->worker_epoch != machine.worker_epoch || task->stop || machine.decommissioning) {
+    if (task->worker_epoch != machine.worker.epoch || task->stop || machine.is_decommissioning()) {
       lifecycle_.withdraw(*job, id.index, now);
       continue;
     }
     task->stage = Stage::Sent;
     task->minimum_token = kTokenOfNoWorker;
-    machine.last_launch = now;
+    machine.worker.last_launch = now;
     out.launches.push_back(id);
     out.attempts.push_back(task->attempt);
     out.commands.push_back({TaskCommand::Op::Start, id.job, id.index, task->attempt, 0});
@@ -65,34 +66,36 @@
 
 std::vector<TaskCommand> CommandQueue::take_for_answer(Machine& machine, std::uint64_t seq, double now) {
   std::vector<TaskCommand> out;
-  if (machine.direct || machine.dispatch_in_flight || !state_.usable(machine, now)) return out;
-  for (const TaskId& id : std::exchange(machine.outbox, {})) {
+  if (machine.takes_commands_directly() || machine.commands.dispatch_in_flight ||
+      !state_.usable(machine, now))
+    return out;
+  for (const TaskId& id : std::exchange(machine.commands.outbox, {})) {
     Job* job = state_.job(id.job);
     ActiveTask* task = job ? job->find_active(id.index) : nullptr;
     if (!task) continue;
-    if (task->worker_epoch != machine.worker_epoch || task->stop) {
+    if (task->worker_epoch != machine.worker.epoch || task->stop) {
       lifecycle_.unassign(*job, id.index, now);
       continue;
     }
     task->stage = Stage::Sent;
     task->minimum_token = 0;
     task->after_seq = seq;
-    machine.last_launch = now;
+    machine.worker.last_launch = now;
     out.push_back({TaskCommand::Op::Start, id.job, id.index, task->attempt, 0});
   }
   return out;
 }
 
 void CommandQueue::set_unreachable(Machine& machine, double now) {
-  machine.direct = false;
-  machine.next_probe_at = now + 2 * state_.config().report_s;
+  machine.commands.channel = CommandChannel::HeartbeatAnswers;
+  machine.commands.next_probe_at = now + 2 * state_.config().report_s;
 }
 
 void CommandQueue::done(const std::string& name, const CommandBatch& batch, DispatchOutcome outcome,
                         double now) {
   Machine* machine = state_.machine(name);
   if (!machine) return;
-  machine->dispatch_in_flight = false;
+  machine->commands.dispatch_in_flight = false;
   state_.mark_for_dispatch(name);
   if (outcome == DispatchOutcome::Unanswered) {
     // The launch may still arrive, minutes late: only a higher token that the worker has seen shuts it out.
@@ -101,9 +104,9 @@
   }
   if (outcome == DispatchOutcome::Unsent || outcome == DispatchOutcome::Unanswered) {
     set_unreachable(*machine, now);
-    if (!batch.commands.empty()) machine->needs_dispatch = true;
+    if (!batch.commands.empty()) machine->commands.needs_dispatch = true;
   } else {
-    machine->direct = true;
+    machine->commands.channel = CommandChannel::Direct;
   }
   for (std::size_t i = 0; i < batch.launches.size(); ++i)
     launch_done(batch.launches[i], batch.attempts[i], outcome, *machine, now);
@@ -119,7 +122,7 @@
       task->minimum_token = 0;
       break;
     case DispatchOutcome::Unanswered:
-      task->minimum_token = machine.fencing_token;
+      task->minimum_token = machine.worker.fencing_token;
       break;
     case DispatchOutcome::Refused:
     case DispatchOutcome::Unsent:
--- a/src/scheduler/command_queue.h
+++ b/src/scheduler/command_queue.h
@@ -37,9 +37,10 @@
   bool has_commands(const Machine& machine) const;
   /// Machines that commands can be sent to now; only those that something has changed for are looked at.
   std::vector<std::string> machines_with_commands();
-  /// What is to be sent to the machine; done() has to follow.
-  CommandBatch take(const std::string& machine, double now);
-  void done(const std::string& machine, const CommandBatch& batch, DispatchOutcome outcome, double now);
+  /// What is to be sent to the machine of that name; done() has to follow.
+  CommandBatch take(const std::string& name, double now);
+  /// What became of the batch: launches that were not carried out are withdrawn.
+  void done(const std::string& name, const CommandBatch& batch, DispatchOutcome outcome, double now);
   /// Launches for a machine that cannot be reached, to go with the answer to that heartbeat.
   std::vector<TaskCommand> take_for_answer(Machine& machine, std::uint64_t seq, double now);
   /// Commands cannot be sent to the machine for a while: launches go with answers.
--- a/src/scheduler/dependency_barrier.cc
+++ b/src/scheduler/dependency_barrier.cc
@@ -5,8 +5,8 @@
 
 namespace corkmux {
 
-double DependencyBarrier::look(double seen, const std::vector<std::string>& pending, bool unclear) {
-  if (!news(seen)) return settled_until_;
+double DependencyBarrier::advance(double seen, const std::vector<std::string>& pending, bool unclear) {
+  if (!can_advance(seen)) return settled_until_;
   // What was not pending the last time came of a cancel after that; or of one whose job was being looked up,
   // which may be older, though not older than what was settled then.
   const double earliest_new_cancel = unclear_ ? settled_until_ : seen_;
--- a/src/scheduler/dependency_barrier.h
+++ b/src/scheduler/dependency_barrier.h
@@ -20,9 +20,9 @@
   /// Returns the moment, which never moves back. `seen`: s up to which all changes of jobs are known.
   /// `pending`: jobs whose needed job was cancelled and whose end is not stored yet. `unclear`: of some
   /// dependency it is not known yet how it ended.
-  double look(double seen, const std::vector<std::string>& pending, bool unclear);
-  /// Whether look() could say anything new.
-  bool news(double seen) const { return seen > seen_; }
+  double advance(double seen, const std::vector<std::string>& pending, bool unclear);
+  /// Whether changes are known that advance() has not been given yet.
+  bool can_advance(double seen) const { return seen > seen_; }
 
  private:
   double settled_until_;
--- a/src/scheduler/dependency_graph.cc
+++ b/src/scheduler/dependency_graph.cc
@@ -86,7 +86,7 @@
     met(job, dependency, job.accepted_at);
 }
 
-void DependencyGraph::outcome(const std::string& id, JobOutcome how, double ended_at) {
+void DependencyGraph::record_outcome(const std::string& id, JobOutcome how, double ended_at) {
   if (outcomes_.try_emplace(id, Ended{how, ended_at}).second) outcome_order_.push_back(id);
   if (outcome_order_.size() > c::kFinalCache) {
     outcomes_.erase(outcome_order_.front());
@@ -135,15 +135,18 @@
 
 // ---------------------------------------------------------------- inheritance
 
-std::vector<const Job*> DependencyGraph::waiting_dependents(const Job& job) const {
-  std::vector<const Job*> out;
+DependencyGraph::Urgency DependencyGraph::urgency_of(const Job& job) const {
+  Urgency urgency{job.spec.priority, job.spec.deadline_s ? job.accepted_at + *job.spec.deadline_s : kNever};
   auto found = dependents_.find(job.spec.id);
-  if (found == dependents_.end()) return out;
+  if (found == dependents_.end()) return urgency;
   for (const std::string& id : found->second) {
     const Job* dependent = state_.job(id);
-    if (dependent && !dependent->cancelled && !dependent->dependency_cancelled) out.push_back(dependent);
+    if (!dependent || dependent->cancelled || dependent->dependency_cancelled) continue;
+    urgency.priority = std::max(urgency.priority, dependent->priority);
+    if (dependent->due_at < kNever)
+      urgency.due_at = std::min(urgency.due_at, dependent->due_at - duration_s(*dependent));
   }
-  return out;
+  return urgency;
 }
 
 // The highest priority and the tightest deadline of its dependents, through any number of steps.
@@ -153,17 +156,12 @@
   while (!pending.empty()) {
     Job& job = *pending.back();
     pending.pop_back();
-    Priority priority = job.spec.priority;
-    double due_at = job.spec.deadline_s ? job.accepted_at + *job.spec.deadline_s : kNever;
-    for (const Job* dependent : waiting_dependents(job)) {
-      priority = std::max(priority, dependent->priority);
-      if (dependent->due_at < kNever) due_at = std::min(due_at, dependent->due_at - duration_s(*dependent));
-    }
-    const bool changed = priority != job.priority || due_at != job.due_at;
+    const Urgency urgency = urgency_of(job);
+    const bool changed = urgency.priority != job.priority || urgency.due_at != job.due_at;
     if (!changed && !is_first) continue;
     is_first = false;
-    state_.set_priority(job, priority);
-    job.due_at = due_at;
+    state_.set_priority(job, urgency.priority);
+    job.due_at = urgency.due_at;
     state_.reindex(job);
     for (const std::string& id : job.unmet_dependencies)
       if (Job* dependency = state_.job(id)) pending.push_back(dependency);
--- a/src/scheduler/dependency_graph.h
+++ b/src/scheduler/dependency_graph.h
@@ -29,7 +29,7 @@
   /// All that the job depends on was done; the moment is not known.
   void assume_met(Job& job);
   /// How a job ended.
-  void outcome(const std::string& id, JobOutcome how, double ended_at);
+  void record_outcome(const std::string& id, JobOutcome how, double ended_at);
   /// Cancels all that depend on a cancelled job, directly or through others.
   void cancel_dependents(const std::string& id);
   /// Dependencies of which nothing is known, to be looked up in the store.
@@ -47,8 +47,14 @@
   void add_dependency(Job& job, const std::string& dependency);
   void remove_edge(const std::string& id, const std::string& dependency);
   void met(Job& job, const std::string& dependency, double at);
-  void inherit(Job& job);
-  std::vector<const Job*> waiting_dependents(const Job& job) const;
+  /// Gives the job, and through it what it depends on, the urgency of its dependents.
+  void inherit(Job& first);
+  /// What a job has of its own and of its dependents.
+  struct Urgency {
+    Priority priority;
+    double due_at;
+  };
+  Urgency urgency_of(const Job& job) const;
 
   ClusterState& state_;
   TaskLifecycle& lifecycle_;
--- a/src/scheduler/failure_tracker.cc
+++ b/src/scheduler/failure_tracker.cc
@@ -16,7 +16,7 @@
 
 double FailureTracker::weight_against(const Machine& machine, const std::string& without_job) const {
   double sum = 0;
-  for (const auto& [id, failures] : machine.failures) {
+  for (const auto& [id, failures] : machine.failures.by_job) {
     if (id == without_job) continue;
     MachineFailures known{failures.times, 0, failures.well};
     if (const Job* job = state_.job(id)) {
@@ -30,14 +30,15 @@
 
 void FailureTracker::task_failed(Machine& machine, Job& job, double now) {
   const std::string& id = job.spec.id;
-  if (machine.failures.empty()) machine.failures_since = now;
-  const bool remembered = machine.failures.size() < c::kFailedJobsRemembered || machine.failures.contains(id);
-  if (remembered) ++machine.failures[id].times;
+  if (machine.failures.by_job.empty()) machine.failures.since = now;
+  const bool remembered =
+      machine.failures.by_job.size() < c::kFailedJobsRemembered || machine.failures.by_job.contains(id);
+  if (remembered) ++machine.failures.by_job[id].times;
   // Guards against a batch of faulty machines that makes a good job look bad: what failed on a machine that
   // others fail on as well says nothing against the job.
-  if (machine.faulty || weight_against(machine, id) >= c::kFaultyWeight) {
+  if (machine.is_faulty() || weight_against(machine, id) >= c::kFaultyWeight) {
     job.why = "failed on " + machine.name + ", which fails others as well; started again elsewhere";
-    machine.cordoned_until = now + c::kCordonTime;
+    machine.failures.cordoned_until = now + c::kCordonTime;
     return;
   }
   job.failed_on.insert(machine.name);
@@ -46,7 +47,7 @@
   job.fails_by_itself = job.done == 0 && fails_by_itself(machines);
   if (!job.fails_by_itself) {
     job.why = "failed on " + machine.name + ", started again elsewhere";
-    machine.cordoned_until = now + c::kCordonTime;
+    machine.failures.cordoned_until = now + c::kCordonTime;
     return;
   }
   retry_with_pauses(job, machines, now);
@@ -64,26 +65,26 @@
   for (const auto& name : job.failed_on) {
     Machine* machine = state_.machine(name);
     if (!machine || weight_against(*machine, job.spec.id) > 0) continue;
-    machine->cordoned_until = kLongAgo;
+    machine->failures.cordoned_until = kLongAgo;
     state_.reindex(*machine, now);
   }
 }
 
 void FailureTracker::task_completed(Machine& machine, Job& job) {
-  machine.failures.clear();
-  machine.cordoned_until = kLongAgo;
+  machine.failures.by_job.clear();
+  machine.failures.cordoned_until = kLongAgo;
   if (!job.fails_by_itself) return;
   job.fails_by_itself = false;
   job.not_before = 0;
 }
 
 void FailureTracker::judge(Machine& machine, double now) {
-  if (machine.faulty || machine.failures.empty() || now - machine.failures_since < c::kFaultyDelay ||
-      weight_against(machine, "") < c::kFaultyWeight)
+  if (machine.is_faulty() || machine.failures.by_job.empty() ||
+      now - machine.failures.since < c::kFaultyDelay || weight_against(machine, "") < c::kFaultyWeight)
     return;
-  machine.faulty = true;
+  machine.health = MachineHealth::Faulty;
   state_.note("machine " + machine.name + " fails work of different jobs: drained and returned");
-  for (const auto& [id, failures] : machine.failures) {
+  for (const auto& [id, failures] : machine.failures.by_job) {
     Job* job = state_.job(id);
     if (!job || !job->failed_on.erase(machine.name) || !job->fails_by_itself) continue;
     job->fails_by_itself = job->done == 0 && fails_by_itself(machines_failed_on(*job));
@@ -96,12 +97,12 @@
   for (const auto& name : job.failed_on) {
     Machine* machine = state_.machine(name);
     if (!machine) continue;
-    auto failures = machine->failures.find(job.spec.id);
-    if (failures == machine->failures.end()) continue;
+    auto failures = machine->failures.by_job.find(job.spec.id);
+    if (failures == machine->failures.by_job.end()) continue;
     if (job.done > 0)
       failures->second.well = true;
     else
-      machine->failures.erase(failures);
+      machine->failures.by_job.erase(failures);
   }
   job.failed_on.clear();
 }
--- a/src/scheduler/guarantee_claims.cc
+++ b/src/scheduler/guarantee_claims.cc
@@ -38,7 +38,7 @@
 class CaseBuilder {
  public:
   CaseBuilder(ClusterState& state, CandidateSearch& search, const Job& job, double now, std::uint64_t& steps)
-      : state_(state), search_(search), job_(job), now_(now), steps_(steps) {
+      : state_(state), search_(search), job_(job), now_(now), items_examined_(steps) {
     case_.input.need = job.spec.need;
     case_.input.tasks = job.queued;
     case_.input.one_zone = job.spec.one_zone;
@@ -95,7 +95,7 @@
         zone_numbers_.try_emplace(machine.zone, static_cast<int>(zone_numbers_.size())).first->second;
     place.open = open(machine);
     for (const TaskId& id : machine.tasks) {
-      ++steps_;
+      ++items_examined_;
       const Job& other = *state_.job(id.job);
       if (other.active.at(id.index).stop) place.free += other.spec.need;
     }
@@ -115,7 +115,7 @@
     const JobSet& running = state_.job_index().running(team, false);
     for (auto it = running.rbegin(); it != running.rend() && examined < c::kPreemptionCandidatesExamined;
          ++it) {
-      ++steps_;
+      ++items_examined_;
       const Job& other = **it;
       if (other.draining) continue;
       examined += other.active.size();
@@ -143,7 +143,7 @@
   std::vector<StoppableTask> stoppable_tasks(const Job& other) {
     std::vector<StoppableTask> stoppable;
     for (const auto& [index, task] : other.active) {
-      ++steps_;
+      ++items_examined_;
       // Nothing just started is stopped: PROTOCOL counts a start only if it is left alone for kFreshStart.
       if (task.stop || !task.running_at || now_ - *task.running_at < c::kFreshStart) continue;
       if (!state_.machine(task.machine)) continue;
@@ -157,7 +157,7 @@
   CandidateSearch& search_;
   const Job& job_;
   double now_;
-  std::uint64_t& steps_;
+  std::uint64_t& items_examined_;
   QuotaReclaimCase case_;
   std::map<std::string, int> zone_numbers_;
   std::unordered_map<const Machine*, int> place_by_machine_;
@@ -188,7 +188,7 @@
   using Admission = Job::GuaranteeAdmission;
   const JobSet& candidates = state_.job_index().admission_candidates();
   for (Job* job : std::vector<Job*>(candidates.begin(), candidates.end())) {
-    ++steps_;
+    ++items_examined_;
     if (job->guarantee_admission == Admission::Undecided) {
       const bool fresh = now - job->ready_at < c::kFreshArrival;
       job->guarantee_admission = job->indexed.guaranteed && fresh ? Admission::Granted : Admission::None;
@@ -238,7 +238,7 @@
   // Guards against stopping work for places that the job would then not get: a job that is spread over zones
   // needs them in the right ones, which is not looked at here.
   if (job.queued == 0 || spec.spread || !within_guarantee(job)) return false;
-  const QuotaReclaimCase claim = CaseBuilder(state_, search_, job, now, steps_).build();
+  const QuotaReclaimCase claim = CaseBuilder(state_, search_, job, now, items_examined_).build();
   const auto chosen = choose_reclaim(claim.input);
   if (!chosen || chosen->empty()) return false;  // empty: room is about to be free anyway
   nominate_places(job, claim, *chosen, now);
--- a/src/scheduler/guarantee_claims.h
+++ b/src/scheduler/guarantee_claims.h
@@ -35,7 +35,7 @@
   bool reclaim(Job& job, double now);
 
   /// Jobs, tasks and machines looked at so far.
-  std::uint64_t steps() const { return steps_; }
+  std::uint64_t items_examined() const { return items_examined_; }
 
  private:
   bool within_guarantee(const Job& job) const;
@@ -45,7 +45,7 @@
   ClusterState& state_;
   CandidateSearch& search_;
   Preemption& preemption_;
-  std::uint64_t steps_ = 0;
+  std::uint64_t items_examined_ = 0;
 };
 
 }  // namespace corkmux
--- a/src/scheduler/heartbeat_reconciler.cc
+++ b/src/scheduler/heartbeat_reconciler.cc
@@ -37,14 +37,14 @@
   if (machines_.was_returned(heartbeat.machine)) return {};
   Machine& machine = adopt_machine(heartbeat, now);
   HeartbeatResult refusal;
-  refusal.fencing_token = machine.fencing_token;
+  refusal.fencing_token = machine.worker.fencing_token;
   refusal.superseded = is_superseded(heartbeat, machine);
   if (refusal.superseded || is_stale(heartbeat, machine)) return refusal;
 
-  if (heartbeat.worker_epoch > machine.worker_epoch) begin_epoch(heartbeat, machine, now);
+  if (heartbeat.worker_epoch > machine.worker.epoch) begin_epoch(heartbeat, machine, now);
   if (state_.silent(machine, now)) state_.request_cycle();
-  machine.seq = heartbeat.seq;
-  machine.last_heard = now;
+  machine.worker.seq = heartbeat.seq;
+  machine.worker.last_heard = now;
   observe_token(heartbeat, machine, now);
   note_spot_notice(heartbeat, machine, now);
 
@@ -56,13 +56,13 @@
   attach_launches(pass);
   state_.reindex(machine, now);
   if (machine.gone_at) machines_.drain(machine, now);
-  pass.result.fencing_token = machine.fencing_token;
+  pass.result.fencing_token = machine.worker.fencing_token;
   return std::move(pass.result);
 }
 
 Machine& HeartbeatReconciler::adopt_machine(const Heartbeat& heartbeat, double now) {
-  Machine& machine = state_.add_machine(heartbeat.machine, now).first;
-  if (!machine.up || machine.type.empty()) take_in(heartbeat, machine, now);
+  Machine& machine = state_.add_machine(heartbeat.machine, now).machine;
+  if (!machine.is_up() || machine.type.empty()) take_in(heartbeat, machine, now);
   if (!heartbeat.address.empty()) machine.address = heartbeat.address;
   state_.mark_for_dispatch(machine.name);
   return machine;
@@ -70,7 +70,7 @@
 
 void HeartbeatReconciler::take_in(const Heartbeat& heartbeat, Machine& machine, double now) {
   state_.remove_from_index(machine);
-  machine.up = true;
+  machine.state = MachineState::Up;
   machine.type = heartbeat.type;
   machine.zone = heartbeat.zone;
   machine.spot = heartbeat.spot;
@@ -84,31 +84,33 @@
 }
 
 bool HeartbeatReconciler::is_superseded(const Heartbeat& heartbeat, const Machine& machine) const {
-  return heartbeat.fencing_token > machine.fencing_token && state_.superseded_by(heartbeat.fencing_token);
+  return heartbeat.fencing_token > machine.worker.fencing_token &&
+         state_.superseded_by(heartbeat.fencing_token);
 }
 
 // Late and reordered heartbeats say nothing about the present.
 bool HeartbeatReconciler::is_stale(const Heartbeat& heartbeat, const Machine& machine) {
-  if (heartbeat.worker_epoch != machine.worker_epoch) return heartbeat.worker_epoch < machine.worker_epoch;
-  return heartbeat.seq <= machine.seq;
+  if (heartbeat.worker_epoch != machine.worker.epoch) return heartbeat.worker_epoch < machine.worker.epoch;
+  return heartbeat.seq <= machine.worker.seq;
 }
 
 void HeartbeatReconciler::begin_epoch(const Heartbeat& heartbeat, Machine& machine, double now) {
   const std::uint64_t epoch = heartbeat.worker_epoch;
-  if (machine.worker_epoch)
+  if (machine.worker.epoch)
     state_.note("machine " + machine.name + " began worker epoch " + std::to_string(epoch));
   lifecycle_.lose_all(machine, "lost its lease", now, epoch);
   state_.clear_images(machine);
-  machine.worker_epoch = epoch;
-  machine.seq = 0;
+  machine.worker.epoch = epoch;
+  machine.worker.seq = 0;
 }
 
 void HeartbeatReconciler::observe_token(const Heartbeat& heartbeat, Machine& machine, double now) {
   const std::uint64_t first_of_term = state_.first_number();
-  const bool newly_ours = machine.observed_token < first_of_term && heartbeat.fencing_token >= first_of_term;
-  machine.observed_token = std::max(machine.observed_token, heartbeat.fencing_token);
+  const bool newly_ours =
+      machine.worker.observed_token < first_of_term && heartbeat.fencing_token >= first_of_term;
+  machine.worker.observed_token = std::max(machine.worker.observed_token, heartbeat.fencing_token);
   if (!newly_ours) return;
-  machine.fencing_token_raised_at = now;
+  machine.worker.fencing_token_raised_at = now;
   state_.request_cycle();
 }
 
@@ -168,10 +170,12 @@
 // any are on their way; until then the worker knows the attempt, and a copy does nothing.
 void HeartbeatReconciler::acknowledge_ended_tasks(Reconciliation& pass) {
   Machine& machine = pass.machine;
-  if (pass.channel != HeartbeatChannel::Heartbeat || pass.ended.empty() || machine.dispatch_in_flight) return;
-  if (machine.last_launch_token == machine.fencing_token &&
+  if (pass.channel != HeartbeatChannel::Heartbeat || pass.ended.empty() ||
+      machine.commands.dispatch_in_flight)
+    return;
+  if (machine.worker.last_launch_token == machine.worker.fencing_token &&
       !mutation_enabled("what was cleared can be launched again"))
-    machine.fencing_token = state_.next_number();
+    machine.worker.fencing_token = state_.next_number();
   pass.result.commands.insert(pass.result.commands.end(), pass.ended.begin(), pass.ended.end());
 }
 
@@ -197,22 +201,23 @@
 }
 
 void HeartbeatReconciler::update_load(Machine& machine, double now) {
-  machine.heat = 0;
+  machine.load.heat = 0;
   for (const auto& [id, index] : machine.tasks) {
     const Stage stage = state_.jobs().at(id).active.at(index).stage;
-    if (stage != Stage::Running && stage != Stage::Saving) ++machine.heat;
+    if (stage != Stage::Running && stage != Stage::Saving) ++machine.load.heat;
   }
   const double slack = machine.slack();
-  if (machine.seen_at > 0 && now > machine.seen_at + kShortestSlopeInterval) {
+  if (machine.load.observed_at > 0 && now > machine.load.observed_at + kShortestSlopeInterval) {
     const double weight = c::kSlopeSmoothing;
-    const double passed = now - machine.seen_at;
-    machine.slack_slope = (1 - weight) * machine.slack_slope + weight * (slack - machine.seen_slack) / passed;
-    machine.heat_slope =
-        (1 - weight) * machine.heat_slope + weight * (machine.heat - machine.seen_heat) / passed;
+    const double passed = now - machine.load.observed_at;
+    machine.load.slack_slope =
+        (1 - weight) * machine.load.slack_slope + weight * (slack - machine.load.observed_slack) / passed;
+    machine.load.heat_slope = (1 - weight) * machine.load.heat_slope +
+                              weight * (machine.load.heat - machine.load.observed_heat) / passed;
   }
-  machine.seen_slack = slack;
-  machine.seen_heat = machine.heat;
-  machine.seen_at = now;
+  machine.load.observed_slack = slack;
+  machine.load.observed_heat = machine.load.heat;
+  machine.load.observed_at = now;
 }
 
 void HeartbeatReconciler::attach_launches(Reconciliation& pass) {
--- a/src/scheduler/job_index.cc
+++ b/src/scheduler/job_index.cc
@@ -44,7 +44,7 @@
 }
 
 void JobIndex::set_guaranteed(Ledger& ledger, Job& job, bool guaranteed) {
-  ++steps_;
+  ++items_examined_;
   if (job.indexed.running) {
     ledger.running[job.indexed.guaranteed].erase(&job);
     ledger.running[guaranteed].insert(&job);
@@ -53,7 +53,7 @@
 }
 
 void JobIndex::enter(Ledger& ledger, Job& job) {
-  ++steps_;
+  ++items_examined_;
   ledger.jobs.insert(&job);
   // Behind the first that is over the guarantee, it is over it as well.
   if (ledger.over_guarantee != ledger.jobs.end() && !ByOrder{}(&job, *ledger.over_guarantee)) return;
@@ -70,7 +70,7 @@
 }
 
 void JobIndex::leave(Ledger& ledger, Job& job) {
-  ++steps_;
+  ++items_examined_;
   if (job.indexed.guaranteed) {
     ledger.within -= metered_need(job);
     set_guaranteed(ledger, job, false);
--- a/src/scheduler/job_index.h
+++ b/src/scheduler/job_index.h
@@ -55,7 +55,7 @@
   /// The lowest priority of arrays and services that have tasks on machines.
   std::optional<Priority> lowest_stoppable() const;
   /// Jobs entered, taken out or moved over the edge of a guarantee so far.
-  std::uint64_t steps() const { return steps_; }
+  std::uint64_t items_examined() const { return items_examined_; }
 
  private:
   using CountByPriority = std::array<int, 4>;
@@ -82,7 +82,7 @@
   JobSet admission_candidates_;
   CountByPriority accelerator_users_{};
   CountByPriority stoppable_{};
-  std::uint64_t steps_ = 0;
+  std::uint64_t items_examined_ = 0;
 };
 
 }  // namespace corkmux
--- a/src/scheduler/machine_lifecycle.cc
+++ b/src/scheduler/machine_lifecycle.cc
@@ -12,11 +12,11 @@
 
 // ---------------------------------------------------------------- the cloud's side
 
-void MachineLifecycle::provisioned(const std::string& name, const std::string& type, const std::string& zone,
-                                   bool spot, double now) {
+void MachineLifecycle::machine_provisioned(const std::string& name, const std::string& type,
+                                           const std::string& zone, bool spot, double now) {
   if (was_returned(name)) return;
-  auto [machine, fresh] = state_.add_machine(name, now);
-  if (!fresh) return;
+  auto [machine, added] = state_.add_machine(name, now);
+  if (!added) return;
   machine.type = type;
   machine.zone = zone;
   machine.spot = spot;
@@ -28,18 +28,18 @@
 
 bool MachineLifecycle::has_listened(double now) const {
   const double since = std::max(state_.started_at(), listened_since_);
-  return now - since > c::kDeadReports * state_.config().report_s;
+  return now - since > c::kDeadAfterHeartbeats * state_.config().report_s;
 }
 
 bool MachineLifecycle::never_came_up(const Machine& machine, double now) const {
   const MachineType* type = state_.type(machine.type);
-  return !machine.up && !machine.decommissioning && type &&
+  return !machine.is_up() && !machine.is_decommissioning() && type &&
          now - machine.provisioned_at > c::kBootLate * type->boot_s + c::kBootGrace && has_listened(now);
 }
 
-void MachineLifecycle::listed(const std::vector<ListedMachine>& machines, double now) {
+void MachineLifecycle::machines_listed(const std::vector<ListedMachine>& machines, double now) {
   for (const ListedMachine& listed : machines) {
-    provisioned(listed.name, listed.type, listed.zone, listed.spot, now - listed.age_s);
+    machine_provisioned(listed.name, listed.type, listed.zone, listed.spot, now - listed.age_s);
     if (was_returned(listed.name)) continue;
     Machine& machine = state_.machines().at(listed.name);
     if (machine.type.empty()) {  // known so far only from a task's record
@@ -48,7 +48,7 @@
       machine.spot = listed.spot;
     }
     if (machine.address.empty()) machine.address = listed.address;
-    if (listed.phase == ListedMachine::Phase::Failed && !machine.decommissioning) {
+    if (listed.phase == ListedMachine::Phase::Failed && !machine.is_decommissioning()) {
       state_.note("machine " + listed.name + " failed on its own: returned");
       decommission(listed.name, now);
     }
@@ -61,8 +61,8 @@
 
 void MachineLifecycle::decommission(const std::string& name, double now) {
   Machine* machine = state_.machine(name);
-  if (!machine || machine->decommissioning) return;
-  machine->decommissioning = true;
+  if (!machine || machine->is_decommissioning()) return;
+  machine->service = MachineService::Decommissioning;
   for (const TaskId& id : std::set<TaskId>(machine->tasks)) {
     Job* job = state_.job(id.job);
     const ActiveTask* task = job ? job->find_active(id.index) : nullptr;
@@ -74,11 +74,11 @@
 std::vector<std::string> MachineLifecycle::decommissioning() const {
   std::vector<std::string> out;
   for (const auto& [name, machine] : state_.machines())
-    if (machine.decommissioning) out.push_back(name);
+    if (machine.is_decommissioning()) out.push_back(name);
   return out;
 }
 
-void MachineLifecycle::deleted(const std::vector<std::string>& names, double now) {
+void MachineLifecycle::machines_deleted(const std::vector<std::string>& names, double now) {
   for (const std::string& name : names) {
     Machine* machine = state_.machine(name);
     if (!machine) continue;
@@ -97,7 +97,7 @@
   if (task.stage != Stage::Running && task.stage != Stage::Waiting && task.stage != Stage::Fetching)
     return false;
   const bool too_late = machine.gone_at && *machine.gone_at - now < job.spec.save_s;
-  return !too_late || machine.faulty;
+  return !too_late || machine.is_faulty();
 }
 
 void MachineLifecycle::drain(Machine& machine, double now) {
@@ -127,7 +127,7 @@
   std::map<std::string, ZoneCount> zones;
   any_silent_ = false;
   for (const auto& [name, machine] : state_.machines()) {
-    if (!machine.up || machine.decommissioning) continue;
+    if (!machine.is_up() || machine.is_decommissioning()) continue;
     ZoneCount& zone = zones[machine.zone];
     ++zone.all;
     if (!state_.silent(machine, now)) continue;
@@ -142,19 +142,20 @@
 // One or two silent machines are broken; many at once mean that the network is, and they come back one by
 // one. Nor is one broken that a lease proxy answers: its tasks run on beyond a partition.
 bool MachineLifecycle::is_broken(const Machine& machine, double now) const {
-  if (!machine.up || machine.decommissioning) return false;
-  if (now - machine.last_heard <= c::kDeadReports * state_.config().report_s || !has_listened(now))
+  if (!machine.is_up() || machine.is_decommissioning()) return false;
+  if (now - machine.worker.last_heard <= c::kDeadAfterHeartbeats * state_.config().report_s ||
+      !has_listened(now))
     return false;
   const auto partitioned = partitioned_until_.find(machine.zone);
   return now >= (partitioned == partitioned_until_.end() ? 0 : partitioned->second) &&
-         now >= machine.renewed_by_proxy_until;
+         now >= machine.worker.renewed_by_proxy_until;
 }
 
 void MachineLifecycle::tick(double now) {
   count_silent_machines(now);
   for (auto& [name, machine] : state_.machines()) {
-    if (!machine.direct && now >= machine.next_probe_at && machine.up) {
-      machine.direct = true;
+    if (!machine.takes_commands_directly() && now >= machine.commands.next_probe_at && machine.is_up()) {
+      machine.commands.channel = CommandChannel::Direct;
       state_.mark_for_dispatch(name);
     }
     if (is_broken(machine, now)) {
@@ -162,7 +163,7 @@
       decommission(name, now);
     }
     failures_.judge(machine, now);
-    if (!machine.faulty || machine.decommissioning) continue;
+    if (!machine.is_faulty() || machine.is_decommissioning()) continue;
     drain(machine, now);
     if (machine.tasks.empty()) decommission(name, now);
   }
@@ -177,7 +178,7 @@
     double& until = partitioned_until_[zone];
     until = std::max(until, now + config.lease_s);
   }
-  lifecycle_.extend_reservations(now + config.report_s * c::kDeadReports);
+  lifecycle_.extend_reservations(now + config.report_s * c::kDeadAfterHeartbeats);
 }
 
 std::vector<std::string> MachineLifecycle::machines_with_expired_leases(double now) const {
@@ -190,11 +191,11 @@
     // The last moment anybody could have renewed this worker's lease: us, a lease proxy, or a former leader
     // that has lost the state service and keeps tasks alive for a while, unless the worker already obeys our
     // term.
-    const bool obeys_us = machine.observed_token >= state_.first_number();
+    const bool obeys_us = machine.worker.observed_token >= state_.first_number();
     const double others_until =
-        obeys_us ? machine.fencing_token_raised_at : state_.started_at() + config.keepalive();
-    const double renewed_until =
-        std::max({machine.last_answered, machine.last_launch, machine.renewed_by_proxy_until, others_until});
+        obeys_us ? machine.worker.fencing_token_raised_at : state_.started_at() + config.keepalive();
+    const double renewed_until = std::max({machine.worker.last_answered, machine.worker.last_launch,
+                                           machine.worker.renewed_by_proxy_until, others_until});
     if (now > renewed_until + lease) out.push_back(name);
   }
   return out;
@@ -202,7 +203,8 @@
 
 void MachineLifecycle::renewed_by_proxy(const std::string& name, double until) {
   Machine* machine = state_.machine(name);
-  if (machine) machine->renewed_by_proxy_until = std::max(machine->renewed_by_proxy_until, until);
+  if (machine)
+    machine->worker.renewed_by_proxy_until = std::max(machine->worker.renewed_by_proxy_until, until);
 }
 
 void MachineLifecycle::lease_expired(const std::string& name, double now) {
--- a/src/scheduler/machine_lifecycle.h
+++ b/src/scheduler/machine_lifecycle.h
@@ -17,8 +17,8 @@
 namespace corkmux {
 namespace constants {
 
-inline constexpr double kDeadReports = 3.6;     // heartbeat intervals without one: returned to the cloud
-inline constexpr double kMaxSilentShare = 0.4;  // of a zone's machines; above, the network is at fault
+inline constexpr double kDeadAfterHeartbeats = 3.6;  // heartbeats missed: returned to the cloud
+inline constexpr double kMaxSilentShare = 0.4;       // of a zone's machines; above, the network is at fault
 inline constexpr double kBootLate = 3.0;    // times the catalog's boot time before a boot counts as failed
 inline constexpr double kBootGrace = 15.0;  // s beyond that
 inline constexpr std::size_t kReturnedNames = 2000;  // returned machines remembered; lists lag by seconds
@@ -31,15 +31,15 @@
       : state_(state), lifecycle_(lifecycle), failures_(failures) {}
 
   /// The machine was asked for.
-  void provisioned(const std::string& name, const std::string& type, const std::string& zone, bool spot,
-                   double now);
+  void machine_provisioned(const std::string& name, const std::string& type, const std::string& zone,
+                           bool spot, double now);
   /// The cloud's list of machines.
-  void listed(const std::vector<ListedMachine>& machines, double now);
+  void machines_listed(const std::vector<ListedMachine>& machines, double now);
   /// The machine takes no new work and is to be returned.
   void decommission(const std::string& name, double now);
   std::vector<std::string> decommissioning() const;
   /// The cloud has taken the machines back.
-  void deleted(const std::vector<std::string>& names, double now);
+  void machines_deleted(const std::vector<std::string>& names, double now);
   /// Late heartbeats and old lists may still speak of it.
   bool was_returned(const std::string& name) const { return returned_.contains(name); }
   /// Stops, with time to save, what can be saved before the machine is gone.
--- a/src/scheduler/placement.cc
+++ b/src/scheduler/placement.cc
@@ -15,13 +15,13 @@
 
 /// A value that drifts between heartbeats, as it would be by now.
 double extrapolated(double value, double slope, const Machine& machine, double now) {
-  const double age = std::max(0.0, now - machine.last_heard);
+  const double age = std::max(0.0, now - machine.worker.last_heard);
   return std::max(0.0, value + age * slope);
 }
 
 double utility(const Machine& machine, double fetch_s, double now) {
-  const double slack = extrapolated(machine.slack(), machine.slack_slope, machine, now);
-  const double heat = extrapolated(machine.heat, machine.heat_slope, machine, now);
+  const double slack = extrapolated(machine.slack(), machine.load.slack_slope, machine, now);
+  const double heat = extrapolated(machine.load.heat, machine.load.heat_slope, machine, now);
   return std::log2(1 + slack) - c::kGamma * std::log2(1 + heat) - c::kFetchWeight * fetch_s;
 }
 
@@ -58,8 +58,8 @@
   zone.fetch_s = std::min(zone.fetch_s, fetch_time(spec, group));
   if (group.single) {
     const Machine& machine = *group.single;
-    zone.slack += extrapolated(machine.slack(), machine.slack_slope, machine, now);
-    zone.heat += extrapolated(machine.heat, machine.heat_slope, machine, now);
+    zone.slack += extrapolated(machine.slack(), machine.load.slack_slope, machine, now);
+    zone.heat += extrapolated(machine.load.heat, machine.load.heat_slope, machine, now);
     return;
   }
   const double share = machines / static_cast<double>(group.bucket->machines.size());
@@ -110,7 +110,7 @@
   std::size_t machines = 0;
   for (const auto& group : groups) machines += group.machine_count;
   for (std::size_t position : random_.sample(machines, c::kSampleSize)) {
-    ++steps_;
+    ++items_examined_;
     const CandidateGroup* group = groups.data();
     for (; position >= group->machine_count; ++group) position -= group->machine_count;
     Machine& machine = group->machine(position);
--- a/src/scheduler/placement.h
+++ b/src/scheduler/placement.h
@@ -53,7 +53,7 @@
   /// One line per placed gang, when the configuration asks for it.
   std::vector<std::string> take_details() { return std::exchange(details_, {}); }
   /// Machines looked at so far.
-  std::uint64_t steps() const { return steps_; }
+  std::uint64_t items_examined() const { return items_examined_; }
 
  private:
   struct ZoneCapacity {
@@ -87,7 +87,7 @@
   const FreedCapacity& freed_capacity_;
   TaskLifecycle& lifecycle_;
   std::vector<std::string> details_;
-  std::uint64_t steps_ = 0;
+  std::uint64_t items_examined_ = 0;
 };
 
 }  // namespace corkmux
--- a/src/scheduler/preemption.cc
+++ b/src/scheduler/preemption.cc
@@ -47,36 +47,35 @@
 }
 
 void Preemption::nominate(Machine& machine, const Job& job, double until, double now) {
-  machine.nominated_job = job.spec.id;
-  machine.nominated_until = until;
+  machine.nomination.job = job.spec.id;
+  machine.nomination.until = until;
   state_.reindex(machine, now);
 }
 
 // ---------------------------------------------------------------- candidates
 
-/// Machines with room as they are, as many as the job could use; those where something is stopping already;
-/// and of those that run less urgent work all, or kPreemptionCandidatesExamined drawn from them. A job that
-/// finds too little among these looks at others in a later cycle.
-Preemption::MachinesByGroup Preemption::machines_to_examine(const Job& job, double now) {
-  const JobSpec& spec = job.spec;
-  const auto wanted = static_cast<std::size_t>(job.is_gang() ? spec.tasks : 1);
-  std::map<std::string, MachineSet> groups;
-  std::map<std::string, std::vector<const std::vector<Machine*>*>> stoppable;
+/// Machines where something is stopping already, at most kPreemptionCandidatesExamined a pool, and lists of
+/// those that run less urgent work.
+void Preemption::add_busy_machines(const Job& job, ExaminedGroups& groups) {
   for (const auto& [key, pool] : state_.capacity_index().pools()) {
-    ++steps_;
+    ++items_examined_;
     if (!search_.may_use_pool(job, pool)) continue;
-    const std::string group = spec.one_zone ? pool.zone : "";
-    auto& machines = groups[group];
+    ExaminedGroup& group = groups[job.spec.one_zone ? pool.zone : ""];
     std::size_t examined = 0;
     for (Machine* machine : pool.stopping) {
       if (examined++ == c::kPreemptionCandidatesExamined) break;
-      machines.insert(machine);
+      group.machines.insert(machine);
     }
     for (std::size_t priority = 0; priority < static_cast<std::size_t>(job.priority); ++priority)
-      stoppable[group].push_back(&pool.stoppable[priority]);
+      group.stoppable.push_back(&pool.stoppable[priority]);
   }
+}
+
+/// Machines with room as they are, as many as the job could use.
+void Preemption::add_fitting_machines(const Job& job, double now, ExaminedGroups& groups) {
+  const auto wanted = static_cast<std::size_t>(job.is_gang() ? job.spec.tasks : 1);
   for (const auto& candidates : search_.find(job, Suspects::Included, now)) {
-    auto& machines = groups[spec.one_zone ? candidates.pool->zone : ""];
+    MachineSet& machines = groups[job.spec.one_zone ? candidates.pool->zone : ""].machines;
     if (candidates.single) {
       machines.insert(candidates.single);
       continue;
@@ -84,18 +83,26 @@
     const auto& in_bucket = candidates.bucket->machines;
     for (std::size_t i = 0; i < in_bucket.size() && i < wanted; ++i) machines.insert(in_bucket[i]);
   }
-  MachinesByGroup sampled;
-  for (auto& [group, machines] : groups) {
-    std::size_t all = 0;
-    for (const auto* list : stoppable[group]) all += list->size();
-    for (std::size_t position : random_.sample(all, c::kPreemptionCandidatesExamined)) {
-      auto list = stoppable[group].begin();
-      for (; position >= (*list)->size(); ++list) position -= (*list)->size();
-      machines.insert((**list)[position]);
-    }
-    sampled[group].assign(machines.begin(), machines.end());
+}
+
+/// Of the machines that run less urgent work all, or kPreemptionCandidatesExamined drawn from them.
+void Preemption::sample_stoppable(ExaminedGroup& group) {
+  std::size_t all = 0;
+  for (const auto* list : group.stoppable) all += list->size();
+  for (std::size_t position : random_.sample(all, c::kPreemptionCandidatesExamined)) {
+    auto list = group.stoppable.begin();
+    for (; position >= (*list)->size(); ++list) position -= (*list)->size();
+    group.machines.insert((**list)[position]);
   }
-  return sampled;
+}
+
+/// A job that finds too little among these machines looks at others in a later cycle.
+Preemption::ExaminedGroups Preemption::machines_to_examine(const Job& job, double now) {
+  ExaminedGroups groups;
+  add_busy_machines(job, groups);
+  add_fitting_machines(job, now, groups);
+  for (auto& [name, group] : groups) sample_stoppable(group);
+  return groups;
 }
 
 /// None if the task may not be stopped for the job.
@@ -132,7 +139,7 @@
   place.machine = &machine;
   place.free = machine.free;
   for (const TaskId& id : machine.tasks) {
-    ++steps_;
+    ++items_examined_;
     const Job& other = *state_.job(id.job);
     const ActiveTask& task = other.active.at(id.index);
     if (task.stop)
@@ -145,11 +152,11 @@
 
 Preemption::PlacesByGroup Preemption::collect_places(const Preemptor& preemptor) {
   PlacesByGroup places;
-  for (const auto& [group, machines] : machines_to_examine(preemptor.job, preemptor.now))
-    for (Machine* machine : machines) {
-      ++steps_;
+  for (const auto& [name, group] : machines_to_examine(preemptor.job, preemptor.now))
+    for (Machine* machine : group.machines) {
+      ++items_examined_;
       if (search_.may_use(preemptor.job, *machine, preemptor.now))
-        places[group].push_back(examine(preemptor, *machine));
+        places[name].push_back(examine(preemptor, *machine));
     }
   return places;
 }
@@ -161,7 +168,7 @@
   Resources free = place.free;
   std::size_t stopped = place.stopped;
   for (; !need.fits(free); ++stopped) {
-    ++steps_;
+    ++items_examined_;
     if (stopped == place.candidates.size()) return std::nullopt;
     free += place.candidates[stopped].need;
   }
@@ -218,11 +225,11 @@
     const JobSet& running = state_.job_index().running(preemptor.job.spec.team, guaranteed);
     for (auto it = running.rbegin();
          it != running.rend() && candidates.size() < c::kPreemptionCandidatesExamined; ++it) {
-      ++steps_;
+      ++items_examined_;
       const Job& other = **it;
       if (other.priority >= preemptor.job.priority || other.is_gang()) continue;
       for (const auto& [index, task] : other.active) {
-        ++steps_;
+        ++items_examined_;
         if (auto stoppable = candidate(preemptor, other, index, task))
           candidates.push_back(std::move(*stoppable));
       }
--- a/src/scheduler/preemption.h
+++ b/src/scheduler/preemption.h
@@ -44,7 +44,7 @@
   void nominate(Machine& machine, const Job& job, double until, double now);
 
   /// Pools, machines and tasks looked at so far.
-  std::uint64_t steps() const { return steps_; }
+  std::uint64_t items_examined() const { return items_examined_; }
 
  private:
   /// The job that others are stopped for.
@@ -76,11 +76,19 @@
     std::vector<PreemptionCandidate> stopped;
     std::vector<Machine*> machines;
   };
-  /// Groups of machines by zone for a job that keeps to one, else all under the empty name.
-  using MachinesByGroup = std::map<std::string, std::vector<Machine*>>;
+  /// Machines that are looked at together, and lists of those from which more are drawn.
+  struct ExaminedGroup {
+    MachineSet machines;
+    std::vector<const std::vector<Machine*>*> stoppable;
+  };
+  /// By zone for a job that keeps to one, else all under the empty name.
+  using ExaminedGroups = std::map<std::string, ExaminedGroup>;
   using PlacesByGroup = std::map<std::string, std::vector<Place>>;
 
-  MachinesByGroup machines_to_examine(const Job& job, double now);
+  void add_busy_machines(const Job& job, ExaminedGroups& groups);
+  void add_fitting_machines(const Job& job, double now, ExaminedGroups& groups);
+  void sample_stoppable(ExaminedGroup& group);
+  ExaminedGroups machines_to_examine(const Job& job, double now);
   PlacesByGroup collect_places(const Preemptor& preemptor);
   Place examine(const Preemptor& preemptor, Machine& machine);
   static std::optional<PreemptionCandidate> candidate(const Preemptor& preemptor, const Job& other, int index,
@@ -96,7 +104,7 @@
   ClusterState& state_;
   CandidateSearch& search_;
   RandomSource& random_;
-  std::uint64_t steps_ = 0;
+  std::uint64_t items_examined_ = 0;
 };
 
 }  // namespace corkmux
--- a/src/scheduler/scaling.cc
+++ b/src/scheduler/scaling.cc
@@ -42,7 +42,7 @@
 
 void count_machine(const Scheduler& scheduler, const Machine& machine, double idle_limit_s, double now,
                    TypeDemand& demand) {
-  if (!machine.up) {
+  if (!machine.is_up()) {
     if (!may_still_boot(machine, scheduler.type(machine.type), now)) return;
     ++demand.booting;
     ++demand.machines_in_zone[machine.zone];
@@ -159,7 +159,7 @@
   const IdlePolicy idle = idle_policy(scheduler, choices, now);
   DemandByType demand_by_type;
   for (const auto& [name, machine] : scheduler.machines()) {
-    if (machine.decommissioning || machine.faulty || machine.gone_at) continue;
+    if (machine.is_decommissioning() || machine.is_faulty() || machine.gone_at) continue;
     count_machine(scheduler, machine, idle.limit_s, now, demand_by_type[machine.type]);
   }
   const auto overflow_types = add_waiting_jobs(scheduler, now, demand_by_type);
--- a/src/scheduler/scheduler.cc
+++ b/src/scheduler/scheduler.cc
@@ -5,10 +5,10 @@
 Scheduler::Scheduler(SchedulerConfig config, std::uint64_t term, double now, std::uint64_t seed)
     : state_(std::move(config), term, now), arrivals_(now), random_(seed) {}
 
-void Scheduler::put_job(const JobSpec& spec, std::uint64_t revision, bool cancelled, double now,
-                        double age_s) {
-  auto [job, fresh] = state_.add_job(spec, revision, now - age_s);
-  if (fresh) {
+void Scheduler::upsert_job(const JobSpec& spec, std::uint64_t revision, bool cancelled, double now,
+                           double age_s) {
+  auto [job, added] = state_.add_job(spec, revision, now - age_s);
+  if (added) {
     arrivals_.job_added(age_s, now);
     dependencies_.add(job);
   }
@@ -40,8 +40,8 @@
   return job.queued > 0 || !job.failed_on.empty() ? job.why : "";
 }
 
-void Scheduler::answered(const std::string& name, double now) {
-  if (Machine* machine = state_.machine(name)) machine->last_answered = now;
+void Scheduler::heartbeat_answered(const std::string& name, double now) {
+  if (Machine* machine = state_.machine(name)) machine->worker.last_answered = now;
 }
 
 void Scheduler::set_unreachable(const std::string& name, double now) {
@@ -54,7 +54,7 @@
   lifecycle_.tick(now);
 }
 
-void Scheduler::loaded() {
+void Scheduler::records_loaded() {
   records_.finish_loading();
   for (auto& [id, job] : state_.jobs()) {
     for (int i = 0; job.gang_completed() && i < job.spec.tasks; ++i) TaskRecordStore::recover_done(job, i);
--- a/src/scheduler/scheduler.h
+++ b/src/scheduler/scheduler.h
@@ -51,7 +51,7 @@
 
   // --- jobs ---
   /// The job's record as it is stored; `age_s` since it was accepted.
-  void put_job(const JobSpec& spec, std::uint64_t revision, bool cancelled, double now, double age_s = 0);
+  void upsert_job(const JobSpec& spec, std::uint64_t revision, bool cancelled, double now, double age_s = 0);
   /// The job's end is stored, or its record is gone.
   void forget_job(const std::string& id);
   Job* job(const std::string& id) { return state_.job(id); }
@@ -72,11 +72,11 @@
 
   // --- dependencies between jobs ---
   /// How a job ended, as it is stored.
-  void outcome(const std::string& id, Outcome how, double ended_at) {
-    dependencies_.outcome(id, how, ended_at);
+  void record_outcome(const std::string& id, Outcome how, double ended_at) {
+    dependencies_.record_outcome(id, how, ended_at);
   }
   /// Dependencies of which nothing is known, to be looked up in the store.
-  const std::set<std::string>& unknown() const { return dependencies_.unknown(); }
+  const std::set<std::string>& unknown_dependencies() const { return dependencies_.unknown(); }
   /// Whether any job depends on others.
   bool has_dependencies() const { return dependencies_.any(); }
   /// Jobs that need a cancelled one and whose end is not stored yet.
@@ -87,7 +87,7 @@
     return reconciler_.reconcile(heartbeat, channel, now);
   }
   /// The worker got the answer to its heartbeat, which renews its lease.
-  void answered(const std::string& machine, double now);
+  void heartbeat_answered(const std::string& machine, double now);
   /// Commands cannot be sent to the worker: launches go with the answers for a while.
   void set_unreachable(const std::string& machine, double now);
   bool has_commands(const Machine& machine) const { return commands_.has_commands(machine); }
@@ -107,14 +107,18 @@
   const std::map<std::string, Machine>& machines() const { return state_.machines(); }
   Machine* machine(const std::string& name) { return state_.machine(name); }
   /// The machine was asked for.
-  void provisioned(const std::string& name, const std::string& type, const std::string& zone, bool spot,
-                   double now) {
-    machines_.provisioned(name, type, zone, spot, now);
+  void machine_provisioned(const std::string& name, const std::string& type, const std::string& zone,
+                           bool spot, double now) {
+    machines_.machine_provisioned(name, type, zone, spot, now);
   }
   /// The cloud's list of machines.
-  void listed(const std::vector<ListedMachine>& list, double now) { machines_.listed(list, now); }
+  void machines_listed(const std::vector<ListedMachine>& list, double now) {
+    machines_.machines_listed(list, now);
+  }
   /// The cloud has taken the machines back.
-  void deleted(const std::vector<std::string>& names, double now) { machines_.deleted(names, now); }
+  void machines_deleted(const std::vector<std::string>& names, double now) {
+    machines_.machines_deleted(names, now);
+  }
   /// The machine takes no new work and is to be returned.
   void decommission(const std::string& machine, double now) { machines_.decommission(machine, now); }
   /// Machines to be returned to the cloud.
@@ -148,7 +152,7 @@
     return records_.load(key, value, revision);
   }
   /// All records have been given.
-  void loaded();
+  void records_loaded();
   /// From now on records are written in format V2: every controller reads it.
   void use_v2_records() { records_.use_format(RecordFormat::V2); }
   bool uses_v2_records() const { return records_.format() == RecordFormat::V2; }
@@ -160,7 +164,7 @@
     return records_.next_writes(most, spare, now);
   }
   /// The batch is stored under that revision: what it assigns may be sent.
-  void written(const std::vector<TaskRecordWrite>& batch, std::uint64_t revision, double now) {
+  void records_written(const std::vector<TaskRecordWrite>& batch, std::uint64_t revision, double now) {
     lifecycle_.records_written(batch, revision, now);
   }
   /// None of the batch is known to be stored.
@@ -177,10 +181,10 @@
   // --- for the log and for tests ---
   const SchedulerConfig& config() const { return state_.config(); }
   /// Jobs, buckets of free capacity, machines and tasks looked at by cycles so far: the work done, counted
-  /// not timed.
-  std::uint64_t steps() const {
-    return cycle_.steps() + claims_.steps() + preemption_.steps() + placement_.steps() + search_.steps() +
-           job_index().steps();
+  /// and not timed.
+  std::uint64_t items_examined() const {
+    return cycle_.items_examined() + claims_.items_examined() + preemption_.items_examined() +
+           placement_.items_examined() + search_.items_examined() + job_index().items_examined();
   }
   const JobIndex& job_index() const { return state_.job_index(); }
   const CapacityIndex& capacity_index() const { return state_.capacity_index(); }
@@ -191,7 +195,7 @@
   /// One line per event worth an operator's attention; the actor logs them.
   std::vector<std::string> take_notes() { return state_.take_notes(); }
   /// One line per placed gang, when the configuration asks for it.
-  std::vector<std::string> take_details() { return placement_.take_details(); }
+  std::vector<std::string> take_placement_details() { return placement_.take_details(); }
 
  private:
   // Each module after those it needs.
--- a/src/scheduler/scheduler_config.h
+++ b/src/scheduler/scheduler_config.h
@@ -21,7 +21,7 @@
   std::map<std::string, std::vector<double>> start_within;  // s, per class: the aims on starting, rising
   std::map<std::string, double> finish_within;              // s, per class: the tightest aim on finishing
   double guarantee_within = 0;  // s: the aim on starting what is within a guarantee; 0: none
-  bool details = false;         // keep lines for the debug log, see Scheduler::take_details()
+  bool details = false;         // keep lines for the debug log, see Scheduler::take_placement_details()
 
   /// s that a leader without contact to the state service goes on answering workers, see rule_keepalive().
   double keepalive() const;
--- a/src/scheduler/scheduling_cycle.cc
+++ b/src/scheduler/scheduling_cycle.cc
@@ -75,7 +75,7 @@
 std::vector<SchedulingCycle::Bid> SchedulingCycle::ordered_bids(double now) {
   std::vector<Bid> bids;
   for (Job* job : state_.job_index().waiting()) {
-    ++steps_;
+    ++items_examined_;
     if (now >= job->not_before) bids.push_back(bid_of(*job, now));
   }
   std::sort(bids.begin(), bids.end(), bids_before);
--- a/src/scheduler/scheduling_cycle.h
+++ b/src/scheduler/scheduling_cycle.h
@@ -50,7 +50,7 @@
   void run(double now);
 
   /// Jobs looked at so far.
-  std::uint64_t steps() const { return steps_; }
+  std::uint64_t items_examined() const { return items_examined_; }
 
  private:
   /// How long a job has until it misses its next start aim, and how many it has missed; none for one that has
@@ -96,7 +96,7 @@
   Placement& placement_;
   Preemption& preemption_;
   GuaranteeClaims& claims_;
-  std::uint64_t steps_ = 0;
+  std::uint64_t items_examined_ = 0;
 };
 
 }  // namespace corkmux
--- a/src/scheduler/task_lifecycle.cc
+++ b/src/scheduler/task_lifecycle.cc
@@ -27,13 +27,13 @@
   task.attempt = attempt;
   task.machine = machine.name;
   task.zone = machine.zone;
-  task.worker_epoch = machine.worker_epoch;
+  task.worker_epoch = machine.worker.epoch;
   task.since = now;
   task.minimum_token = kTokenOfNoWorker;
   task.reservation_expires_at = now + c::kReservationTimeout + 2 * state_.fetch_time(job.spec, machine);
   task.generation = records_.mark_dirty(job, index, Urgency::Launch, now);
   state_.occupy(job, index, std::move(task), machine);
-  ++machine.heat;
+  ++machine.load.heat;
   state_.mark_changed(job.spec.id);
   state_.reindex(machine, now);
   state_.reindex(job);
@@ -87,7 +87,8 @@
 
 bool TaskLifecycle::may_launch(const ActiveTask& task) const {
   const Machine* machine = state_.machine(task.machine);
-  return machine && !machine->decommissioning && task.worker_epoch == machine->worker_epoch && !task.stop;
+  return machine && !machine->is_decommissioning() && task.worker_epoch == machine->worker.epoch &&
+         !task.stop;
 }
 
 void TaskLifecycle::release_launches(Job& job, const TaskRecordWrite& write, int count, double now) {
@@ -102,8 +103,9 @@
     }
     Machine& machine = *state_.machine(task.machine);
     const TaskId id{write.job, index};
-    if (std::find(machine.outbox.begin(), machine.outbox.end(), id) == machine.outbox.end())
-      machine.outbox.push_back(id);
+    if (std::find(machine.commands.outbox.begin(), machine.commands.outbox.end(), id) ==
+        machine.commands.outbox.end())
+      machine.commands.outbox.push_back(id);
     state_.mark_for_dispatch(machine.name);
   }
   for (int index : withdrawn) unassign(job, index, now);
@@ -183,7 +185,7 @@
     const ActiveTask* task = job ? job->find_active(id.index) : nullptr;
     if (task && task->worker_epoch < before_epoch) lost(id, why, now);
   }
-  std::erase_if(machine.outbox, [&](const TaskId& id) { return !machine.tasks.contains(id); });
+  std::erase_if(machine.commands.outbox, [&](const TaskId& id) { return !machine.tasks.contains(id); });
 }
 
 // ---------------------------------------------------------------- jobs
--- a/src/scheduler/task_record_store.cc
+++ b/src/scheduler/task_record_store.cc
@@ -37,13 +37,13 @@
 
 // ---------------------------------------------------------------- records and what changed in them
 
-std::pair<const int, TaskRecord>& TaskRecordStore::record_of(Job& job, int index) {
+TaskRecordStore::RecordEntry TaskRecordStore::record_of(Job& job, int index) {
   auto next = job.task_records.upper_bound(index);
   int earliest = 0;
   if (next != job.task_records.begin()) {
     auto& before = *std::prev(next);
     earliest = before.first + before.second.count;
-    if (index < earliest) return before;
+    if (index < earliest) return {before.first, before.second};
   }
   if (!job.tasks_per_record)
     job.tasks_per_record =
@@ -52,9 +52,9 @@
   const int from = std::max(earliest, number * job.tasks_per_record);
   int end = std::min(job.spec.tasks, (number + 1) * job.tasks_per_record);
   if (next != job.task_records.end()) end = std::min(end, next->first);
-  auto& made = *job.task_records.try_emplace(next, from);
-  made.second.count = end - from;
-  return made;
+  TaskRecord& added = job.task_records.try_emplace(next, from)->second;
+  added.count = end - from;
+  return {from, added};
 }
 
 std::deque<TaskRecordStore::DirtyRecord>& TaskRecordStore::queue_of(const TaskRecord& record) {
@@ -62,7 +62,7 @@
 }
 
 std::uint64_t TaskRecordStore::mark_dirty(Job& job, int index, Urgency urgency, double now) {
-  auto& [from, record] = record_of(job, index);
+  auto [from, record] = record_of(job, index);
   const bool queued = record.generation != record.persisted_generation || record.in_flight;
   ++record.generation;
   if (urgency == Urgency::Launch) {
@@ -76,7 +76,7 @@
 }
 
 bool TaskRecordStore::is_persisted(Job& job, int index) {
-  const TaskRecord& record = record_of(job, index).second;
+  const TaskRecord& record = record_of(job, index).record;
   return record.persisted_generation >= record.generation;
 }
 
@@ -255,7 +255,7 @@
   if (!job->tasks_per_record) job->tasks_per_record = state_.config().tasks_per_v1_record();
   const int base = key.number * job->tasks_per_record;
   if (base >= job->spec.tasks) return RecordLoad::Garbage;
-  auto& [from, record] = record_of(*job, base);
+  auto [from, record] = record_of(*job, base);
   if (from != base || record.revision) return RecordLoad::Garbage;
   record.v1_revision = revision;
   recover(*job, base, record.count, decode_task_record_v1(value));
@@ -284,10 +284,10 @@
   task.stage = ActiveTask::Stage::Recovered;
   task.since = now;
   task.reservation_expires_at = now + c::kReservationTimeout * 4;
-  Machine& machine = state_.add_machine(task.machine, now).first;
+  Machine& machine = state_.add_machine(task.machine, now).machine;
   // Guards against a second start: a launch of the former leader may still arrive, so only a heartbeat that
   // already carries our token can show that the task is absent.
-  task.minimum_token = machine.fencing_token;
+  task.minimum_token = machine.worker.fencing_token;
   state_.occupy(job, index, std::move(task), machine);
   if (job.cancelled) state_.request_stop(job, index, 0);
 }
--- a/src/scheduler/task_record_store.h
+++ b/src/scheduler/task_record_store.h
@@ -83,7 +83,12 @@
     std::uint64_t revision = 0;
   };
 
-  std::pair<const int, TaskRecord>& record_of(Job& job, int index);
+  /// A record in its job, with the task that it begins with.
+  struct RecordEntry {
+    int from;
+    TaskRecord& record;
+  };
+  RecordEntry record_of(Job& job, int index);
   std::deque<DirtyRecord>& queue_of(const TaskRecord& record);
   void take_writes(std::deque<DirtyRecord>& queue, double not_after, int most,
                    std::vector<TaskRecordWrite>& out);
--- a/tests/dependency_test.cc
+++ b/tests/dependency_test.cc
@@ -31,7 +31,7 @@
            std::optional<double> due = std::nullopt) {
     auto s = spec(id, std::move(dependencies), priority);
     s.deadline_s = due;
-    scheduler->put_job(s, ++revision, false, 0);
+    scheduler->upsert_job(s, ++revision, false, 0);
     return *scheduler->job(id);
   }
   void join() {
@@ -53,10 +53,10 @@
   add("run-d", {"run-a"}, Priority::Normal, 50);  // a later, tighter one
   EXPECT_EQ(scheduler->job("run-a")->priority, Priority::High);
   EXPECT_DOUBLE_EQ(scheduler->job("run-a")->due_at, 40);
-  scheduler->outcome("run-d", Scheduler::Outcome::Cancelled, 0);
+  scheduler->record_outcome("run-d", Scheduler::Outcome::Cancelled, 0);
   scheduler->forget_job("run-d");
   EXPECT_DOUBLE_EQ(scheduler->job("run-a")->due_at, 80);
-  scheduler->outcome("run-c", Scheduler::Outcome::Cancelled, 0);
+  scheduler->record_outcome("run-c", Scheduler::Outcome::Cancelled, 0);
   scheduler->forget_job("run-c");
   EXPECT_EQ(scheduler->job("run-a")->priority, Priority::Low);
   // Loaded in the order of their names, a dependent may come before what it needs.
@@ -77,11 +77,11 @@
   scheduler->forget_job("run-a");
   EXPECT_TRUE(plan_scaling(*scheduler, choices, {}, 0).scale_out.empty());
   // How both ended is found in the store; only then it starts, and its times count from the later moment.
-  EXPECT_EQ(scheduler->unknown(), (std::set<std::string>{"run-a", "run-old"}));
-  scheduler->outcome("run-a", Scheduler::Outcome::Done, 3);
+  EXPECT_EQ(scheduler->unknown_dependencies(), (std::set<std::string>{"run-a", "run-old"}));
+  scheduler->record_outcome("run-a", Scheduler::Outcome::Done, 3);
   scheduler->schedule(5);
   EXPECT_EQ(b.queued, 1);
-  scheduler->outcome("run-old", Scheduler::Outcome::Done, -1e9);
+  scheduler->record_outcome("run-old", Scheduler::Outcome::Done, -1e9);
   scheduler->schedule(5);
   EXPECT_EQ(b.queued, 0);
   EXPECT_EQ(b.ready_at, 3);
@@ -94,21 +94,21 @@
   for (int i = 1; i <= kJobs; ++i) add("run-" + std::to_string(i), {"run-" + std::to_string(i - 1)});
   for (int i = 1; i <= kJobs; ++i) add("run-w" + std::to_string(i), {"run-0"});
   auto s = spec("run-0", {});
-  scheduler->put_job(s, ++revision, true, 1);
+  scheduler->upsert_job(s, ++revision, true, 1);
   EXPECT_EQ(scheduler->finished_jobs().size(), 2u * kJobs + 1);
   // One that names a cancelled job later goes the same way.
-  scheduler->outcome("run-0", Scheduler::Outcome::Cancelled, 1);
+  scheduler->record_outcome("run-0", Scheduler::Outcome::Cancelled, 1);
   scheduler->forget_job("run-0");
   EXPECT_TRUE(add("run-late", {"run-0"}).dependency_cancelled);
 }
 
 TEST_F(Awaits, ATaskThatWasEverStoredProvesThatAllAwaitedIsDone) {
-  scheduler->put_job(spec("run-b", {"run-a"}), 1, false, 0);
+  scheduler->upsert_job(spec("run-b", {"run-a"}), 1, false, 0);
   scheduler->load_record("t/run-b/000000",
                          {{"f", 2}, {"c", 256}, {"n", 1}, {"z", {"a"}}, {"t", {{"n-1", 1, 0, 7, "0"}}}}, 5);
-  scheduler->loaded();
+  scheduler->records_loaded();
   EXPECT_TRUE(scheduler->job("run-b")->ready());
-  EXPECT_TRUE(scheduler->unknown().empty());
+  EXPECT_TRUE(scheduler->unknown_dependencies().empty());
   EXPECT_EQ(scheduler->job("run-b")->active.count(0), 1u);
 }
 
@@ -154,7 +154,7 @@
         }
       }
       double before = claimed;
-      claimed = settlement->look(seen, pending, unclear);
+      claimed = settlement->advance(seen, pending, unclear);
       ASSERT_GE(claimed, before);
       advanced |= claimed > 1;
       for (const auto& [id, o] : all)
@@ -167,10 +167,11 @@
 TEST_F(Awaits, EndsAreStoredInTheOrderInWhichTheyCame) {
   for (const char* id : {"run-9", "run-5", "run-7"}) {
     add(id, {});
-    scheduler->put_job(scheduler->job(id)->spec, ++revision, true, 0);
+    scheduler->upsert_job(scheduler->job(id)->spec, ++revision, true, 0);
   }
   EXPECT_EQ(scheduler->finished_jobs(), (std::vector<std::string>{"run-9", "run-5", "run-7"}));
-  scheduler->put_job(scheduler->job("run-9")->spec, ++revision, true, 0);  // known already: keeps its place
+  scheduler->upsert_job(scheduler->job("run-9")->spec, ++revision, true,
+                        0);  // known already: keeps its place
   EXPECT_EQ(scheduler->finished_jobs().front(), "run-9");
 }
 
--- a/tests/history_test.cc
+++ b/tests/history_test.cc
@@ -161,7 +161,8 @@
         Holder* h = holders_.back().get();
         std::string id = it->first;
         at(now_ + 0.05, [this, h, id] {
-          if (h->alive && h->has_store) h->scheduler->put_job(jobs_[id].spec, jobs_[id].revision, true, now_);
+          if (h->alive && h->has_store)
+            h->scheduler->upsert_job(jobs_[id].spec, jobs_[id].revision, true, now_);
         });
       }
     }
@@ -218,7 +219,7 @@
       if (jobs_[other].cancelled || jobs_[other].orphan_since) j.orphan_since = now_;
     j.revision = ++revision_;
     Holder& h = *holders_.back();
-    if (h.alive && h.has_store) h.scheduler->put_job(s, j.revision, false, now_);
+    if (h.alive && h.has_store) h.scheduler->upsert_job(s, j.revision, false, now_);
   }
 
   // ------------------------------------------------------------ controllers
@@ -229,13 +230,13 @@
     h->scheduler = std::make_unique<Scheduler>(config_, h->term, now_, rng_());
     h->scheduler->set_catalog(types_);
     for (auto& [id, j] : jobs_)
-      if (!j.finished) h->scheduler->put_job(j.spec, j.revision, j.cancelled, now_);
+      if (!j.finished) h->scheduler->upsert_job(j.spec, j.revision, j.cancelled, now_);
     // Both forms, the second first, as a leader reads them; from some moment on all controllers read it.
     for (const char* prefix : {"t/", "s/"})
       for (auto& [key, s] : store_)
         if (key.rfind(prefix, 0) == 0) h->scheduler->load_record(key, s.value, s.revision);
     if (now_ > upgraded_at_) h->scheduler->use_v2_records();
-    h->scheduler->loaded();
+    h->scheduler->records_loaded();
     holders_.push_back(std::move(h));
     ++takeovers;
   }
@@ -250,9 +251,9 @@
     if (h.has_store && current) scheduler.schedule(now_);
     // As the leader does: how an awaited job ended is read from the store.
     if (h.has_store && current && chance(0.3))
-      for (const auto& id : std::set<std::string>(scheduler.unknown()))
+      for (const auto& id : std::set<std::string>(scheduler.unknown_dependencies()))
         if (const ModelJob& j = jobs_.at(id); j.finished)
-          scheduler.outcome(
+          scheduler.record_outcome(
               id, j.cancelled || j.orphan_since ? Scheduler::Outcome::Cancelled : Scheduler::Outcome::Done,
               now_);
     scheduler.take_notes();
@@ -272,7 +273,7 @@
         w.zone = old->second.zone, w.type = old->second.type, w.spot = old->second.spot;
         workers_.erase(old);
       }
-      scheduler.deleted({name}, now_);
+      scheduler.machines_deleted({name}, now_);
       if (w.zone.empty()) continue;
       w.name = "n-" + std::to_string(100 + ++made_);
       w.lease_from = now_;
@@ -326,7 +327,7 @@
       raw->writing = false;
       if (!raw->alive) return;
       if (auto revision = apply()) {
-        raw->scheduler->written(batch, revision, now_);
+        raw->scheduler->records_written(batch, revision, now_);
       } else {
         raw->scheduler->write_failed(batch);
         for (const auto& w : batch) {
@@ -353,7 +354,7 @@
       if (chance(0.7)) store_.erase(key);  // the rest is left to a later leader
     if (j.cancelled) j.finished = true;
     if (chance(0.8))  // an end whose answer got lost is only found in the store
-      scheduler.outcome(
+      scheduler.record_outcome(
           id, j.cancelled || dependency_cancelled ? Scheduler::Outcome::Cancelled : Scheduler::Outcome::Done,
           now_);
     scheduler.forget_job(id);
@@ -583,7 +584,7 @@
     auto deliver = [this, to, r]() -> Scheduler::HeartbeatResult {
       if (!to->alive || now_ - to->contact > config_.keepalive()) return {true, {}, 0};
       auto result = to->scheduler->on_heartbeat(r, Scheduler::Channel::Heartbeat, now_);
-      if (!result.superseded) to->scheduler->answered(r.machine, now_);
+      if (!result.superseded) to->scheduler->heartbeat_answered(r.machine, now_);
       return result;
     };
     if (cut && w.kept_by_another) {
--- a/tests/index_consistency_test.cc
+++ b/tests/index_consistency_test.cc
@@ -62,7 +62,7 @@
     spec.checkpoint_s = up_to(2) * 10;
     spec.save_s = 1;
     if (jobs > 1 && up_to(4) == 0) spec.dependencies = {"run-" + std::to_string(1 + up_to(jobs - 1))};
-    scheduler->put_job(spec, ++revision, false, now);
+    scheduler->upsert_job(spec, ++revision, false, now);
   }
   static void exit(TaskStatus& task, ExitReason why) {
     task.state = TaskState::Exited;
@@ -81,7 +81,7 @@
     auto result = scheduler->on_heartbeat(heartbeat, Scheduler::Channel::Heartbeat, now);
     heartbeat.fencing_token = std::max(heartbeat.fencing_token, result.fencing_token);
     for (const auto& command : result.commands) obey(heartbeat, command);
-    scheduler->answered(heartbeat.machine, now);
+    scheduler->heartbeat_answered(heartbeat.machine, now);
   }
   void obey(Heartbeat& heartbeat, const TaskCommand& command) {
     auto it = std::find_if(heartbeat.tasks.begin(), heartbeat.tasks.end(), [&](const TaskStatus& task) {
@@ -104,15 +104,15 @@
         return submit();
       case 2:
         if (Job* job = scheduler->job("run-" + std::to_string(1 + up_to(jobs + 1))); job && up_to(3) == 0)
-          scheduler->put_job(job->spec, ++revision, true, now);
+          scheduler->upsert_job(job->spec, ++revision, true, now);
         return;
       case 3:
         for (const auto& id : scheduler->finished_jobs()) {
           const Job& job = *scheduler->job(id);
-          scheduler->outcome(id,
-                             job.cancelled || job.dependency_cancelled ? Scheduler::Outcome::Cancelled
-                                                                       : Scheduler::Outcome::Done,
-                             now);
+          scheduler->record_outcome(id,
+                                    job.cancelled || job.dependency_cancelled ? Scheduler::Outcome::Cancelled
+                                                                              : Scheduler::Outcome::Done,
+                                    now);
           scheduler->forget_job(id);
         }
         return;
@@ -120,7 +120,7 @@
         if (Heartbeat* heartbeat = some_worker()) {
           switch (up_to(8)) {
             case 0:
-              scheduler->deleted({heartbeat->machine}, now);
+              scheduler->machines_deleted({heartbeat->machine}, now);
               workers.erase(heartbeat->machine);
               fresh_worker();
               return;
@@ -141,7 +141,7 @@
       case 5:
       case 6: {
         auto batch = scheduler->next_writes(50, true, now);
-        if (!batch.empty()) scheduler->written(batch, ++revision, now);
+        if (!batch.empty()) scheduler->records_written(batch, ++revision, now);
         for (const auto& name : scheduler->machines_with_commands()) {
           auto command_batch = scheduler->take_commands(name, now);
           auto outcome = static_cast<Scheduler::DispatchOutcome>(up_to(6) ? 0 : up_to(4));
@@ -210,19 +210,21 @@
     double free_gpus = 0, all_gpus = 0;
     std::map<const CapacityIndex::CapacityBucket*, std::vector<const Machine*>> members;
     for (const auto& [name, machine] : scheduler->machines()) {
-      if (!machine.up) continue;
+      if (!machine.is_up()) continue;
       MachineCapacity should = scheduler->machine_capacity(machine, now);
       ASSERT_NE(machine.index_entry.pool, nullptr) << name;
       EXPECT_EQ(machine.index_entry.use, should.use) << name;
-      EXPECT_EQ(machine.index_entry.kept_for, should.kept_for) << name;
+      EXPECT_EQ(machine.index_entry.nominated_job, should.nominated_job) << name;
       if (should.use != Use::Out) {
         free_gpus += machine.free.gpus;
         all_gpus += machine.size.gpus;
       }
-      kept += should.use == Use::Kept;
+      kept += should.use == Use::Nominated;
       suspect += should.use == Use::Suspect;
-      EXPECT_EQ(scheduler->capacity_index().kept_for(should.kept_for).count(const_cast<Machine*>(&machine)),
-                should.use == Use::Kept);
+      EXPECT_EQ(scheduler->capacity_index()
+                    .nominated_for(should.nominated_job)
+                    .count(const_cast<Machine*>(&machine)),
+                should.use == Use::Nominated);
       bool levels = should.use == Use::Ready || should.use == Use::Suspect;
       ASSERT_EQ(machine.index_entry.bucket != nullptr, levels) << name;
       if (levels) {
@@ -265,8 +267,9 @@
       double heat = 0;
       std::map<std::string, int> images;
       for (const auto* machine : machines) {
-        double slope = machine->heat <= 0 ? std::max(0.0, machine->heat_slope) : machine->heat_slope;
-        heat += machine->heat + (now - machine->last_heard) * slope;
+        double slope =
+            machine->load.heat <= 0 ? std::max(0.0, machine->load.heat_slope) : machine->load.heat_slope;
+        heat += machine->load.heat + (now - machine->worker.last_heard) * slope;
         for (const auto& image : machine->images) ++images[image];
       }
       EXPECT_NEAR(level->heat.at(now), heat, 1e-6);
--- a/tests/placement_test.cc
+++ b/tests/placement_test.cc
@@ -68,7 +68,7 @@
     ClusterSimulation simulation(seed);
     int jobs = 3 + static_cast<int>(simulation.rng() % 12);
     for (int i = 0; i < jobs; ++i)
-      simulation.scheduler->put_job(simulation.job(i), static_cast<std::uint64_t>(i + 1), false, 0);
+      simulation.scheduler->upsert_job(simulation.job(i), static_cast<std::uint64_t>(i + 1), false, 0);
     for (int pass = 0; pass < 5; ++pass) simulation.scheduler->schedule(0);
 
     std::map<std::string, Resources> used, team;
@@ -148,10 +148,10 @@
   spec.image = "i";
   spec.id = "run-low";
   spec.priority = Priority::Low;
-  scheduler.put_job(spec, 1, false, 0);
+  scheduler.upsert_job(spec, 1, false, 0);
   spec.id = "run-high";
   spec.priority = Priority::High;
-  scheduler.put_job(spec, 2, false, 0);
+  scheduler.upsert_job(spec, 2, false, 0);
   scheduler.schedule(0);
   EXPECT_TRUE(scheduler.job("run-high")->active.empty());
   heartbeat.seq = 2;
@@ -193,10 +193,10 @@
     spec.image = "i";
     spec.id = "run-first";
     spec.tasks = first_tasks;
-    scheduler.put_job(spec, 1, false, 0, first_age);
+    scheduler.upsert_job(spec, 1, false, 0, first_age);
     spec.id = "run-second";
     spec.tasks = second_tasks;
-    scheduler.put_job(spec, 2, false, 0, second_age);
+    scheduler.upsert_job(spec, 2, false, 0, second_age);
     scheduler.schedule(0);
     return scheduler.job("run-first")->active.empty() ? "second" : "first";
   };
@@ -233,7 +233,7 @@
     spec.priority = priority;
     spec.tasks = tasks;
     spec.need = {cpus, 0, 1};
-    simulation.scheduler->put_job(spec, simulation.rng(), false, 0);
+    simulation.scheduler->upsert_job(spec, simulation.rng(), false, 0);
   };
   put("run-runs", JobKind::Gang, Priority::High, 4, 16);  // 64 of the team's 90
   simulation.scheduler->schedule(0);
@@ -241,11 +241,13 @@
   put("run-waits", JobKind::Gang, Priority::High, 2, 16);
   put("run-small", JobKind::Array, Priority::Low, 3, 4);
   for (double now : {1.0, 45.0, 74.0}) {
-    for (int i = 0; i < 20; ++i) simulation.scheduler->machine("m-" + std::to_string(i))->last_heard = now;
+    for (int i = 0; i < 20; ++i)
+      simulation.scheduler->machine("m-" + std::to_string(i))->worker.last_heard = now;
     simulation.scheduler->schedule(now);
     EXPECT_TRUE(simulation.scheduler->job("run-small")->active.empty()) << now;
   }
-  for (int i = 0; i < 20; ++i) simulation.scheduler->machine("m-" + std::to_string(i))->last_heard = 76;
+  for (int i = 0; i < 20; ++i)
+    simulation.scheduler->machine("m-" + std::to_string(i))->worker.last_heard = 76;
   simulation.scheduler->schedule(76);
   EXPECT_EQ(simulation.scheduler->job("run-small")->active.size(), 1u);  // one task at a time
 }
@@ -268,8 +270,9 @@
       heartbeat.zone = "a";
       heartbeat.worker_epoch = 1;
       heartbeat.seq = seq;
-      heartbeat.fencing_token =
-          scheduler.machine(heartbeat.machine) ? scheduler.machine(heartbeat.machine)->fencing_token : 0;
+      heartbeat.fencing_token = scheduler.machine(heartbeat.machine)
+                                    ? scheduler.machine(heartbeat.machine)->worker.fencing_token
+                                    : 0;
       scheduler.on_heartbeat(heartbeat, Scheduler::Channel::Heartbeat, now);
     }
   };
@@ -281,7 +284,7 @@
     spec.tasks = tasks;
     spec.need = {16, 0, 1};
     spec.estimate_s = 10;
-    scheduler.put_job(spec, revision, false, now);
+    scheduler.upsert_job(spec, revision, false, now);
   };
   put("run-large", 50, 0, 1);
   for (int i = 0; i < 9; ++i)
--- a/tests/preemption_test.cc
+++ b/tests/preemption_test.cc
@@ -52,7 +52,7 @@
     scheduler->tick(now);
     scheduler->schedule(now);
     auto batch = scheduler->next_writes(50, true, 0);
-    if (!batch.empty()) scheduler->written(batch, ++revision, now);
+    if (!batch.empty()) scheduler->records_written(batch, ++revision, now);
     for (auto& [name, heartbeat] : machines) {
       if (Machine* machine = scheduler->machine(name); machine && scheduler->has_commands(*machine)) {
         auto command_batch = scheduler->take_commands(name, now);
@@ -64,7 +64,7 @@
       auto result = scheduler->on_heartbeat(heartbeat, Scheduler::Channel::Heartbeat, now);
       heartbeat.fencing_token = std::max(heartbeat.fencing_token, result.fencing_token);
       for (const auto& command : result.commands) obey(heartbeat, command);
-      scheduler->answered(name, now);
+      scheduler->heartbeat_answered(name, now);
     }
   }
   void obey(Heartbeat& heartbeat, const TaskCommand& command) {
@@ -88,12 +88,12 @@
 
 TEST(Preemption, TheTeamsLimitMakesWayForItsUrgentGangOnce) {
   PreemptionTestCluster cluster({{"x", 64, 64, 0, 0}}, 8);
-  cluster.scheduler->put_job(cluster.job("run-array", "x", Priority::Normal, 40, 4), 1, false, 1);
+  cluster.scheduler->upsert_job(cluster.job("run-array", "x", Priority::Normal, 40, 4), 1, false, 1);
   double now = 1;
   for (; now < 3; now += 0.05) cluster.settle(now);
   EXPECT_EQ(cluster.scheduler->job("run-array")->active.size(), 16u);
-  cluster.scheduler->put_job(cluster.job("run-gang", "x", Priority::High, 2, 15, JobKind::Gang), 2, false,
-                             now);
+  cluster.scheduler->upsert_job(cluster.job("run-gang", "x", Priority::High, 2, 15, JobKind::Gang), 2, false,
+                                now);
   for (double end = now + 10; now < end; now += 0.05) cluster.settle(now);
   EXPECT_EQ(cluster.scheduler->job("run-gang")->active.size(), 2u);
   EXPECT_EQ(cluster.stops, 8) << "32 of 64 CPUs are needed, no more, and once only";
@@ -101,11 +101,11 @@
 
 TEST(Preemption, WorkWithinAGuaranteeIsNotStoppedForWorkBeyondAnother) {
   PreemptionTestCluster cluster({{"x", 32, 0, 0, 0}, {"y", 0, 0, 0, 0}}, 2);
-  cluster.scheduler->put_job(cluster.job("run-array", "x", Priority::Normal, 8, 4), 1, false, 1);
+  cluster.scheduler->upsert_job(cluster.job("run-array", "x", Priority::Normal, 8, 4), 1, false, 1);
   double now = 1;
   for (; now < 3; now += 0.05) cluster.settle(now);
-  cluster.scheduler->put_job(cluster.job("run-gang", "y", Priority::High, 1, 15, JobKind::Gang), 2, false,
-                             now);
+  cluster.scheduler->upsert_job(cluster.job("run-gang", "y", Priority::High, 1, 15, JobKind::Gang), 2, false,
+                                now);
   for (double end = now + 5; now < end; now += 0.05) cluster.settle(now);
   EXPECT_EQ(cluster.stops, 0);
   EXPECT_EQ(cluster.scheduler->job("run-array")->active.size(), 8u);
@@ -113,11 +113,11 @@
 
 TEST(Preemption, LowerPriorityMakesRoomOnMachines) {
   PreemptionTestCluster cluster({{"x", 0, 0, 0, 0}, {"y", 0, 0, 0, 0}}, 2);
-  cluster.scheduler->put_job(cluster.job("run-array", "x", Priority::Low, 20, 4), 1, false, 1);
+  cluster.scheduler->upsert_job(cluster.job("run-array", "x", Priority::Low, 20, 4), 1, false, 1);
   double now = 1;
   for (; now < 3; now += 0.05) cluster.settle(now);
-  cluster.scheduler->put_job(cluster.job("run-gang", "y", Priority::High, 1, 15, JobKind::Gang), 2, false,
-                             now);
+  cluster.scheduler->upsert_job(cluster.job("run-gang", "y", Priority::High, 1, 15, JobKind::Gang), 2, false,
+                                now);
   for (double end = now + 5; now < end; now += 0.05) cluster.settle(now);
   EXPECT_EQ(cluster.scheduler->job("run-gang")->active.size(), 1u);
   EXPECT_EQ(cluster.stops, 4);
--- a/tests/quota_reclaim_test.cc
+++ b/tests/quota_reclaim_test.cc
@@ -160,14 +160,14 @@
     spec.image = "i";
     spec.checkpoint_s = 20;
     spec.save_s = 1;
-    scheduler->put_job(spec, ++revision, false, now);
+    scheduler->upsert_job(spec, ++revision, false, now);
   }
   void run(double seconds) {
     for (double end = now + seconds; now < end; now += 0.25) {
       scheduler->tick(now);
       scheduler->schedule(now);
       auto batch = scheduler->next_writes(50, true, now);
-      if (!batch.empty()) scheduler->written(batch, ++revision, now);
+      if (!batch.empty()) scheduler->records_written(batch, ++revision, now);
       for (auto& [name, heartbeat] : machines) {
         dispatch(name, heartbeat);
         end_tasks(heartbeat);
@@ -198,7 +198,7 @@
     const auto result = scheduler->on_heartbeat(heartbeat, Scheduler::Channel::Heartbeat, now);
     heartbeat.fencing_token = std::max(heartbeat.fencing_token, result.fencing_token);
     for (const auto& command : result.commands) obey(heartbeat, command);
-    scheduler->answered(name, now);
+    scheduler->heartbeat_answered(name, now);
   }
   static bool about(const TaskCommand& command, const TaskStatus& task) {
     return task.job == command.job && task.index == command.index && task.attempt == command.attempt;
--- a/tests/scaling_test.cc
+++ b/tests/scaling_test.cc
@@ -41,7 +41,7 @@
   }
   void run_job(int n) {
     const JobSpec spec = job_spec(n);
-    scheduler->put_job(spec, static_cast<std::uint64_t>(n + 1), false, now);
+    scheduler->upsert_job(spec, static_cast<std::uint64_t>(n + 1), false, now);
     pass(5);
     scheduler->forget_job(spec.id);
   }
@@ -77,7 +77,7 @@
 }
 
 TEST_F(ScalingTest, ReturnsNothingWhileAJobIsUnfinishedHoweverLongNoneCame) {
-  scheduler->put_job(job_spec(1), 1, false, now);
+  scheduler->upsert_job(job_spec(1), 1, false, now);
   pass(500);
   EXPECT_EQ(machines_returned(), 0u);
 }
--- a/tests/scheduler_model.h
+++ b/tests/scheduler_model.h
@@ -63,7 +63,7 @@
     put(spec, now);
   }
   void put(const JobSpec& spec, double now) {
-    scheduler->put_job(spec, revision, false, now);
+    scheduler->upsert_job(spec, revision, false, now);
     ++came[spec.job_class];
   }
   void obey(Host& host, const TaskCommand& command, double now) {
@@ -89,12 +89,12 @@
   void round(double now) {
     for (auto& [id, at] : broken)
       if (Job* job = scheduler->job(id); job && now >= at && !job->cancelled)
-        scheduler->put_job(JobSpec(job->spec), ++revision, true, now);
+        scheduler->upsert_job(JobSpec(job->spec), ++revision, true, now);
     scheduler->tick(now);
     scheduler->schedule(now);
     for (auto batch = scheduler->next_writes(50, true, now); !batch.empty();
          batch = scheduler->next_writes(50, true, now))
-      scheduler->written(batch, ++revision, now);
+      scheduler->records_written(batch, ++revision, now);
     for (const auto& id : scheduler->finished_jobs()) {
       const Job& job = *scheduler->job(id);
       ended[job.spec.job_class] += !job.cancelled;
@@ -102,7 +102,7 @@
     }
     std::vector<std::string> returned;
     for (const auto& name : scheduler->decommissioning()) returned.push_back(name);
-    scheduler->deleted(returned, now);
+    scheduler->machines_deleted(returned, now);
     for (auto& [name, host] : hosts) {
       Machine* machine = scheduler->machine(name);
       if (now > 1 && !machine) continue;
@@ -122,7 +122,7 @@
       auto result = scheduler->on_heartbeat(host.heartbeat, Scheduler::Channel::Heartbeat, now);
       host.heartbeat.fencing_token = std::max(host.heartbeat.fencing_token, result.fencing_token);
       for (const auto& command : result.commands) obey(host, command, now);
-      scheduler->answered(name, now);
+      scheduler->heartbeat_answered(name, now);
     }
     for (const auto& [id, job] : scheduler->jobs())
       if (job.fails_by_itself && !broken.count(id)) held_failing.insert(id);
--- a/tests/scheduling_cost_test.cc
+++ b/tests/scheduling_cost_test.cc
@@ -45,18 +45,18 @@
     spec.one_zone = kind == JobKind::Gang;
     spec.image = "i" + std::to_string(revision % 20);
     spec.image_gb = 3;
-    scheduler->put_job(spec, revision, false, 0);
+    scheduler->upsert_job(spec, revision, false, 0);
   }
   /// Work of one scheduling cycle.
   std::uint64_t pass(double now) {
-    auto before = scheduler->steps();
+    auto before = scheduler->items_examined();
     scheduler->schedule(now);
     for (;;) {
       auto batch = scheduler->next_writes(12, true, 0);
       if (batch.empty()) break;
-      scheduler->written(batch, ++revision, now);
+      scheduler->records_written(batch, ++revision, now);
     }
-    return scheduler->steps() - before;
+    return scheduler->items_examined() - before;
   }
   std::size_t started() const {
     std::size_t n = 0;
@@ -171,7 +171,7 @@
     site.scheduler->schedule(0.1 * i);
     auto batch = site.scheduler->next_writes(1000, true, 0);
     for (const auto& write : batch) EXPECT_LE(write.value.dump().size(), 16u * 1024);
-    site.scheduler->written(batch, ++site.revision, 0.1 * i);
+    site.scheduler->records_written(batch, ++site.revision, 0.1 * i);
   }
   EXPECT_GT(site.started(), 700u);
 }
--- a/tests/term_test.cc
+++ b/tests/term_test.cc
@@ -171,15 +171,15 @@
   Job* job = scheduler->job("run-1");
   ASSERT_EQ(job->active.size(), 1u);
   auto batch = scheduler->next_writes(12, true, now);
-  scheduler->written(batch, 77, now);
+  scheduler->records_written(batch, 77, now);
   scheduler->take_commands("n-8", now - 1000);
   Machine* m = scheduler->machine("n-8");
-  m->last_answered = m->last_launch = m->fencing_token_raised_at = now - 1000;
+  m->worker.last_answered = m->worker.last_launch = m->worker.fencing_token_raised_at = now - 1000;
   ASSERT_EQ(scheduler->machines_with_expired_leases(now).size(), 1u);
   LeaseExpiryMonitor monitor(loop, settings, client, term, *scheduler, callbacks);
   monitor.tick();
-  wait_for([&] { return m->renewed_by_proxy_until > 0; }, 5);
-  EXPECT_GT(m->renewed_by_proxy_until, now);
+  wait_for([&] { return m->worker.renewed_by_proxy_until > 0; }, 5);
+  EXPECT_GT(m->worker.renewed_by_proxy_until, now);
   EXPECT_EQ(job->active.size(), 1u);  // not counted as gone
   for (int i = 0; i < 9; ++i) state.remove("k/c" + std::to_string(i));
 }
--- a/tests/upgrade_test.cc
+++ b/tests/upgrade_test.cc
@@ -56,12 +56,12 @@
     config.teams = {{"x", 0, 0, 0, 0}};
     auto out = std::make_unique<Scheduler>(config, term, now, 5);
     out->set_catalog({{"plain", {32, 0, 64}, 50, 1, 1, 1, 10, {"rabat-agdal"}}});
-    out->put_job(spec, 1, false, now);
+    out->upsert_job(spec, 1, false, now);
     for (const char* prefix : {"t/", "s/"})
       for (const auto& [key, value] : store)
         if (key.rfind(prefix, 0) == 0) out->load_record(key, value, revisions[key]);
     if (uses_v2_records) out->use_v2_records();
-    out->loaded();
+    out->records_loaded();
     return out;
   }
   static Said said(Scheduler& scheduler) {
@@ -81,7 +81,7 @@
       store[w.key] = w.value;
       revisions[w.key] = revision + 1;
     }
-    scheduler.written(batch, ++revision, now);
+    scheduler.records_written(batch, ++revision, now);
     for (const auto& key : scheduler.take_replaced()) store.erase(key);
     return !batch.empty();
   }
@@ -99,7 +99,7 @@
     Heartbeat r;
     r.machine = name, r.address = "x", r.type = "plain", r.zone = "rabat-agdal", r.worker_epoch = 1;
     r.seq = ++w.seq;
-    r.fencing_token = scheduler.machine(name) ? scheduler.machine(name)->fencing_token : 0;
+    r.fencing_token = scheduler.machine(name) ? scheduler.machine(name)->worker.fencing_token : 0;
     for (const auto& [i, t] : w.tasks) r.tasks.push_back(t);
     auto answer = scheduler.on_heartbeat(r, Scheduler::Channel::Heartbeat, now);
     for (const auto& c : answer.commands)
--- a/tests/write_ahead_test.cc
+++ b/tests/write_ahead_test.cc
@@ -34,12 +34,12 @@
     JobSpec s;
     s.id = "run-" + std::to_string(++revision), s.team = "x", s.kind = kind, s.tasks = tasks;
     s.need = {16, 0, 1}, s.image = "i";
-    scheduler->put_job(s, revision, false, 0);
+    scheduler->upsert_job(s, revision, false, 0);
     return s;
   }
   void store() {
     auto batch = scheduler->next_writes(12, true, 0);
-    scheduler->written(batch, ++revision, 0);
+    scheduler->records_written(batch, ++revision, 0);
   }
   std::vector<TaskId> sent(double now = 0) {
     std::vector<TaskId> out;
@@ -96,7 +96,7 @@
   scheduler->schedule(0);
   ASSERT_EQ(scheduler->job(s.id)->active.size(), 2u);
   EXPECT_TRUE(sent().empty());
-  scheduler->written(first, ++revision, 0);
+  scheduler->records_written(first, ++revision, 0);
   EXPECT_EQ(sent(), (std::vector<TaskId>{{s.id, 0}}));
   store();
   EXPECT_EQ(sent(), (std::vector<TaskId>{{s.id, 1}}));
@@ -156,11 +156,11 @@
   // What is stored says the same to the next leader.
   auto batch = scheduler->next_writes(12, true, 100);
   ASSERT_EQ(batch.size(), 1u);
-  scheduler->written(batch, ++revision, 2);
+  scheduler->records_written(batch, ++revision, 2);
   Scheduler next(config, 3, 2, 12);
-  next.put_job(s, 1, false, 2);
+  next.upsert_job(s, 1, false, 2);
   ASSERT_EQ(next.load_record(batch[0].key, batch[0].value, 5), Scheduler::Loaded::Yes);
-  next.loaded();
+  next.records_loaded();
   EXPECT_EQ(next.team_use("x").cpus, 16);
   EXPECT_EQ(next.job(s.id)->active.count(1), 1u);
   // A new session has nothing of the former one: then all are done, whatever became of the task there.
@@ -178,7 +178,7 @@
   for (int i = 0; i < 5; ++i) join("n-" + std::to_string(i), "a");
   JobSpec s;
   s.id = "run-100", s.team = "x", s.tasks = 5, s.need = {16, 0, 1}, s.image = "i", s.spread = true;
-  scheduler->put_job(s, 100, false, 0);
+  scheduler->upsert_job(s, 100, false, 0);
   scheduler->schedule(0);
   EXPECT_EQ(scheduler->job(s.id)->active.size(), 3u);  // half of five, rounded up
   for (int i = 5; i < 7; ++i) join("n-" + std::to_string(i), "b");
@@ -193,7 +193,7 @@
   double dead = 3.6 * config.report_s + 0.1;
   for (const char* name : {"n-3", "n-4", "n-5", "n-6"})
     for (double now : {dead, 2 * dead, 3 * dead})
-      heartbeat(name, scheduler->machine(name)->fencing_token, now);
+      heartbeat(name, scheduler->machine(name)->worker.fencing_token, now);
   scheduler->renewed_by_proxy("n-1", 3 * dead);
   scheduler->tick(2 * dead);
   EXPECT_TRUE(scheduler->any_silent());
