--- a/tests/placement_test.cc
+++ b/tests/placement_test.cc
@@ -4,7 +4,7 @@
 
 #include <random>
 
-#include "scheduler.h"
+#include "scheduler_fixture.h"
 
 namespace corkmux {
 namespace {
@@ -17,27 +17,19 @@
     config.zones = {"a", "b"};
     config.teams = {{"x", 40, 90, 0, 0}, {"y", 40, 200, 8, 12}};
     scheduler = std::make_unique<Scheduler>(config, 1, 0, seed);
-    scheduler->set_catalog({{"plain", {16, 0, 64}, 50, 1, 1, 1, 10, {"a", "b"}},
-                            {"gpu", {16, 4, 64}, 50, 1, 5, 2, 10, {"a", "b"}}});
-    int n = 4 + static_cast<int>(rng() % 8);
-    for (int i = 0; i < n; ++i) {
-      Heartbeat heartbeat;
-      heartbeat.machine = "n-" + std::to_string(i);
-      heartbeat.address = "x";
+    scheduler->set_catalog({plain_type({"a", "b"}), {"gpu", {16, 4, 64}, 50, 1, 5, 2, 10, {"a", "b"}}});
+    const int machines = 4 + static_cast<int>(rng() % 8);
+    for (int i = 0; i < machines; ++i) {
+      Heartbeat heartbeat = first_heartbeat("n-" + std::to_string(i));
       heartbeat.type = rng() % 2 ? "plain" : "gpu";
       heartbeat.zone = rng() % 2 ? "a" : "b";
       heartbeat.spot = rng() % 4 == 0;
-      heartbeat.worker_epoch = 1;
-      heartbeat.seq = 1;
-      auto first = scheduler->on_heartbeat(heartbeat, Scheduler::Channel::Heartbeat, 0);
-      heartbeat.seq = 2;
-      heartbeat.fencing_token = first.fencing_token;
-      scheduler->on_heartbeat(heartbeat, Scheduler::Channel::Heartbeat, 0);
+      join(*scheduler, heartbeat);
     }
   }
-  JobSpec job(int n) {
+  JobSpec job(int number) {
     JobSpec spec;
-    spec.id = "run-" + std::to_string(n);
+    spec.id = "run-" + std::to_string(number);
     spec.team = rng() % 2 ? "x" : "y";
     spec.kind = static_cast<JobKind>(rng() % 3);
     spec.priority = static_cast<Priority>(rng() % 4);
@@ -63,7 +55,8 @@
 }
 
 TEST(Placement, IsAllowedWithinLimitsAndLeavesNothingThatFits) {
-  int starts = 0, waits = 0;
+  int starts = 0;
+  int waits = 0;
   for (unsigned seed = 1; seed <= 300; ++seed) {
     ClusterSimulation simulation(seed);
     int jobs = 3 + static_cast<int>(simulation.rng() % 12);
@@ -71,11 +64,12 @@
       simulation.scheduler->upsert_job(simulation.job(i), static_cast<std::uint64_t>(i + 1), false, 0);
     for (int pass = 0; pass < 5; ++pass) simulation.scheduler->schedule(0);
 
-    std::map<std::string, Resources> used, team;
+    std::map<std::string, Resources> used;
+    std::map<std::string, Resources> team;
     for (const auto& [id, job] : simulation.scheduler->jobs()) {
       std::map<std::string, int> zones;
-      for (const auto& [i, a] : job.active) {
-        const Machine& machine = *simulation.scheduler->machine(a.machine);
+      for (const auto& [index, task] : job.active) {
+        const Machine& machine = *simulation.scheduler->machine(task.machine);
         ASSERT_TRUE(plainly_allowed(job.spec, machine)) << seed;
         used[machine.name] += job.spec.need;
         team[job.spec.team] += job.spec.need;
@@ -85,17 +79,18 @@
       if (job.spec.one_zone) {
         ASSERT_LE(zones.size(), 1u) << seed;
       }
-      for (const auto& [z, n] : zones) {
-        ASSERT_LE(n, job.spec.spread ? (job.spec.tasks + 1) / 2 : job.spec.tasks) << seed;
+      for (const auto& [zone, tasks] : zones) {
+        ASSERT_LE(tasks, job.spec.spread ? (job.spec.tasks + 1) / 2 : job.spec.tasks) << seed;
       }
       if (job.spec.kind == JobKind::Gang) {
         ASSERT_TRUE(job.active.empty() || static_cast<int>(job.active.size()) == job.spec.tasks) << seed;
         std::set<std::uint64_t> attempts;
-        for (const auto& [i, a] : job.active) attempts.insert(a.attempt);
+        for (const auto& [index, task] : job.active) attempts.insert(task.attempt);
         ASSERT_LE(attempts.size(), 1u) << seed;
       }
     }
-    for (const auto& [name, u] : used) ASSERT_TRUE(u.fits(simulation.scheduler->machine(name)->size)) << seed;
+    for (const auto& [name, use] : used)
+      ASSERT_TRUE(use.fits(simulation.scheduler->machine(name)->size)) << seed;
     ASSERT_LE(team["x"].cpus, 90) << seed;
     ASSERT_LE(team["y"].cpus, 200) << seed;
     ASSERT_LE(team["y"].gpus, 12) << seed;
@@ -131,22 +126,11 @@
   SchedulerConfig config;
   config.teams = {{"x", 0, 0, 0, 0}};
   Scheduler scheduler(config, 1, 0, 3);
-  scheduler.set_catalog({{"plain", {16, 0, 64}, 50, 1, 1, 1, 10, {"a"}}});
-  Heartbeat heartbeat;
-  heartbeat.machine = "n-1";
-  heartbeat.address = "x";
-  heartbeat.type = "plain";
-  heartbeat.zone = "a";
-  heartbeat.worker_epoch = 1;
-  heartbeat.seq = 1;
+  scheduler.set_catalog({plain_type({"a"})});
+  Heartbeat heartbeat = first_heartbeat("n-1");
   auto first = scheduler.on_heartbeat(heartbeat, Scheduler::Channel::Heartbeat, 0);
   // Nothing is placed on a machine that has not yet obeyed our token.
-  JobSpec spec;
-  spec.team = "x";
-  spec.kind = JobKind::Array;
-  spec.need = {16, 0, 1};
-  spec.image = "i";
-  spec.id = "run-low";
+  JobSpec spec = array_spec("run-low", "x", 1, 16);
   spec.priority = Priority::Low;
   scheduler.upsert_job(spec, 1, false, 0);
   spec.id = "run-high";
@@ -171,28 +155,11 @@
   config.start_within = {{"urgent", {10, 30}}};
   auto started = [&](double first_age, int first_tasks, double second_age, int second_tasks) {
     Scheduler scheduler(config, 1, 0, 3);
-    scheduler.set_catalog({{"plain", {16, 0, 64}, 50, 1, 1, 1, 10, {"a"}}});
-    for (int i = 0; i < 2; ++i) {
-      Heartbeat heartbeat;
-      heartbeat.machine = "n-" + std::to_string(i);
-      heartbeat.address = "x";
-      heartbeat.type = "plain";
-      heartbeat.zone = "a";
-      heartbeat.worker_epoch = 1;
-      heartbeat.seq = 1;
-      heartbeat.fencing_token =
-          scheduler.on_heartbeat(heartbeat, Scheduler::Channel::Heartbeat, 0).fencing_token;
-      heartbeat.seq = 2;
-      scheduler.on_heartbeat(heartbeat, Scheduler::Channel::Heartbeat, 0);
-    }
-    JobSpec spec;
-    spec.team = "x";
+    scheduler.set_catalog({plain_type({"a"})});
+    for (int i = 0; i < 2; ++i) join(scheduler, first_heartbeat("n-" + std::to_string(i)));
+    JobSpec spec = array_spec("run-first", "x", first_tasks, 16);
     spec.job_class = "urgent";
     spec.kind = JobKind::Gang;
-    spec.need = {16, 0, 1};
-    spec.image = "i";
-    spec.id = "run-first";
-    spec.tasks = first_tasks;
     scheduler.upsert_job(spec, 1, false, 0, first_age);
     spec.id = "run-second";
     spec.tasks = second_tasks;
@@ -212,27 +179,11 @@
 // kept for more urgent work of the team for a while only, since that may never fit.
 TEST(Placement, RoomUnderATeamsLimitIsKeptForAWhileOnly) {
   ClusterSimulation simulation(1);
-  for (int i = 0; i < 20; ++i) {
-    Heartbeat heartbeat;
-    heartbeat.machine = "m-" + std::to_string(i);
-    heartbeat.address = "x";
-    heartbeat.type = "plain";
-    heartbeat.zone = "a";
-    heartbeat.worker_epoch = heartbeat.seq = 1;
-    heartbeat.fencing_token =
-        simulation.scheduler->on_heartbeat(heartbeat, Scheduler::Channel::Heartbeat, 0).fencing_token;
-    heartbeat.seq = 2;
-    simulation.scheduler->on_heartbeat(heartbeat, Scheduler::Channel::Heartbeat, 0);
-  }
+  for (int i = 0; i < 20; ++i) join(*simulation.scheduler, first_heartbeat("m-" + std::to_string(i)));
   auto put = [&](const char* id, JobKind kind, Priority priority, int tasks, double cpus) {
-    JobSpec spec;
-    spec.id = id;
-    spec.team = "x";
-    spec.image = "i";
+    JobSpec spec = array_spec(id, "x", tasks, cpus);
     spec.kind = kind;
     spec.priority = priority;
-    spec.tasks = tasks;
-    spec.need = {cpus, 0, 1};
     simulation.scheduler->upsert_job(spec, simulation.rng(), false, 0);
   };
   put("run-runs", JobKind::Gang, Priority::High, 4, 16);  // 64 of the team's 90
@@ -260,15 +211,10 @@
   config.zones = {"a"};
   config.teams = {{"x", 0, 0, 0, 0}};
   Scheduler scheduler(config, 1, 0, 1);
-  scheduler.set_catalog({{"plain", {16, 0, 64}, 50, 1, 1, 1, 10, {"a"}}});
-  auto hear = [&](int n, std::uint64_t seq, double now) {
-    for (int i = 0; i < n; ++i) {
-      Heartbeat heartbeat;
-      heartbeat.machine = "n-" + std::to_string(i);
-      heartbeat.address = "x";
-      heartbeat.type = "plain";
-      heartbeat.zone = "a";
-      heartbeat.worker_epoch = 1;
+  scheduler.set_catalog({plain_type({"a"})});
+  auto hear = [&](int machines, std::uint64_t seq, double now) {
+    for (int i = 0; i < machines; ++i) {
+      Heartbeat heartbeat = first_heartbeat("n-" + std::to_string(i));
       heartbeat.seq = seq;
       heartbeat.fencing_token = scheduler.machine(heartbeat.machine)
                                     ? scheduler.machine(heartbeat.machine)->worker.fencing_token
@@ -277,22 +223,19 @@
     }
   };
   auto put = [&](const std::string& id, int tasks, double now, std::uint64_t revision) {
-    JobSpec spec;
-    spec.id = id;
-    spec.team = "x";
-    spec.image = "i";
-    spec.tasks = tasks;
-    spec.need = {16, 0, 1};
+    JobSpec spec = array_spec(id, "x", tasks, 16);
     spec.estimate_s = 10;
     scheduler.upsert_job(spec, revision, false, now);
   };
   put("run-large", 50, 0, 1);
   for (int i = 0; i < 9; ++i)
     put("run-small-" + std::to_string(i), 2, 100, static_cast<std::uint64_t>(i + 2));
-  hear(4, 1, 100), hear(4, 2, 100);
+  hear(4, 1, 100);
+  hear(4, 2, 100);
   scheduler.schedule(100);
   EXPECT_EQ(scheduler.job("run-large")->active.size(), 0u);
-  hear(6, 3, 121), hear(6, 4, 121);
+  hear(6, 3, 121);
+  hear(6, 4, 121);
   scheduler.schedule(121);
   // One task of it, and the rest of the room for those with less left.
   EXPECT_EQ(scheduler.job("run-large")->active.size(), 1u);
--- a/tests/preemption_test.cc
+++ b/tests/preemption_test.cc
@@ -3,7 +3,7 @@
 
 #include <algorithm>
 
-#include "scheduler.h"
+#include "scheduler_fixture.h"
 
 namespace corkmux {
 namespace {
@@ -13,58 +13,58 @@
   std::unique_ptr<Scheduler> scheduler;
   std::map<std::string, Heartbeat> machines;
   std::uint64_t revision = 100;
-  int stops = 0, launches = 0;
+  std::uint64_t submitted = 0;
+  int stops = 0;
+  int launches = 0;
+  double now = 0;
 
   explicit PreemptionTestCluster(std::vector<Team> teams, int count) {
     config.teams = std::move(teams);
     config.report_s = 1;
     scheduler = std::make_unique<Scheduler>(config, 1, 0, 5);
-    scheduler->set_catalog({{"plain", {16, 0, 64}, 50, 1, 1, 1, 10, {"a"}}});
+    scheduler->set_catalog({plain_type({"a"})});
     for (int i = 0; i < count; ++i) {
-      Heartbeat heartbeat;
-      heartbeat.machine = "n-" + std::to_string(i);
-      heartbeat.address = "x";
-      heartbeat.type = "plain";
-      heartbeat.zone = "a";
-      heartbeat.worker_epoch = 1;
-      machines[heartbeat.machine] = heartbeat;
+      Heartbeat& heartbeat = machines["n-" + std::to_string(i)];
+      heartbeat = first_heartbeat("n-" + std::to_string(i));
+      heartbeat.seq = 0;
     }
     settle(0);
     settle(0.1);
+    now = 1;
   }
-  JobSpec job(const std::string& id, const std::string& team, Priority priority, int tasks, double cpus,
+  void submit(const std::string& id, const std::string& team, Priority priority, int tasks, double cpus,
               JobKind kind = JobKind::Array) {
-    JobSpec spec;
-    spec.id = id;
-    spec.team = team;
+    JobSpec spec = array_spec(id, team, tasks, cpus);
     spec.priority = priority;
-    spec.tasks = tasks;
     spec.kind = kind;
-    spec.need = {cpus, 0, 1};
-    spec.image = "i";
     spec.checkpoint_s = 10;
     spec.save_s = 4;
-    return spec;
+    scheduler->upsert_job(spec, ++submitted, false, now);
   }
+  /// Rounds for so long.
+  void run(double seconds) {
+    for (double end = now + seconds; now < end; now += 0.05) settle(now);
+  }
+  std::size_t active(const std::string& id) { return scheduler->job(id)->active.size(); }
   /// One round: store writes succeed, commands are executed, every task runs at once, stopped tasks exit at
   /// once.
-  void settle(double now) {
-    scheduler->tick(now);
-    scheduler->schedule(now);
+  void settle(double moment) {
+    scheduler->tick(moment);
+    scheduler->schedule(moment);
     auto batch = scheduler->next_writes(50, true, 0);
-    if (!batch.empty()) scheduler->records_written(batch, ++revision, now);
+    if (!batch.empty()) scheduler->records_written(batch, ++revision, moment);
     for (auto& [name, heartbeat] : machines) {
       if (Machine* machine = scheduler->machine(name); machine && scheduler->has_commands(*machine)) {
-        auto command_batch = scheduler->take_commands(name, now);
+        auto command_batch = scheduler->take_commands(name, moment);
         heartbeat.fencing_token = std::max(heartbeat.fencing_token, command_batch.fencing_token);
         for (const auto& command : command_batch.commands) obey(heartbeat, command);
-        scheduler->dispatch_done(name, command_batch, Scheduler::DispatchOutcome::Executed, now);
+        scheduler->dispatch_done(name, command_batch, Scheduler::DispatchOutcome::Executed, moment);
       }
       ++heartbeat.seq;
-      auto result = scheduler->on_heartbeat(heartbeat, Scheduler::Channel::Heartbeat, now);
+      auto result = scheduler->on_heartbeat(heartbeat, Scheduler::Channel::Heartbeat, moment);
       heartbeat.fencing_token = std::max(heartbeat.fencing_token, result.fencing_token);
       for (const auto& command : result.commands) obey(heartbeat, command);
-      scheduler->heartbeat_answered(name, now);
+      scheduler->heartbeat_answered(name, moment);
     }
   }
   void obey(Heartbeat& heartbeat, const TaskCommand& command) {
@@ -88,40 +88,34 @@
 
 TEST(Preemption, TheTeamsLimitMakesWayForItsUrgentGangOnce) {
   PreemptionTestCluster cluster({{"x", 64, 64, 0, 0}}, 8);
-  cluster.scheduler->upsert_job(cluster.job("run-array", "x", Priority::Normal, 40, 4), 1, false, 1);
-  double now = 1;
-  for (; now < 3; now += 0.05) cluster.settle(now);
-  EXPECT_EQ(cluster.scheduler->job("run-array")->active.size(), 16u);
-  cluster.scheduler->upsert_job(cluster.job("run-gang", "x", Priority::High, 2, 15, JobKind::Gang), 2, false,
-                                now);
-  for (double end = now + 10; now < end; now += 0.05) cluster.settle(now);
-  EXPECT_EQ(cluster.scheduler->job("run-gang")->active.size(), 2u);
+  cluster.submit("run-array", "x", Priority::Normal, 40, 4);
+  cluster.run(2);
+  EXPECT_EQ(cluster.active("run-array"), 16u);
+  cluster.submit("run-gang", "x", Priority::High, 2, 15, JobKind::Gang);
+  cluster.run(10);
+  EXPECT_EQ(cluster.active("run-gang"), 2u);
   EXPECT_EQ(cluster.stops, 8) << "32 of 64 CPUs are needed, no more, and once only";
 }
 
 TEST(Preemption, WorkWithinAGuaranteeIsNotStoppedForWorkBeyondAnother) {
   PreemptionTestCluster cluster({{"x", 32, 0, 0, 0}, {"y", 0, 0, 0, 0}}, 2);
-  cluster.scheduler->upsert_job(cluster.job("run-array", "x", Priority::Normal, 8, 4), 1, false, 1);
-  double now = 1;
-  for (; now < 3; now += 0.05) cluster.settle(now);
-  cluster.scheduler->upsert_job(cluster.job("run-gang", "y", Priority::High, 1, 15, JobKind::Gang), 2, false,
-                                now);
-  for (double end = now + 5; now < end; now += 0.05) cluster.settle(now);
+  cluster.submit("run-array", "x", Priority::Normal, 8, 4);
+  cluster.run(2);
+  cluster.submit("run-gang", "y", Priority::High, 1, 15, JobKind::Gang);
+  cluster.run(5);
   EXPECT_EQ(cluster.stops, 0);
-  EXPECT_EQ(cluster.scheduler->job("run-array")->active.size(), 8u);
+  EXPECT_EQ(cluster.active("run-array"), 8u);
 }
 
 TEST(Preemption, LowerPriorityMakesRoomOnMachines) {
   PreemptionTestCluster cluster({{"x", 0, 0, 0, 0}, {"y", 0, 0, 0, 0}}, 2);
-  cluster.scheduler->upsert_job(cluster.job("run-array", "x", Priority::Low, 20, 4), 1, false, 1);
-  double now = 1;
-  for (; now < 3; now += 0.05) cluster.settle(now);
-  cluster.scheduler->upsert_job(cluster.job("run-gang", "y", Priority::High, 1, 15, JobKind::Gang), 2, false,
-                                now);
-  for (double end = now + 5; now < end; now += 0.05) cluster.settle(now);
-  EXPECT_EQ(cluster.scheduler->job("run-gang")->active.size(), 1u);
+  cluster.submit("run-array", "x", Priority::Low, 20, 4);
+  cluster.run(2);
+  cluster.submit("run-gang", "y", Priority::High, 1, 15, JobKind::Gang);
+  cluster.run(5);
+  EXPECT_EQ(cluster.active("run-gang"), 1u);
   EXPECT_EQ(cluster.stops, 4);
-  EXPECT_EQ(cluster.scheduler->job("run-array")->active.size(), 4u);
+  EXPECT_EQ(cluster.active("run-array"), 4u);
 }
 
 }  // namespace
--- a/tests/quota_reclaim_test.cc
+++ b/tests/quota_reclaim_test.cc
@@ -11,7 +11,7 @@
 #include <random>
 #include <tuple>
 
-#include "scheduler.h"
+#include "scheduler_fixture.h"
 
 namespace corkmux {
 namespace {
@@ -136,28 +136,20 @@
     config.report_s = 1;
     config.guarantee_within = 4;
     scheduler = std::make_unique<Scheduler>(config, 1, 0, 5);
-    scheduler->set_catalog({{"plain", {16, 0, 64}, 50, 1, 1, 1, 10, {"z"}}});
+    scheduler->set_catalog({plain_type({"z"})});
     for (int i = 0; i < count; ++i) {
       Heartbeat& heartbeat = machines["n-" + std::to_string(i)];
-      heartbeat.machine = "n-" + std::to_string(i);
-      heartbeat.address = "x";
-      heartbeat.type = "plain";
-      heartbeat.zone = "z";
-      heartbeat.worker_epoch = 1;
+      heartbeat = first_heartbeat("n-" + std::to_string(i), "z");
+      heartbeat.seq = 0;
     }
     run(1);
   }
   void submit(const std::string& id, const std::string& team, Priority priority, int tasks, JobKind kind) {
-    JobSpec spec;
-    spec.id = id;
-    spec.team = team;
+    JobSpec spec = array_spec(id, team, tasks, 8);
     spec.priority = priority;
-    spec.tasks = tasks;
     spec.kind = kind;
     spec.job_class = "urgent";
     spec.one_zone = kind == JobKind::Gang;
-    spec.need = {8, 0, 1};
-    spec.image = "i";
     spec.checkpoint_s = 20;
     spec.save_s = 1;
     scheduler->upsert_job(spec, ++revision, false, now);
--- a/tests/scaling_test.cc
+++ b/tests/scaling_test.cc
@@ -3,6 +3,8 @@
 
 #include <gtest/gtest.h>
 
+#include "scheduler_fixture.h"
+
 namespace corkmux {
 namespace {
 
@@ -18,19 +20,14 @@
     choices.headroom_share = 0.5;
     choices.headroom_machines = 2;
     scheduler = std::make_unique<Scheduler>(config, 1, 0, 7);
-    scheduler->set_catalog({{"plain", {16, 0, 64}, 50, 1, 1, 1, 10, {"a"}}});
+    scheduler->set_catalog({plain_type({"a"})});
     pass(1);
   }
   /// Time in which the machines report and no job comes.
   void pass(double seconds) {
     for (double until = now + seconds; now < until; now += 1) {
       for (int i = 0; i < 6; ++i) {
-        Heartbeat heartbeat;
-        heartbeat.machine = "n-" + std::to_string(i);
-        heartbeat.address = "x";
-        heartbeat.type = "plain";
-        heartbeat.zone = "a";
-        heartbeat.worker_epoch = 1;
+        Heartbeat heartbeat = first_heartbeat("n-" + std::to_string(i));
         heartbeat.seq = ++seq;
         heartbeat.fencing_token = tokens[i];
         const auto result = scheduler->on_heartbeat(heartbeat, Scheduler::Channel::Heartbeat, now);
@@ -39,35 +36,28 @@
       scheduler->tick(now);
     }
   }
-  void run_job(int n) {
-    const JobSpec spec = job_spec(n);
-    scheduler->upsert_job(spec, static_cast<std::uint64_t>(n + 1), false, now);
+  void run_job(int number) {
+    const JobSpec spec = job_spec(number);
+    scheduler->upsert_job(spec, static_cast<std::uint64_t>(number + 1), false, now);
     pass(5);
     scheduler->forget_job(spec.id);
   }
-  static JobSpec job_spec(int n) {
-    JobSpec spec;
-    spec.id = "run-" + std::to_string(n);
-    spec.team = "x";
-    spec.need = {1, 0, 1};
-    spec.image = "i";
-    return spec;
-  }
+  static JobSpec job_spec(int number) { return array_spec("run-" + std::to_string(number), "x", 1, 1); }
   std::size_t machines_returned() { return plan_scaling(*scheduler, choices, {}, now).scale_in.size(); }
   std::map<int, std::uint64_t> tokens;
 };
 
 TEST_F(ScalingTest, KeepsIdleMachinesWhileJobsKeepComing) {
-  for (int n = 0; n < 8; ++n) {
-    run_job(n);
+  for (int number = 0; number < 8; ++number) {
+    run_job(number);
     pass(20);
-    EXPECT_EQ(machines_returned(), 0u) << n;
+    EXPECT_EQ(machines_returned(), 0u) << number;
   }
 }
 
 TEST_F(ScalingTest, ReturnsAllOnceJobsHaveCeasedForSeveralOfTheirGaps) {
-  for (int n = 0; n < 8; ++n) {
-    run_job(n);
+  for (int number = 0; number < 8; ++number) {
+    run_job(number);
     pass(20);
   }
   pass(60);  // gaps of 25 s: four of them are not over yet
--- a/tests/scheduler_model.h
+++ b/tests/scheduler_model.h
@@ -7,7 +7,7 @@
 #include <random>
 #include <set>
 
-#include "scheduler.h"
+#include "scheduler_fixture.h"
 
 namespace corkmux {
 
@@ -24,9 +24,12 @@
   std::set<std::string> held_failing;    // good jobs that were
   std::mt19937 rng;
   std::uint64_t revision = 100;
-  int starts = 0, of_broken = 0, good = 0;
+  int starts = 0;
+  int of_broken = 0;
+  int good = 0;
   double run_s = 10;
-  std::map<std::string, int> came, ended;  // jobs of a class
+  std::map<std::string, int> came;   // jobs of a class
+  std::map<std::string, int> ended;  // of these
 
   Model(unsigned seed, double faulty) : rng(seed) {
     config.teams = {{"x", 0, 0, 0, 0}};
@@ -35,12 +38,8 @@
     scheduler = std::make_unique<Scheduler>(config, 1, 0, seed);
     scheduler->set_catalog({{"plain", {32, 0, 128}, 60, 1, 1, 1, 10, {"a"}}});
     for (int i = 0; i < 100; ++i) {
-      Heartbeat heartbeat;
-      heartbeat.machine = "n-" + std::to_string(100 + i);
-      heartbeat.address = "x";
-      heartbeat.type = "plain";
-      heartbeat.zone = "a";
-      heartbeat.worker_epoch = 1;
+      Heartbeat heartbeat = first_heartbeat("n-" + std::to_string(100 + i));
+      heartbeat.seq = 0;
       hosts[heartbeat.machine] = {heartbeat, std::uniform_real_distribution<double>(0, 1)(rng) < faulty, {}};
     }
   }
@@ -72,10 +71,10 @@
         [&](const TaskStatus& task) { return task.job == command.job && task.index == command.index; });
     if (command.op == TaskCommand::Op::Start) {
       ++starts;
-      of_broken += broken.count(command.job) > 0;
+      of_broken += broken.contains(command.job);
       host.heartbeat.tasks.push_back(
           {command.job, command.index, command.attempt, TaskState::Running, ExitReason::None, false});
-      bool fails = host.faulty || broken.count(command.job);
+      bool fails = host.faulty || broken.contains(command.job);
       host.ends[{command.job, command.index}] = now + (fails ? 2 : run_s);
     } else if (it != host.heartbeat.tasks.end() && command.op == TaskCommand::Op::Stop) {
       if (it->state == TaskState::Exited) return;
@@ -110,7 +109,7 @@
         auto end = host.ends.find({task.job, task.index});
         if (task.state != TaskState::Running || end == host.ends.end() || now < end->second) continue;
         task.state = TaskState::Exited;
-        task.why = host.faulty || broken.count(task.job) ? ExitReason::Error : ExitReason::Done;
+        task.why = host.faulty || broken.contains(task.job) ? ExitReason::Error : ExitReason::Done;
       }
       if (machine && scheduler->has_commands(*machine)) {
         auto command_batch = scheduler->take_commands(name, now);
@@ -125,13 +124,13 @@
       scheduler->heartbeat_answered(name, now);
     }
     for (const auto& [id, job] : scheduler->jobs())
-      if (job.fails_by_itself && !broken.count(id)) held_failing.insert(id);
+      if (job.fails_by_itself && !broken.contains(id)) held_failing.insert(id);
   }
   int lost(bool faulty) const {
-    int n = 0;
+    int count = 0;
     for (const auto& [name, host] : hosts)
-      n += host.faulty == faulty && !const_cast<Scheduler&>(*scheduler).machine(name);
-    return n;
+      count += host.faulty == faulty && !const_cast<Scheduler&>(*scheduler).machine(name);
+    return count;
   }
   /// Three times as much urgent work as the machines hold for 500 s, and beside it some that is not urgent.
   void flood() {
--- /dev/null
+++ b/tests/scheduler_modules.h
@@ -0,0 +1,68 @@
+// The scheduler's modules up to TaskLifecycle, put together as Scheduler does, for tests that drive one of
+// them alone: no heartbeats, no cycle, no store.
+#pragma once
+#include <string>
+#include <vector>
+
+#include "failure_tracker.h"
+#include "freed_capacity.h"
+#include "reserved_capacity.h"
+#include "scheduler_fixture.h"
+#include "task_lifecycle.h"
+#include "task_record_store.h"
+
+namespace corkmux {
+
+struct SchedulerModules {
+  ClusterState state{config(), 1, 0};
+  FreedCapacity freed_capacity;
+  ReservedCapacity reserved_capacity;
+  FailureTracker failures{state};
+  TaskRecordStore records{state};
+  TaskLifecycle lifecycle{state, records, failures, freed_capacity, reserved_capacity};
+  std::uint64_t revision = 0;
+
+  SchedulerModules() { state.set_catalog({plain_type({"a"})}); }
+  static SchedulerConfig config() {
+    SchedulerConfig config;
+    config.zones = {"a"};
+    config.teams = {{"x", 0, 0, 0, 0}, {"y", 0, 0, 0, 0}};
+    return config;
+  }
+  /// A machine whose worker has been heard now and obeys this term.
+  Machine& add_up_machine(const std::string& name, double now = 0) {
+    Machine& machine = state.add_machine(name, now).machine;
+    machine.type = "plain";
+    machine.zone = "a";
+    machine.address = "x";
+    machine.size = state.type("plain")->size;
+    machine.free = machine.size;
+    machine.state = MachineState::Up;
+    machine.worker.epoch = 1;
+    machine.worker.last_heard = now;
+    machine.worker.last_answered = now;
+    machine.worker.fencing_token_raised_at = now;
+    machine.worker.observed_token = machine.worker.fencing_token;
+    state.reindex(machine, now);
+    return machine;
+  }
+  Job& add_job(const JobSpec& spec, double accepted_at = 0) {
+    return state.add_job(spec, ++revision, accepted_at).job;
+  }
+  /// The task is assigned, and the assignment stored.
+  ActiveTask& launch(Job& job, int index, Machine& machine, double now = 0) {
+    lifecycle.assign(job, index, machine, state.next_number(), now);
+    lifecycle.records_written(records.next_writes(12, true, now), ++revision, now);
+    return job.active.at(index);
+  }
+  /// The task has been sent and runs.
+  ActiveTask& run(Job& job, int index, Machine& machine, double now = 0) {
+    ActiveTask& task = launch(job, index, machine, now);
+    machine.commands.outbox.clear();
+    task.stage = ActiveTask::Stage::Running;
+    task.minimum_token = 0;
+    return task;
+  }
+};
+
+}  // namespace corkmux
