--- a/tests/quota_reclaim_test.cc
+++ b/tests/quota_reclaim_test.cc
@@ -11,7 +11,7 @@
 #include <random>
 #include <tuple>
 
-#include "scheduler.h"
+#include "scheduler_fixture.h"
 
 namespace corkmux {
 namespace {
@@ -136,38 +136,30 @@
     config.report_s = 1;
     config.guarantee_within = 4;
     scheduler = std::make_unique<Scheduler>(config, 1, 0, 5);
-    scheduler->set_catalog({{"plain", {16, 0, 64}, 50, 1, 1, 1, 10, {"z"}}});
+    scheduler->set_catalog({plain_type({"z"})});
     for (int i = 0; i < count; ++i) {
       Heartbeat& heartbeat = machines["n-" + std::to_string(i)];
-      heartbeat.machine = "n-" + std::to_string(i);
-      heartbeat.address = "x";
-      heartbeat.type = "plain";
-      heartbeat.zone = "z";
-      heartbeat.worker_epoch = 1;
+      heartbeat = first_heartbeat("n-" + std::to_string(i), "z");
+      heartbeat.seq = 0;
     }
     run(1);
   }
   void submit(const std::string& id, const std::string& team, Priority priority, int tasks, JobKind kind) {
-    JobSpec spec;
-    spec.id = id;
-    spec.team = team;
+    JobSpec spec = array_spec(id, team, tasks, 8);
     spec.priority = priority;
-    spec.tasks = tasks;
     spec.kind = kind;
     spec.job_class = "urgent";
     spec.one_zone = kind == JobKind::Gang;
-    spec.need = {8, 0, 1};
-    spec.image = "i";
     spec.checkpoint_s = 20;
     spec.save_s = 1;
-    scheduler->put_job(spec, ++revision, false, now);
+    scheduler->upsert_job(spec, ++revision, false, now);
   }
   void run(double seconds) {
     for (double end = now + seconds; now < end; now += 0.25) {
       scheduler->tick(now);
       scheduler->schedule(now);
       auto batch = scheduler->next_writes(50, true, now);
-      if (!batch.empty()) scheduler->written(batch, ++revision, now);
+      if (!batch.empty()) scheduler->records_written(batch, ++revision, now);
       for (auto& [name, heartbeat] : machines) {
         dispatch(name, heartbeat);
         end_tasks(heartbeat);
@@ -198,7 +190,7 @@
     const auto result = scheduler->on_heartbeat(heartbeat, Scheduler::Channel::Heartbeat, now);
     heartbeat.fencing_token = std::max(heartbeat.fencing_token, result.fencing_token);
     for (const auto& command : result.commands) obey(heartbeat, command);
-    scheduler->answered(name, now);
+    scheduler->heartbeat_answered(name, now);
   }
   static bool about(const TaskCommand& command, const TaskStatus& task) {
     return task.job == command.job && task.index == command.index && task.attempt == command.attempt;
