--- a/src/cmd/simulator_main.cc
+++ b/src/cmd/simulator_main.cc
@@ -5,7 +5,9 @@
 #include <iostream>
 
 #include "cluster_simulation.h"
+#include "log_formatter.h"
 #include "logging.h"
+#include "simulation_plan_parser.h"
 
 namespace {
 
--- a/src/simulation/cluster_simulation.h
+++ b/src/simulation/cluster_simulation.h
@@ -1,150 +1,95 @@
 // A whole cluster in one process and in stepped time: real controllers, and around them machines, users, a
-// state service, a cloud and a network, from one seed. Plays a plan and gives the report of it.
+// state service, a cloud and a network, from one seed. Joins the modules of this folder, plays a plan and
+// reports on it.
 #pragma once
-#include <spdlog/formatter.h>
-
-#include <map>
+#include <cstdint>
 #include <memory>
-#include <set>
 #include <string>
 #include <vector>
 
-#include "controller.h"
+#include "cloud.h"
+#include "controller_fleet.h"
 #include "event_simulator.h"
+#include "fault_injector.h"
+#include "history_recorder.h"
 #include "invariant_checker.h"
+#include "job_arrivals.h"
+#include "leader_detector.h"
+#include "machine_fleet.h"
+#include "progress_sampler.h"
 #include "simulation_plan.h"
+#include "simulation_report.h"
+#include "state_service.h"
 #include "users.h"
 
 namespace corkmux::simulation {
 
+inline constexpr double kStateAnswer = 0.004;           // s an answer takes, usually under 10 ms (PROTOCOL)
+inline constexpr double kSlowStateAnswerShare = 0.005;  // of answers that take longer
+inline constexpr double kSlowStateAnswer = 0.25;        // s; a few hundred ms (PROTOCOL)
+inline constexpr double kRecentBoot = 3;                // s since it is up; a machine's first seconds
+
 class ClusterSimulation {
  public:
+  /// Everything is set up and the controllers are started; nothing has run yet. One simulation at a time.
   ClusterSimulation(SimulationPlan plan, std::uint64_t seed);
   ~ClusterSimulation();
-  /// Plays on until then, s of simulated time.
-  void run_until(double time);
+  ClusterSimulation(const ClusterSimulation&) = delete;
+  ClusterSimulation& operator=(const ClusterSimulation&) = delete;
+
   /// Plays the plan to its end.
   void run();
 
-  const SimulationPlan& plan() const { return plan_; }
   const InvariantChecker& checker() const { return checker_; }
-  EventSimulator& simulator() { return simulator_; }
-  State& state() { return *state_; }
+  const SimulatedNetwork& network() const { return simulator_.network(); }
   /// The rules hold, and every class and team is served by at least the plan's share.
   bool good() const { return problems().empty(); }
-  std::vector<std::string> problems() const;
-  /// What happened, a line each, in order of time: faults, terms, pauses.
-  const std::vector<std::string>& events() const { return events_; }
+  std::vector<std::string> problems() const { return find_problems(checker_, plan_.served); }
+  /// What happened, a line each, in order of time: faults and terms.
+  const std::vector<std::string>& events() const { return history_.events(); }
   codec::Json report() const;
-  /// The account for a reader, about twenty lines.
   std::string report_text() const;
+
   /// How often it came to what a test wants to have happened.
   struct Occurrences {
-    int cancelled = 0;                 // jobs called off at once, and of these
-    int cancelled_on_unreachable = 0;  // with a task on a machine that is cut off or hangs,
-    int cancelled_at_quota_limit = 0;  // and their team within a twentieth of a limit
-    int young_starts = 0;              // starts on machines up for less than 3 s while writes lagged
-    std::size_t copies = 0;            // heartbeats that reached all controllers as a new leader began
+    FaultInjector::CancelledJobs cancelled;
+    int starts_after_boot = 0;         // on machines up for a few seconds, while writes were late
+    std::size_t heartbeat_copies = 0;  // that reached all controllers as a new leader began
   };
-  const Occurrences& occurrences() const { return occurrences_; }
+  Occurrences occurrences() const;
   /// Leaders that began.
-  int terms() const { return terms_; }
-  /// Stands for everything that users and machines saw, in order: equal histories have equal ones.
-  std::uint64_t history() const { return history_.value; }
+  int terms() const { return leader_detector_->terms(); }
 
  private:
-  struct Process {
-    std::string label, zone;
-    std::size_t listener = 0;
-    Host* host = nullptr;
-    std::unique_ptr<Loop> loop;
-    std::unique_ptr<Controller> controller;
-    bool led = false;  // when last looked at
-  };
-  struct Machine {
-    Host* host = nullptr;
-    std::unique_ptr<Loop> loop;
-    std::unique_ptr<Worker> worker;
-    bool faulty = false, cut = false;
-    double booted = 0;
-  };
-  struct Stream {
-    const Workload* load;
-    double factor = 1;
-    Timer next;
-    Stream(Loop& loop, const Workload& l) : load(&l), next(loop) {}
-  };
-  /// Remembers the order of what was seen as one number.
-  struct History {
-    std::uint64_t value = 1469598103934665603ull;
-    void add(std::string_view text);
-  };
-  /// Passes on to the checker, and to the history.
-  struct Recorder : MachineObserver {
-    ClusterSimulation& simulation;
-    explicit Recorder(ClusterSimulation& w) : simulation(w) {}
-    void on(const std::string& machine, const std::string& type, const std::string& zone, bool spot,
-            const Work& work, int index, std::uint64_t attempt) override;
-    void off(const std::string& machine, const Work& work, int index, std::uint64_t attempt,
-             const std::string& why) override;
-    void lost(const Work& work, const std::string& why, double seconds) override;
-    void running(const Work& work, int index) override { simulation.checker_.running(work, index); }
-    void done(const Work& work, int index) override;
-  };
-  Settings settings_of(const Process& process) const;
-  void start(Process& process);
-  void crash(Process& process, double back_s);  // 0: as the plan says
-  void end(Process& process, bool silent, double back_s);
-  void boot(const MachineFacts& facts);
-  void lose_machine(const std::string& name, const std::string& why);
-  std::string machine_ip(const std::string& name) const;
-  void submit(const Workload& load);
-  void arrivals(Stream& stream);
-  void arm(Stream& stream);
+  void make_services();
+  void make_cluster();
+  void make_users();
   void sample_progress();
-  std::vector<std::string> fitting_jobs();
-  void detect_new_leader();
-  void note(const std::string& what);
-
-  void begin(const Fault& fault);
-  void node_fault(const Fault& fault);
-  void machine_fault(const Fault& fault);
-  void cut_fault(const Fault& fault);
-  void late_fault(const Fault& fault);
-  void late_batches(const Fault& fault);
-  void users_fault(const Fault& fault);
-  void cancel_running_jobs(const Fault& fault);
-  void hang(const std::string& name, double for_s);
-  void lose_answers_to(const std::vector<std::string>& names, double until);
-  void lose_requests_from(const std::vector<std::string>& names, double until);
-  std::vector<Process*> chosen(const Fault& fault);
-  std::vector<std::string> some_machines(int count, const std::string& zone, bool spot_only);
-  void after(double s, std::function<void()> fn) {
-    simulator_.at(simulator_.now() + s, nullptr, std::move(fn));
-  }
+  void task_placed(const std::string& machine);
+  void job_done(const std::string& job);
+  double draw_state_latency();
+  SimulationSummary summary() const;
 
   SimulationPlan plan_;
   EventSimulator simulator_;
   InvariantChecker checker_;
-  Recorder recorder_{*this};
-  History history_;
-  std::vector<std::string> events_;
-  Host &services_host_, &users_host_;
-  std::unique_ptr<Loop> services_loop_, users_loop_;
+  HistoryRecorder history_;
+  Host& services_host_;
+  Host& users_host_;
+  Loop services_loop_;
+  Loop users_loop_;
+  // Made in this order, in the runtime of the host that they run on.
   std::unique_ptr<State> state_;
   std::unique_ptr<JobRegistry> registry_;
   std::unique_ptr<Cloud> cloud_;
-  std::map<std::string, std::string> addresses_;  // of controllers, for users and workers
-  std::vector<std::unique_ptr<Process>> processes_;
-  std::map<std::string, Machine> machines_;
+  std::unique_ptr<ControllerFleet> controllers_;
+  std::unique_ptr<LeaderDetector> leader_detector_;
+  std::unique_ptr<MachineFleet> machines_;
   std::unique_ptr<Users> users_;
-  std::vector<std::unique_ptr<Stream>> streams_;
-  int next_job_ = 0, terms_ = 0;
-  double for_next_until_ = -1, writes_lag_until_ = -1;
-  Occurrences occurrences_;
+  std::unique_ptr<JobArrivals> arrivals_;
+  std::unique_ptr<FaultInjector> faults_;
+  std::unique_ptr<ProgressSampler> progress_;
+  int starts_after_boot_ = 0;
 };
 
-/// Log lines with the simulated time and the host that writes them.
-std::unique_ptr<spdlog::formatter> log_formatter();
-
 }  // namespace corkmux::simulation
--- /dev/null
+++ b/src/simulation/job_arrivals.h
@@ -0,0 +1,51 @@
+// The jobs that users submit in a simulation: draws their sizes, run times and times of arrival from the
+// plan's workloads. Owns the streams of arrivals; the Users submit what is drawn.
+#pragma once
+#include <memory>
+#include <optional>
+#include <string>
+#include <vector>
+
+#include "event_simulator.h"
+#include "simulation_plan.h"
+#include "timer.h"
+#include "users.h"
+
+namespace corkmux::simulation {
+
+class JobArrivals {
+ public:
+  /// `users_loop` runs on `users_host`. Plan and users have to outlive it.
+  JobArrivals(EventSimulator& simulator, const SimulationPlan& plan, Host& users_host, Loop& users_loop,
+              Users& users);
+  /// Schedules the jobs of the start, the streams, and questions about jobs that nobody submitted. Runs on
+  /// the users' host.
+  void start();
+  /// Multiplies the rate of arrivals for so many seconds; an empty class or team: of all.
+  void burst(const std::string& job_class, const std::string& team, double factor, double for_s);
+
+ private:
+  /// Jobs of one workload, with exponentially distributed gaps.
+  struct Stream {
+    Stream(Loop& loop, const Workload& drawn_from) : workload(drawn_from), next(loop) {}
+    const Workload& workload;
+    double factor = 1;
+    Timer next;
+  };
+  void schedule_next(Stream& stream);
+  void set_factor(Stream& stream, double factor);
+  void submit(const Workload& workload);
+  Work draw_job(const Workload& workload);
+  /// s from the submission until its user cancels it; none: never.
+  std::optional<double> draw_cancellation(const Work& job, const Workload& workload);
+
+  EventSimulator& simulator_;
+  const SimulationPlan& plan_;
+  Host& users_host_;
+  Loop& users_loop_;
+  Users& users_;
+  std::vector<std::unique_ptr<Stream>> streams_;
+  int jobs_drawn_ = 0;
+};
+
+}  // namespace corkmux::simulation
--- a/src/simulation/simulation_plan.h
+++ b/src/simulation/simulation_plan.h
@@ -1,67 +1,52 @@
-// What a simulation is made of, and what goes wrong in it, as its TOML file says (docs/simulation.md).
+// What a simulation is made of, and what goes wrong in it. simulation_plan_parser.h reads it from a file.
 #pragma once
-#include <cstdint>
 #include <string>
 #include <vector>
 
 #include "cloud.h"
+#include "fault.h"
 #include "settings.h"
 #include "worker.h"
 
 namespace corkmux::simulation {
 
-/// One fault. What a kind does not use stays as it is here.
-struct Fault {
-  double at_s = 0, for_s = 0, every_s = 0;
-  std::string kind, zone, mode = "hold", job_class, team;
-  std::vector<std::string> zones;
-  int count = 1, txn_ops = 0, times = 1;
-  bool busiest = false, from_state = false, from_workers = false, from_peers = false, one_way = false;
-  double share = 0, factor = 1, notice_s = 0, value_kb = 0, write_rps = 0;
-  double back_s = 0;  // 0: as the plan says
-  double hang_s = 0;  // of machines of the jobs that are called off
-  bool at_once = false, for_next = false;
-};
-const std::vector<std::string>& fault_kinds();
-/// The fields that such a fault may have.
-const std::vector<std::string>& fault_fields(const std::string& kind);
-
 /// Jobs of one class and team.
 struct Workload {
-  JobSpec job_template;  // id, tasks and image are drawn for each
-  std::vector<int> tasks;
+  JobSpec job_template;    // id, tasks and image are drawn for each job
+  std::vector<int> tasks;  // one of them is drawn
   int images = 1;
-  double run_s = 0, per_minute = 0, cancel_share = 0, bad_share = 0;
+  double run_s = 0;
+  double per_minute = 0;
+  double cancel_share = 0;  // of jobs that their users cancel
+  double bad_share = 0;     // of jobs that fail wherever they run
   int at_start = 0;
 };
 
-struct Machines {
-  Capacity where;
+/// Machines of one type, zone and kind.
+struct MachineGroup {
+  Capacity capacity;
   int initial = 0;
 };
 
 struct SimulationPlan {
   std::string name;
-  double until_s = 0, jobs_until_s = 0, restart_s = 6, skew_s = 0.005, served = 0.5;
+  double until_s = 0;
+  double jobs_until_s = 0;               // no new jobs from then on
+  double restart_s = 6;                  // until a controller that ended is back
+  double skew_s = 0.005;                 // by which times of day may be off
+  double served = 0.5;                   // share of each class's and team's jobs that has to be done
   std::vector<std::string> controllers;  // the zone of each
   std::vector<std::string> zones;
   std::vector<Team> teams;
   std::vector<MachineType> types;
-  std::vector<Machines> machines;
+  std::vector<MachineGroup> machines;
   std::vector<Workload> workloads;
   Settings site;  // limits, times and aims that every controller gets
   WorkerTimes times;
   std::vector<Fault> faults;
 };
 
-/// The file's cluster with the faults of one of its scenarios; the first when no name is given. Throws
-/// SettingsError.
-SimulationPlan parse_plan(const std::string& text, const std::string& file, const std::string& scenario = "");
-SimulationPlan load_plan(const std::string& file, const std::string& scenario = "");
-std::vector<std::string> scenario_names(const std::string& file);
-/// A line of the file for that fault.
-std::string fault_to_toml(const Fault& fault);
-/// So many faults drawn for that cluster, all over when its last third begins.
-std::vector<Fault> draw_faults(const SimulationPlan& plan, int count, std::uint64_t seed);
+/// s of simulated time from which no fault is in force and every controller is back.
+double faults_end_s(const SimulationPlan& plan);
 
 }  // namespace corkmux::simulation
--- a/tests/heartbeat_fanin_simulation_test.cc
+++ b/tests/heartbeat_fanin_simulation_test.cc
@@ -6,6 +6,7 @@
 #include <algorithm>
 
 #include "cluster_simulation.h"
+#include "simulation_plan_parser.h"
 
 namespace corkmux::simulation {
 namespace {
@@ -40,7 +41,7 @@
     EXPECT_TRUE(simulation.good()) << day << " seed " << seed << "\n" << told;
     EXPECT_GT(simulation.checker().starts(), 200);
     // Without batches and orders between controllers nothing was tried.
-    const auto& requests = simulation.simulator().peer_requests();
+    const auto& requests = simulation.network().peer_requests();
     ASSERT_TRUE(requests.count("/peer/reports") && requests.count("/peer/orders")) << day << " seed " << seed;
     EXPECT_GT(requests.at("/peer/reports"), 500u);
     EXPECT_GT(requests.at("/peer/orders"), 50u);
--- a/tests/mutation_test.cc
+++ b/tests/mutation_test.cc
@@ -7,6 +7,7 @@
 
 #include "cluster_simulation.h"
 #include "scheduler_model.h"
+#include "simulation_plan_parser.h"
 
 namespace corkmux::simulation {
 namespace {
--- a/tests/simulation_test.cc
+++ b/tests/simulation_test.cc
@@ -10,6 +10,8 @@
 #include <iostream>
 
 #include "cluster_simulation.h"
+#include "random_faults.h"
+#include "simulation_plan_parser.h"
 
 namespace corkmux::simulation {
 namespace {
@@ -127,18 +129,18 @@
                   return w.checker().invalid_refused() < 50 ? 0 : w.checker().concurrent_reads();
                 }},
         Brought{"answers-lost", 6000,
-                [](ClusterSimulation& w) { return static_cast<int>(w.simulator().answers_lost()); }},
+                [](ClusterSimulation& w) { return static_cast<int>(w.network().answers_lost()); }},
         Brought{"at-the-limit", 200,
-                [](ClusterSimulation& w) { return w.occurrences().cancelled_at_quota_limit; }},
-        Brought{"up-at-once", 30, [](ClusterSimulation& w) { return w.occurrences().young_starts; }},
+                [](ClusterSimulation& w) { return w.occurrences().cancelled.at_quota_limit; }},
+        Brought{"up-at-once", 30, [](ClusterSimulation& w) { return w.occurrences().starts_after_boot; }},
         Brought{"old-report-next", 8000,
-                [](ClusterSimulation& w) { return static_cast<int>(w.occurrences().copies); }},
+                [](ClusterSimulation& w) { return static_cast<int>(w.occurrences().heartbeat_copies); }},
         Brought{"one-task-jobs", 1500,
                 [](ClusterSimulation& w) { return w.checker().by_class().at("sheet").cancelled; }},
         // And what else the page names.
         Brought{"zone-bound-losses", 100, lost_to("died")},
         Brought{"held-back", 300,
-                [](ClusterSimulation& w) { return static_cast<int>(w.simulator().held_back()); }},
+                [](ClusterSimulation& w) { return static_cast<int>(w.network().held_back()); }},
         Brought{"all-away", 100, lost_to("lease")}, Brought{"mute", 100, lost_to("lease")},
         Brought{"ten-leaders", 90, [](ClusterSimulation& w) { return w.terms(); }},
         Brought{"slow-links", 200, [](ClusterSimulation& w) { return w.checker().cancels_told(55, 135); }},
@@ -162,7 +164,7 @@
   for (int step = 0; step < 10; ++step) {
     auto plan = load_plan(file("combined-faults"), "at-the-handover");
     for (auto& f : plan.faults)
-      if (f.kind == "cancel_now") f.at_s += 0.4 * step;
+      if (f.kind == FaultKind::CancelRunningJobs) f.at_s += 0.4 * step;
     ClusterSimulation simulation(plan, static_cast<std::uint64_t>(step + 1));
     simulation.run();
     EXPECT_TRUE(simulation.good()) << "moved by " << 0.4 * step << " s\n" << told(simulation);
