--- a/src/simulation/cluster_simulation.cc
+++ b/src/simulation/cluster_simulation.cc
@@ -30,9 +30,20 @@
   simulator_.run_as(services_host_, [&] { make_services(); });
   make_cluster();
   simulator_.run_as(users_host_, [&] { make_users(); });
-  faults_ = std::make_unique<FaultInjector>(FaultInjector::Targets{
-      plan_, simulator_, services_host_, *state_, *cloud_, *controllers_, *machines_, users_host_, *users_,
-      *arrivals_, *registry_, checker_, *leader_detector_, history_});
+  faults_ = std::make_unique<FaultInjector>(FaultInjector::Targets{.plan = plan_,
+                                                                   .simulator = simulator_,
+                                                                   .services_host = services_host_,
+                                                                   .state = *state_,
+                                                                   .cloud = *cloud_,
+                                                                   .controllers = *controllers_,
+                                                                   .machines = *machines_,
+                                                                   .users_host = users_host_,
+                                                                   .users = *users_,
+                                                                   .arrivals = *arrivals_,
+                                                                   .registry = *registry_,
+                                                                   .checker = checker_,
+                                                                   .leader_detector = *leader_detector_,
+                                                                   .history = history_});
   faults_->schedule_plan();
   progress_ = std::make_unique<ProgressSampler>(
       ProgressSampler::Sources{simulator_, plan_.teams, checker_, *registry_, *controllers_, *machines_});
--- a/src/simulation/controller_fleet.h
+++ b/src/simulation/controller_fleet.h
@@ -58,8 +58,8 @@
 
 class ControllerFleet {
  public:
-  /// Opens a listener of the state service for each controller of the plan. `services_ip`: of state service
-  /// and cloud.
+  /// Opens a listener of the state service for each controller of the plan. `services_host` runs state
+  /// service and cloud. Simulator and plan have to outlive the fleet.
   ControllerFleet(EventSimulator& simulator, const SimulationPlan& plan, Host& services_host, State& state,
                   int cloud_port);
 
--- a/src/simulation/fault_injector.cc
+++ b/src/simulation/fault_injector.cc
@@ -12,69 +12,55 @@
 using HostPair = SimulatedNetwork::HostPair;
 using DeliveryMode = SimulatedNetwork::DelayedDelivery::Mode;
 
+constexpr const char* kTransactionPath = "/multi";            // of the state service
+constexpr const char* kHeartbeatPath = "/v1/report";          // of controllers
+constexpr const char* kHeartbeatBatchPath = "/peer/reports";  // of controllers, for one another
+constexpr const char* kCommandBatchPath = "/peer/orders";     // of controllers, for one another
+
 HostPair between_roles(HostRole sender, HostRole receiver) {
   return [sender, receiver](const Host& from, const Host& to) {
     return from.role() == sender && to.role() == receiver;
   };
 }
 
-/// A delivery fault that is in force until then.
-SimulatedNetwork::DelayedDelivery delayed_delivery(HostPair between, std::string path, DeliveryMode mode,
-                                                   const Fault& fault, double until) {
-  SimulatedNetwork::DelayedDelivery delayed;
-  delayed.between = std::move(between);
-  delayed.path = std::move(path);
-  delayed.mode = mode;
-  delayed.share = fault.share;
-  delayed.min_delay_s = kMinDeliveryDelay;
-  delayed.max_delay_s = kMaxWriteDelay;
-  delayed.until = until;
-  return delayed;
-}
-
 }  // namespace
 
-const std::vector<FaultInjector::Handler>& FaultInjector::handlers() {
-  static const std::vector<Handler> by_kind = [] {
-    std::vector<Handler> handlers(fault_kinds().size());
-    auto handle = [&](FaultKind kind, Handler handler) {
-      handlers[static_cast<std::size_t>(kind)] = handler;
-    };
-    handle(FaultKind::StateAnswersLost, &FaultInjector::lose_state_answers);
-    handle(FaultKind::FanInBatchesRepeated, &FaultInjector::repeat_fanin_batches);
-    handle(FaultKind::CancelAtJobEnd, &FaultInjector::cancel_jobs_at_end);
-    handle(FaultKind::CancelRunningJobs, &FaultInjector::cancel_running_jobs);
-    handle(FaultKind::ConcurrentReads, &FaultInjector::read_concurrently);
-    handle(FaultKind::CloudOutage, &FaultInjector::stop_cloud);
-    handle(FaultKind::JobBurst, &FaultInjector::burst_jobs);
-    handle(FaultKind::FanInBatchesLate, &FaultInjector::delay_fanin_batches);
-    handle(FaultKind::CommandsRepeated, &FaultInjector::repeat_commands);
-    handle(FaultKind::HeartbeatsRepeated, &FaultInjector::repeat_heartbeats);
-    handle(FaultKind::WritesLate, &FaultInjector::delay_writes);
-    handle(FaultKind::MachinePartition, &FaultInjector::partition_machines);
-    handle(FaultKind::MachineReceivesNothing, &FaultInjector::lose_messages_to_machines);
-    handle(FaultKind::MachineDeath, &FaultInjector::terminate_machines);
-    handle(FaultKind::MachineHang, &FaultInjector::hang_machines);
-    handle(FaultKind::MachineReachesNobody, &FaultInjector::lose_requests_of_machines);
-    handle(FaultKind::MachineFaulty, &FaultInjector::make_machines_faulty);
-    handle(FaultKind::ControllerCrash, &FaultInjector::crash_controllers);
-    handle(FaultKind::ControllerPartition, &FaultInjector::partition_controllers);
-    handle(FaultKind::ControllerPowerOff, &FaultInjector::power_off_controllers);
-    handle(FaultKind::ControllerStall, &FaultInjector::stall_controllers);
-    handle(FaultKind::RollingRestart, &FaultInjector::restart_all_controllers);
-    handle(FaultKind::ControllerSlowLinks, &FaultInjector::slow_links_of_controllers);
-    handle(FaultKind::InvalidRequests, &FaultInjector::send_invalid_requests);
-    handle(FaultKind::PeersRefuse, &FaultInjector::refuse_between_peers);
-    handle(FaultKind::PollStorm, &FaultInjector::poll_more);
-    handle(FaultKind::SpotReclaim, &FaultInjector::reclaim_spot_machines);
-    handle(FaultKind::StateLimits, &FaultInjector::lower_state_limits);
-    handle(FaultKind::StateOutage, &FaultInjector::stop_state_service);
-    handle(FaultKind::StateRefusal, &FaultInjector::refuse_at_state_service);
-    handle(FaultKind::StateSlow, &FaultInjector::slow_links_to_state_service);
-    handle(FaultKind::ZoneIsolation, &FaultInjector::isolate_zone);
-    handle(FaultKind::ZonePartition, &FaultInjector::partition_zones);
-    return handlers;
-  }();
+const std::map<FaultKind, FaultInjector::Handler>& FaultInjector::handlers() {
+  static const std::map<FaultKind, Handler> by_kind = {
+      {FaultKind::StateAnswersLost, &FaultInjector::lose_state_answers},
+      {FaultKind::FanInBatchesRepeated, &FaultInjector::repeat_fanin_batches},
+      {FaultKind::CancelAtJobEnd, &FaultInjector::cancel_jobs_at_end},
+      {FaultKind::CancelRunningJobs, &FaultInjector::cancel_running_jobs},
+      {FaultKind::ConcurrentReads, &FaultInjector::read_concurrently},
+      {FaultKind::CloudOutage, &FaultInjector::stop_cloud},
+      {FaultKind::JobBurst, &FaultInjector::burst_jobs},
+      {FaultKind::FanInBatchesLate, &FaultInjector::delay_fanin_batches},
+      {FaultKind::CommandsRepeated, &FaultInjector::repeat_commands},
+      {FaultKind::HeartbeatsRepeated, &FaultInjector::repeat_heartbeats},
+      {FaultKind::WritesLate, &FaultInjector::delay_writes},
+      {FaultKind::MachinePartition, &FaultInjector::partition_machines},
+      {FaultKind::MachineReceivesNothing, &FaultInjector::lose_messages_to_machines},
+      {FaultKind::MachineDeath, &FaultInjector::terminate_machines},
+      {FaultKind::MachineHang, &FaultInjector::hang_machines},
+      {FaultKind::MachineReachesNobody, &FaultInjector::lose_requests_of_machines},
+      {FaultKind::MachineFaulty, &FaultInjector::make_machines_faulty},
+      {FaultKind::ControllerCrash, &FaultInjector::crash_controllers},
+      {FaultKind::ControllerPartition, &FaultInjector::partition_controllers},
+      {FaultKind::ControllerPowerOff, &FaultInjector::power_off_controllers},
+      {FaultKind::ControllerStall, &FaultInjector::stall_controllers},
+      {FaultKind::RollingRestart, &FaultInjector::restart_all_controllers},
+      {FaultKind::ControllerSlowLinks, &FaultInjector::slow_links_of_controllers},
+      {FaultKind::InvalidRequests, &FaultInjector::send_invalid_requests},
+      {FaultKind::PeersRefuse, &FaultInjector::refuse_between_peers},
+      {FaultKind::PollStorm, &FaultInjector::poll_more},
+      {FaultKind::SpotReclaim, &FaultInjector::reclaim_spot_machines},
+      {FaultKind::StateLimits, &FaultInjector::lower_state_limits},
+      {FaultKind::StateOutage, &FaultInjector::stop_state_service},
+      {FaultKind::StateRefusal, &FaultInjector::refuse_at_state_service},
+      {FaultKind::StateSlow, &FaultInjector::slow_links_to_state_service},
+      {FaultKind::ZoneIsolation, &FaultInjector::isolate_zone},
+      {FaultKind::ZonePartition, &FaultInjector::partition_zones},
+  };
   return by_kind;
 }
 
@@ -85,7 +71,8 @@
 
 void FaultInjector::begin(const Fault& fault) {
   targets_.history.note("trouble: " + fault_to_toml(fault));
-  (this->*handlers().at(static_cast<std::size_t>(fault.kind)))(fault);
+  auto handler = handlers().at(fault.kind);
+  (this->*handler)(fault);
 }
 
 // ---------------------------------------------------------------- controllers
@@ -265,43 +252,57 @@
 
 // ---------------------------------------------------------------- late and repeated messages
 
+void FaultInjector::delay_deliveries(const Fault& fault, HostPair between, std::string path,
+                                     DeliveryMode mode, double max_delay_s) {
+  SimulatedNetwork::DelayedDelivery delayed;
+  delayed.between = std::move(between);
+  delayed.path = std::move(path);
+  delayed.mode = mode;
+  delayed.share = fault.share;
+  delayed.min_delay_s = kMinDeliveryDelay;
+  delayed.max_delay_s = max_delay_s;
+  delayed.until = end_of(fault);
+  targets_.simulator.network().delay_deliveries(std::move(delayed));
+}
+
+double FaultInjector::max_worker_message_delay() const {
+  return kMaxWorkerMessageDelayLeases * targets_.plan.site.lease_s;
+}
+
 void FaultInjector::delay_writes(const Fault& fault) {
   writes_late_until_ = end_of(fault);
-  const std::string path = "/multi";
   if (fault.at_once)
-    return targets_.simulator.network().lose_answers(between_roles(HostRole::Services, HostRole::Controller),
-                                                     fault.share, end_of(fault), path);
-  targets_.simulator.network().delay_deliveries(
-      delayed_delivery(between_roles(HostRole::Controller, HostRole::Services), path, DeliveryMode::Late,
-                       fault, end_of(fault)));
+    targets_.simulator.network().lose_answers(between_roles(HostRole::Services, HostRole::Controller),
+                                              fault.share, end_of(fault), kTransactionPath);
+  else
+    delay_deliveries(fault, between_roles(HostRole::Controller, HostRole::Services), kTransactionPath,
+                     DeliveryMode::Late, kMaxControllerMessageDelay);
 }
 
 void FaultInjector::repeat_heartbeats(const Fault& fault) {
-  auto mode = fault.for_next ? DeliveryMode::Retained : DeliveryMode::Repeated;
-  auto repeated = delayed_delivery(between_roles(HostRole::Worker, HostRole::Controller), "/v1/report", mode,
-                                   fault, end_of(fault));
-  repeated.max_delay_s = kMaxHeartbeatDelayLeases * targets_.plan.site.lease_s;
   if (fault.for_next) targets_.leader_detector.check_often_until(end_of(fault));
-  targets_.simulator.network().delay_deliveries(std::move(repeated));
+  delay_deliveries(fault, between_roles(HostRole::Worker, HostRole::Controller), kHeartbeatPath,
+                   fault.for_next ? DeliveryMode::Retained : DeliveryMode::Repeated,
+                   max_worker_message_delay());
 }
 
 void FaultInjector::repeat_commands(const Fault& fault) {
-  auto repeated = delayed_delivery(between_roles(HostRole::Controller, HostRole::Worker),
-                                   codec::kCommandsPath, DeliveryMode::Repeated, fault, end_of(fault));
-  repeated.max_delay_s = kMaxHeartbeatDelayLeases * targets_.plan.site.lease_s;
-  targets_.simulator.network().delay_deliveries(std::move(repeated));
+  delay_deliveries(fault, between_roles(HostRole::Controller, HostRole::Worker), codec::kCommandsPath,
+                   DeliveryMode::Repeated, max_worker_message_delay());
 }
 
-void FaultInjector::delay_fanin_paths(const Fault& fault, DeliveryMode mode) {
-  for (const char* path : {"/peer/reports", "/peer/orders"})
-    targets_.simulator.network().delay_deliveries(delayed_delivery(
-        between_roles(HostRole::Controller, HostRole::Controller), path, mode, fault, end_of(fault)));
+void FaultInjector::delay_fanin_messages(const Fault& fault, DeliveryMode mode) {
+  for (const char* path : {kHeartbeatBatchPath, kCommandBatchPath})
+    delay_deliveries(fault, between_roles(HostRole::Controller, HostRole::Controller), path, mode,
+                     kMaxControllerMessageDelay);
 }
 
-void FaultInjector::delay_fanin_batches(const Fault& fault) { delay_fanin_paths(fault, DeliveryMode::Late); }
+void FaultInjector::delay_fanin_batches(const Fault& fault) {
+  delay_fanin_messages(fault, DeliveryMode::Late);
+}
 
 void FaultInjector::repeat_fanin_batches(const Fault& fault) {
-  delay_fanin_paths(fault, DeliveryMode::Repeated);
+  delay_fanin_messages(fault, DeliveryMode::Repeated);
 }
 
 // ---------------------------------------------------------------- users and their jobs
--- a/src/simulation/fault_injector.h
+++ b/src/simulation/fault_injector.h
@@ -2,6 +2,7 @@
 // have to remember; what it does them to belongs to the simulation.
 #pragma once
 #include <functional>
+#include <map>
 #include <set>
 #include <string>
 #include <vector>
@@ -21,9 +22,9 @@
 namespace corkmux::simulation {
 
 // What comes late, as the operators' bench has it.
-inline constexpr double kMinDeliveryDelay = 2;           // s
-inline constexpr double kMaxWriteDelay = 12;             // s
-inline constexpr double kMaxHeartbeatDelayLeases = 1.5;  // leases
+inline constexpr double kMinDeliveryDelay = 2;               // s
+inline constexpr double kMaxControllerMessageDelay = 12;     // s
+inline constexpr double kMaxWorkerMessageDelayLeases = 1.5;  // leases
 
 inline constexpr std::size_t kMaxHangingMachines = 8;  // that hang as running jobs are cancelled
 inline constexpr double kSlowLinkFactor = 10;          // by which a plan's factor of slow links is multiplied
@@ -64,8 +65,7 @@
 
  private:
   using Handler = void (FaultInjector::*)(const Fault&);
-  /// By kind.
-  static const std::vector<Handler>& handlers();
+  static const std::map<FaultKind, Handler>& handlers();
   void begin(const Fault& fault);
   /// s of simulated time.
   double end_of(const Fault& fault) const { return targets_.simulator.now() + fault.for_s; }
@@ -114,7 +114,10 @@
   int machine_count(const Fault& fault, bool spot_only) const;
   std::set<const Host*> draw_machine_hosts(const Fault& fault);
   void partition(const Fault& fault, PartitionMode mode, SimulatedNetwork::HostPair from_to);
-  void delay_fanin_paths(const Fault& fault, SimulatedNetwork::DelayedDelivery::Mode mode);
+  void delay_fanin_messages(const Fault& fault, SimulatedNetwork::DelayedDelivery::Mode mode);
+  void delay_deliveries(const Fault& fault, SimulatedNetwork::HostPair between, std::string path,
+                        SimulatedNetwork::DelayedDelivery::Mode mode, double max_delay_s);
+  double max_worker_message_delay() const;  // s
   /// Of these machines, as many as may hang at once.
   void hang_some(const std::vector<std::string>& machines, double for_s);
   void count_cancelled(const std::string& job, const std::vector<std::string>& machines);
--- a/src/simulation/simulation_constants.h
+++ b/src/simulation/simulation_constants.h
@@ -5,10 +5,8 @@
 namespace corkmux::simulation {
 
 // --- state service ---
-inline constexpr std::size_t kHistory = 10000;    // changes kept (PROTOCOL)
-inline constexpr std::size_t kMostItems = 1000;   // a page (PROTOCOL)
-inline constexpr double kLeaseExpiryDelay = 0.1;  // s by which a lease may end late (PROTOCOL)
-
+inline constexpr std::size_t kHistory = 10000;          // changes kept (PROTOCOL)
+inline constexpr std::size_t kMostItems = 1000;         // a page (PROTOCOL)
 inline constexpr std::size_t kStateConnections = 2000;  // a door takes; twenty controllers open some 260
 
 // --- cloud ---
@@ -34,14 +32,14 @@
 inline constexpr double kConcurrentReadWindow = 0.02;    // s in which they come
 
 // --- users (PROTOCOL) ---
-inline constexpr double kSubmitWait = 5;       // s
-inline constexpr double kPollWait = 2;         // s
-inline constexpr double kPollEvery = 5;        // s
-inline constexpr double kSubmitGiveUp = 60;    // s
-inline constexpr double kAgain = 1;            // s
-inline constexpr double kReadyEvery = 1;       // s
-inline constexpr double kReadyWait = 1;        // s
-inline constexpr double kReadyPause = 3;       // s
+inline constexpr double kSubmitWait = 5;     // s that a user waits for the answer to a submission or a cancel
+inline constexpr double kPollWait = 2;       // s that a user waits for the answer to a status query
+inline constexpr double kPollEvery = 5;      // s between a user's status queries
+inline constexpr double kSubmitGiveUp = 60;  // s after which a user submits no more
+inline constexpr double kAgain = 1;          // s until a user tries again
+inline constexpr double kReadyEvery = 1;     // s between the load balancer's readiness probes
+inline constexpr double kReadyWait = 1;      // s that it waits for the answer
+inline constexpr double kReadyPause = 3;     // s for which a removed controller stays out, doubled each time
 inline constexpr double kReadyPauseMost = 60;  // s
 inline constexpr double kRefusedPause = 3;     // s without new connections after three that failed
 inline constexpr double kSilentPolls = 90;     // s in which every poll for a job fails: forgotten
--- a/src/simulation/simulation_plan_parser.cc
+++ b/src/simulation/simulation_plan_parser.cc
@@ -126,7 +126,7 @@
     first = false;
     if (!wanted) return;
     found = true;
-    plan.name += "/" + reader.text("name");
+    plan.name.append("/").append(reader.text("name"));
     reader.each("faults", false, [&](const Reader& fault) { plan.faults.push_back(parse_fault(fault)); });
   });
   if (!found) throw SettingsError(file + ": no day '" + scenario + "'");
--- a/tests/mutation_test.cc
+++ b/tests/mutation_test.cc
@@ -1,5 +1,6 @@
-// One defect each in election, keeper, lease watch, mail, book, peers, proofs and gateway: a world must find
-// it, and is good without it. Built from the same sources with CORKMUX_MUTATIONS.
+// Mutation testing: one defect each in election, lease proxy, lease expiry, store relay, scheduler, cancel
+// gossip, linearizable reads, user API and heartbeat fan-in. A simulation must find it, and is good without
+// it. Built from the same sources with CORKMUX_MUTATIONS.
 #include "mutation.h"
 
 #include <gtest/gtest.h>
@@ -12,62 +13,72 @@
 namespace corkmux::simulation {
 namespace {
 
-struct Case {
-  const char *defect, *file, *day;
-  int seeds;  // of which one at least has to find it; keepers and mail stand in for each other in most
+struct MutationCase {
+  const char* module;
+  const char* mutation;
+  const char* plan;
+  const char* scenario;
+  int seeds;  // of which one at least has to find it; lease proxy and store relay stand in for each other in
+              // most
 };
+void PrintTo(const MutationCase& parameters, std::ostream* out) { *out << parameters.mutation; }
 
-class Planted : public ::testing::TestWithParam<Case> {
+class Mutation : public ::testing::TestWithParam<MutationCase> {
  protected:
   void SetUp() override { spdlog::set_level(spdlog::level::off); }
   void TearDown() override { enabled_mutation.clear(); }
-  static std::vector<std::string> play(const SimulationPlan& plan, std::uint64_t seed, const char* defect) {
-    enabled_mutation = defect;
+  /// Problems of the simulation with that mutation; an empty name: with none.
+  static std::vector<std::string> play(const SimulationPlan& plan, std::uint64_t seed, const char* mutation) {
+    enabled_mutation = mutation;
     ClusterSimulation simulation(plan, seed);
     simulation.run();
     return simulation.problems();
   }
 };
 
-TEST_P(Planted, IsFoundByAWorldThatIsGoodWithoutIt) {
-  auto plan = load_plan(std::string(SIMULATIONS) + "/" + GetParam().file + ".toml", GetParam().day);
+TEST_P(Mutation, IsFoundByASimulationThatIsGoodWithoutIt) {
+  const auto& parameters = GetParam();
+  auto plan = load_plan(std::string(SIMULATIONS) + "/" + parameters.plan + ".toml", parameters.scenario);
   bool found = false;
-  for (int seed = 1; seed <= GetParam().seeds && !found; ++seed) {
-    auto wrong = play(plan, static_cast<std::uint64_t>(seed), "");
-    EXPECT_TRUE(wrong.empty()) << "seed " << seed << ": " << wrong.front();
-    found = !play(plan, static_cast<std::uint64_t>(seed), GetParam().defect).empty();
+  for (int seed = 1; seed <= parameters.seeds && !found; ++seed) {
+    auto problems = play(plan, static_cast<std::uint64_t>(seed), "");
+    EXPECT_TRUE(problems.empty()) << "seed " << seed << ": " << problems.front();
+    found = !play(plan, static_cast<std::uint64_t>(seed), parameters.mutation).empty();
   }
-  EXPECT_TRUE(found) << GetParam().defect;
+  EXPECT_TRUE(found) << parameters.mutation;
 }
 
-std::string part(const ::testing::TestParamInfo<Case>& info) {
-  static const std::vector<std::string> parts = {"election", "keeper",  "lease_watch",   "mail",  "book",
-                                                 "orders",   "peers",   "proofs",        "gangs", "gateway",
-                                                 "serving",  "batches", "relayed_orders"};
-  return parts[info.index];
-}
 INSTANTIATE_TEST_SUITE_P(
-    Worlds, Planted,
+    Simulations, Mutation,
     ::testing::Values(
-        Case{"a term is used twice", "forty", "restarts", 10},
-        Case{"a keeper answers before its record is stored", "scarce", "apart-and-leaders-end", 60},
-        Case{"keepers are not asked", "scarce", "apart-and-leaders-end", 60},
-        Case{"mail for the leader is not read", "scarce", "apart", 60},
-        Case{"half a lease counts as a whole one", "forty", "zone-cut", 10},
-        Case{"what was cleared can be launched again", "forty", "orders-again", 5},
-        Case{"cancels of peers are not heard", "long", "away-before-anybody-follows", 5},
-        Case{"what was read before is told again", "combined-faults", "asked-at-once", 2},
-        Case{"a gang that is done has left all machines", "combined-faults", "at-the-limit", 40},
-        Case{"a repeat of what is stored is refused", "combined-faults", "answers-lost", 2},
-        Case{"a serving controller answers without the leader", "serving", "leaders-change", 10},
-        Case{"answers of a batch are mixed up", "serving", "servers-crash", 10},
-        Case{"an unanswered batch of orders counts as unsent", "serving", "late-batches", 10}),
-    part);
+        MutationCase{"election", "a term is used twice", "forty", "restarts", 10},
+        MutationCase{"lease_proxy", "a keeper answers before its record is stored", "scarce",
+                     "apart-and-leaders-end", 60},
+        MutationCase{"lease_expiry", "keepers are not asked", "scarce", "apart-and-leaders-end", 60},
+        MutationCase{"store_relay", "mail for the leader is not read", "scarce", "apart", 60},
+        MutationCase{"lease_length", "half a lease counts as a whole one", "forty", "zone-cut", 10},
+        MutationCase{"acknowledged_commands", "what was cleared can be launched again", "forty",
+                     "orders-again", 5},
+        MutationCase{"cancel_gossip", "cancels of peers are not heard", "long", "away-before-anybody-follows",
+                     5},
+        MutationCase{"linearizable_reads", "what was read before is told again", "combined-faults",
+                     "asked-at-once", 2},
+        MutationCase{"gangs", "a gang that is done has left all machines", "combined-faults", "at-the-limit",
+                     40},
+        MutationCase{"user_api", "a repeat of what is stored is refused", "combined-faults", "answers-lost",
+                     2},
+        MutationCase{"heartbeat_fanin", "a serving controller answers without the leader", "serving",
+                     "leaders-change", 10},
+        MutationCase{"heartbeat_batches", "answers of a batch are mixed up", "serving", "servers-crash", 10},
+        MutationCase{"command_batches", "an unanswered batch of orders counts as unsent", "serving",
+                     "late-batches", 10}),
+    [](const auto& info) { return std::string(info.param.module); });
 
-/// In the book alone, against a plain model: what is not urgent ends up below half without the floor.
-TEST(PlantedFloor, LeavesAClassBelowHalf) {
-  auto served = [](const char* defect) {
-    enabled_mutation = defect;
+/// The scheduler alone, against a plain model: what is not urgent ends up below half without starvation
+/// protection.
+TEST(ReservedCapacityMutation, LeavesAClassBelowHalf) {
+  auto served = [](const char* mutation) {
+    enabled_mutation = mutation;
     Model model(1, 0);
     model.flood();
     enabled_mutation.clear();
