--- a/src/scale_test/event_merger.cc
+++ b/src/scale_test/event_merger.cc
@@ -1,60 +1,91 @@
 #include "event_merger.h"
 
 #include <algorithm>
+#include <utility>
+#include <variant>
 
 namespace corkmux::scale_test {
 
+using simulation::UserAnswer;
+
 EventMerger::EventMerger(std::vector<Team> teams, double cancel_s, std::size_t hosts, Listener& listener)
     : listener_(listener), checker_(std::move(teams), cancel_s, [this] { return now_; }) {
-  for (std::size_t i = 0; i < hosts; ++i) complete_until_[static_cast<int>(i)] = 0;
+  for (std::size_t host = 0; host < hosts; ++host) complete_until_[static_cast<int>(host)] = 0;
 }
 
-void EventMerger::add(const HostStatus& report,
+// ---------------------------------------------------------------- machines
+
+void EventMerger::add(const HostStatus& status,
                       const std::map<std::string, simulation::MachineFacts>& machines,
                       simulation::JobRegistry& jobs) {
-  for (const auto& event : report.events) {
+  for (const auto& event : status.events) {
     if (event.kind == MachineEvent::Kind::Up) continue;
-    simulation::SimulatedJob* work = jobs.find(event.job);
-    if (!work) continue;  // a machine was told to start what nobody submitted: the worker refuses that itself
-    auto machine = machines.find(event.machine);
-    at(event.at, [this, event, facts = machine == machines.end() ? nullptr : &machine->second, work] {
-      machine_event(event, facts, *work);
-    });
+    simulation::SimulatedJob* job = jobs.find(event.job);
+    if (!job) continue;  // a machine was told to start what nobody submitted: the worker refuses that itself
+    const auto machine = machines.find(event.machine);
+    const simulation::MachineFacts* facts = machine == machines.end() ? nullptr : &machine->second;
+    enqueue(event.at, [this, event, facts, job] { apply_machine_event(event, facts, *job); });
   }
-  auto host = complete_until_.find(report.host);
-  if (host != complete_until_.end()) host->second = std::max(host->second, report.until);
+  const auto host = complete_until_.find(status.host);
+  if (host != complete_until_.end()) host->second = std::max(host->second, status.until);
 }
 
-void EventMerger::machine_event(const MachineEvent& event, const simulation::MachineFacts* machine,
-                                simulation::SimulatedJob& work) {
+void EventMerger::apply_machine_event(const MachineEvent& event, const simulation::MachineFacts* machine,
+                                      simulation::SimulatedJob& job) {
   switch (event.kind) {
     case MachineEvent::Kind::Up:
       return;
     case MachineEvent::Kind::On:
-      listener_.started(work, event.index, event.at);
-      if (machine) checker_.task_placed(*machine, work, event.index, event.attempt);
+      listener_.started(job, event.index, event.at);
+      if (machine) checker_.task_placed(*machine, job, event.index, event.attempt);
       return;
     case MachineEvent::Kind::Off:
-      listener_.left(work, event.why, event.at);
-      return checker_.task_removed(event.machine, work, event.index, event.attempt, event.why);
+      listener_.left(job, event.why, event.at);
+      return checker_.task_removed(event.machine, job, event.index, event.attempt, event.why);
     case MachineEvent::Kind::Lost:
-      return checker_.progress_lost(work, event.why, event.seconds);
+      return checker_.progress_lost(job, event.why, event.seconds);
     case MachineEvent::Kind::Running:
-      listener_.running(work, event.at);
-      return checker_.task_running(work, event.index);
-    case MachineEvent::Kind::Done:
+      listener_.running(job, event.at);
+      return checker_.task_running(job, event.index);
+    case MachineEvent::Kind::Done: {
       // A task that ran again elsewhere, unknown to the first machine's process, is done once.
-      if (work.done[static_cast<std::size_t>(event.index)]) return;
-      work.done[static_cast<std::size_t>(event.index)] = true;
-      return checker_.task_done(work, event.index);
+      const auto index = static_cast<std::size_t>(event.index);
+      if (job.done[index]) return;
+      job.done[index] = true;
+      return checker_.task_done(job, event.index);
+    }
   }
 }
 
 void EventMerger::forget_host(int host) { complete_until_.erase(host); }
 
+// ---------------------------------------------------------------- users
+
+void EventMerger::observe(const simulation::UserEvent& event) {
+  enqueue(run_time(), [this, event, at = run_time()] { apply_user_event(event, at); });
+}
+
+void EventMerger::apply_user_event(const simulation::UserEvent& event, double at) {
+  tell_listener(event, at);
+  checker_.observe(event);
+}
+
+void EventMerger::tell_listener(const simulation::UserEvent& event, double at) {
+  if (const auto* submission = std::get_if<simulation::JobSubmitted>(&event))
+    return listener_.submitted(submission->spec, at);
+  const auto* answer = std::get_if<UserAnswer>(&event);
+  if (!answer || answer->to != UserAnswer::To::Submission) return;
+  const bool is_accepted = answer->status == 200 || answer->status == 201;
+  if (!is_accepted) return listener_.refused(answer->status, at);
+  const bool is_first = accepted_.insert(answer->job).second;
+  if (is_first) listener_.accepted(answer->job, at);
+}
+
+// ---------------------------------------------------------------- order
+
 void EventMerger::apply() {
   double until = run_time();
-  for (const auto& [host, told] : complete_until_) until = std::min(until, told);
+  for (const auto& [host, told_until] : complete_until_) until = std::min(until, told_until);
   while (!events_.empty() && events_.begin()->first <= until) {
     auto event = events_.extract(events_.begin());
     now_ = std::max(now_, event.key());
@@ -62,41 +93,4 @@
   }
 }
 
-void EventMerger::submitted(const JobSpec& spec) {
-  now([this, spec, at = run_time()] {
-    listener_.submitted(spec, at);
-    checker_.submitted(spec);
-  });
-}
-void EventMerger::answered_submission(const std::string& job, int status, const std::string& phase,
-                                      double asked_at) {
-  now([=, this, at = run_time()] {
-    bool taken = status == 200 || status == 201;
-    if (taken && !std::exchange(accepted_[job], true)) listener_.accepted(job, at);
-    if (!taken) listener_.refused(status, at);
-    checker_.answered_submission(job, status, phase, asked_at);
-  });
-}
-void EventMerger::gave_up(const std::string& job) {
-  now([=, this] { checker_.gave_up(job); });
-}
-void EventMerger::asks_to_cancel(const std::string& job) {
-  now([=, this] { checker_.asks_to_cancel(job); });
-}
-void EventMerger::answered_cancel(const std::string& job, int status, const std::string& phase,
-                                  double asked_at) {
-  now([=, this] { checker_.answered_cancel(job, status, phase, asked_at); });
-}
-void EventMerger::answered_poll(const std::string& job, int status, const std::string& phase,
-                                double asked_at) {
-  now([=, this] { checker_.answered_poll(job, status, phase, asked_at); });
-}
-void EventMerger::answered_concurrent_read(const std::string& job, int status, const std::string& phase,
-                                           double asked_at) {
-  now([=, this] { checker_.answered_concurrent_read(job, status, phase, asked_at); });
-}
-void EventMerger::answered_invalid(const std::string& job, int status, int wanted) {
-  now([=, this] { checker_.answered_invalid(job, status, wanted); });
-}
-
 }  // namespace corkmux::scale_test
--- a/src/scale_test/event_merger.h
+++ b/src/scale_test/event_merger.h
@@ -4,6 +4,8 @@
 #pragma once
 #include <functional>
 #include <map>
+#include <set>
+#include <string>
 #include <vector>
 
 #include "invariant_checker.h"
@@ -23,41 +25,35 @@
     virtual void running(const simulation::SimulatedJob& /*work*/, double /*at*/) {}
     virtual void left(const simulation::SimulatedJob& /*work*/, const std::string& /*why*/, double /*at*/) {}
   };
+  /// `hosts`: processes whose statuses are merged, numbered from 0; `listener` outlives the merger.
   EventMerger(std::vector<Team> teams, double cancel_s, std::size_t hosts, Listener& listener);
 
   /// A host's status: its events, and that it has told everything up to a moment.
-  void add(const HostStatus& report, const std::map<std::string, simulation::MachineFacts>& machines,
+  void add(const HostStatus& status, const std::map<std::string, simulation::MachineFacts>& machines,
            simulation::JobRegistry& jobs);
   /// A host that has ended is not waited for any more.
   void forget_host(int host);
+  /// What users see happens now, on this process's clock.
+  void observe(const simulation::UserEvent& event) override;
   /// Tells the checker everything up to the moment that all hosts have told.
   void apply();
   simulation::InvariantChecker& checker() { return checker_; }
   const simulation::InvariantChecker& checker() const { return checker_; }
 
-  void submitted(const JobSpec& spec) override;
-  void answered_submission(const std::string& job, int status, const std::string& phase,
-                           double asked_at) override;
-  void gave_up(const std::string& job) override;
-  void asks_to_cancel(const std::string& job) override;
-  void answered_cancel(const std::string& job, int status, const std::string& phase,
-                       double asked_at) override;
-  void answered_poll(const std::string& job, int status, const std::string& phase, double asked_at) override;
-  void answered_concurrent_read(const std::string& job, int status, const std::string& phase,
-                                double asked_at) override;
-  void answered_invalid(const std::string& job, int status, int wanted) override;
-
  private:
-  void at(double time, std::function<void()> event) { events_.emplace(time, std::move(event)); }
-  void now(std::function<void()> event) { at(run_time(), std::move(event)); }
-  void machine_event(const MachineEvent& event, const simulation::MachineFacts* machine,
-                     simulation::SimulatedJob& work);
+  /// To be told in its turn.
+  void enqueue(double time, std::function<void()> event) { events_.emplace(time, std::move(event)); }
+  void apply_machine_event(const MachineEvent& event, const simulation::MachineFacts* machine,
+                           simulation::SimulatedJob& job);
+  void apply_user_event(const simulation::UserEvent& event, double at);
+  void tell_listener(const simulation::UserEvent& event, double at);
+
   Listener& listener_;
-  double now_ = 0;
+  double now_ = 0;  // of the event that was told last
   simulation::InvariantChecker checker_;
   std::map<int, double> complete_until_;                 // by host
   std::multimap<double, std::function<void()>> events_;  // equal times in the order of their arrival
-  std::map<std::string, bool> accepted_;
+  std::set<std::string> accepted_;
 };
 
 }  // namespace corkmux::scale_test
--- a/src/simulation/cloud.cc
+++ b/src/simulation/cloud.cc
@@ -1,132 +1,190 @@
 #include "cloud.h"
 
+#include <fmt/format.h>
+
 #include <algorithm>
 
 #include "simulation_constants.h"
 
 namespace corkmux::simulation {
+
+using codec::Json;
+
 namespace {
+
+constexpr double kMinBilledTime = 60;  // s
+constexpr double kSecondsPerHour = 3600;
+constexpr int kMaxProvisionedAtOnce = 50;
+constexpr std::size_t kMaxListedAtOnce = 500;
+// A boot takes between these multiples of its type's usual time, a list's age of the usual lag.
+constexpr double kMinBootShare = 0.6;
+constexpr double kMaxBootShare = 1.5;
+constexpr double kMinLagShare = 0.5;
+constexpr double kMaxLagShare = 2;
+
 MachineType small_type() { return {"g8", {16, 0, 64}, 50, 1.0, 1.0, 0.5, 1, {"a", "b"}}; }
+
 }  // namespace
 
 Cloud::Cloud(Loop& loop, std::vector<MachineType> types, std::vector<Capacity> capacity, double list_lag_s,
-             Callbacks hooks, const std::string& listen)
+             Callbacks callbacks, const std::string& listen)
     : loop_(loop),
       types_(std::move(types)),
       capacity_(std::move(capacity)),
       list_lag_s_(list_lag_s),
-      callbacks_(std::move(hooks)),
+      callbacks_(std::move(callbacks)),
       rng_(fresh_seed()),
-      server_(loop, listen, kCloudConnections, [this](Id id, http::Request r) { serve(id, std::move(r)); }) {}
+      server_(loop, listen, kCloudConnections,
+              [this](http::Server::ConnectionId id, const http::Request& request) {
+                answer(id, handle(request));
+              }) {}
+
 Cloud::Cloud(Loop& loop) : Cloud(loop, {small_type()}, {}, 0, {}) {}
 
+// ---------------------------------------------------------------- machines
+
 Cloud::Machine& Cloud::create(const std::string& type, const std::string& zone, bool spot) {
-  char name[16];
-  std::snprintf(name, sizeof name, "n-%06d", ++named_);
-  auto t = std::find_if(types_.begin(), types_.end(), [&](const auto& x) { return x.name == type; });
-  Machine& m = machines_[name];
-  m.facts = {name, *t, zone, spot};
-  m.rented = steady_now();
-  return m;
+  const auto name = fmt::format("n-{:06d}", ++last_machine_);
+  const auto known_type = std::find_if(types_.begin(), types_.end(),
+                                       [&](const MachineType& candidate) { return candidate.name == type; });
+  Machine& machine = machines_[name];
+  machine.facts = {name, *known_type, zone, spot};
+  machine.provisioned_at = steady_now();
+  return machine;
 }
+
 MachineFacts Cloud::add_machine(const std::string& type, const std::string& zone, bool spot) {
-  Machine& m = create(type, zone, spot);
-  m.up = m.rented;
-  return m.facts;
+  Machine& machine = create(type, zone, spot);
+  machine.up_at = machine.provisioned_at;
+  return machine.facts;
+}
+
+void Cloud::machine_died(const std::string& name) { machines_.at(name).died_at = steady_now(); }
+
+void Cloud::machine_reclaimed(const std::string& name) { machines_.at(name).gone_at = steady_now(); }
+
+void Cloud::boot(Machine& machine, double after_s) {
+  boots_.push_back(std::make_unique<Timer>(loop_));
+  boots_.back()->once(after_s, [this, &machine] {
+    if (machine.gone_at) return;
+    machine.up_at = steady_now();
+    if (callbacks_.booted) callbacks_.booted(machine.facts);
+  });
+}
+
+int Cloud::free_capacity(const std::string& type, const std::string& zone, bool spot) const {
+  int free = 0;
+  for (const auto& capacity : capacity_)
+    if (capacity.type == type && capacity.zone == zone && capacity.spot == spot) free = capacity.max_machines;
+  for (const auto& [name, machine] : machines_) {
+    const MachineFacts& facts = machine.facts;
+    const bool there = !machine.gone_at && !machine.died_at;
+    if (there && facts.type.name == type && facts.zone == zone && facts.spot == spot) --free;
+  }
+  return free;
 }
-void Cloud::machine_died(const std::string& name) { machines_.at(name).died = steady_now(); }
-void Cloud::machine_reclaimed(const std::string& name) { machines_.at(name).gone = steady_now(); }
 
 double Cloud::cost() const {
-  double sum = 0;
-  for (const auto& [name, m] : machines_) {
-    double end = m.gone > 0 ? std::max(m.gone, m.rented + 60) : m.died > 0 ? m.died : steady_now();
-    sum += (end - m.rented) / 3600 * (m.facts.spot ? m.facts.type.spot_price : m.facts.type.price);
+  double cost = 0;
+  for (const auto& [name, machine] : machines_) {
+    double end = machine.died_at.value_or(steady_now());
+    if (machine.gone_at) end = std::max(*machine.gone_at, machine.provisioned_at + kMinBilledTime);
+    const MachineType& type = machine.facts.type;
+    const double price = machine.facts.spot ? type.spot_price : type.price;
+    cost += (end - machine.provisioned_at) / kSecondsPerHour * price;
   }
-  return sum;
+  return cost;
 }
 
-void Cloud::answer(Id id, int status, const Json& body) {
-  http::Response response{status, codec::pack(body), 0, false};
+// ---------------------------------------------------------------- endpoints
+
+void Cloud::answer(http::Server::ConnectionId id, const ServiceReply& reply) {
+  http::Response response{reply.status, codec::pack(reply.body), 0, false};
   if (!loop_.runtime()) return server_.respond(id, response);
   loop_.runtime()->start(kCloudAnswer,
                          [this, id, response = std::move(response)] { server_.respond(id, response); });
 }
 
-void Cloud::serve(Id id, http::Request r) {
-  if (unavailable) return answer(id, 503, {{"error", "trouble"}});
-  if (!request_rate.take(1)) return answer(id, 429, {{"error", "too many requests"}});
-  if (r.target == "/catalog") return answer(id, 200, codec::catalog_to_wire(types_));
-  Json body = r.body.empty() ? Json::object() : codec::unpack(r.body).value_or(Json::object());
-  if (r.target == "/hosts") return rent(id, body);
-  if (r.target == "/hosts/delete") {
-    ++deletion_requests_;
-    for (const auto& name : body.value("hosts", Json::array())) {
-      auto it = machines_.find(name.get<std::string>());
-      if (it == machines_.end() || it->second.gone > 0) continue;
-      bool was_up = it->second.up > 0 && it->second.died <= 0;
-      it->second.gone = steady_now();
-      if (was_up && callbacks_.gone) callbacks_.gone(it->first);
-    }
-    return answer(id, 200, Json::object());
+ServiceReply Cloud::handle(const http::Request& request) {
+  if (unavailable) return {503, {{"error", "trouble"}}};
+  if (!request_rate.take(1)) return {429, {{"error", "too many requests"}}};
+  if (request.target == "/catalog") return {200, codec::catalog_to_wire(types_)};
+  const Json body =
+      request.body.empty() ? Json::object() : codec::unpack(request.body).value_or(Json::object());
+  if (request.target == "/hosts") return provision(body);
+  if (request.target == "/hosts/delete") return remove(body);
+  return list(request.target);
+}
+
+ServiceReply Cloud::provision(const Json& body) {
+  const auto request_name = body.value("ask", "");
+  if (auto known = provisioned_.find(request_name); known != provisioned_.end()) return {200, known->second};
+  const auto type = body.value("build", "");
+  const auto zone = body.value("room", "");
+  const bool spot = body.value("lendable", false);
+  const int count =
+      std::min({free_capacity(type, zone, spot), body.value("howMany", 0), kMaxProvisionedAtOnce});
+  if (count <= 0) return {503, {{"error", "no capacity"}}};
+  Json names = Json::array();
+  std::uniform_real_distribution<double> boot_share(kMinBootShare, kMaxBootShare);
+  std::uniform_real_distribution<double> chance(0, 1);
+  for (int i = 0; i < count; ++i) {
+    Machine& machine = create(type, zone, spot);
+    names.push_back(machine.facts.name);
+    if (chance(rng_) < kNeverUp) continue;
+    boot(machine, machine.facts.type.boot_s * boot_share(rng_));
   }
-  list(id, r.target);
+  const Json answer = {{"hosts", names}};
+  provisioned_[request_name] = answer;
+  return {200, answer};
 }
 
-void Cloud::rent(Id id, const Json& body) {
-  auto ask = body.value("ask", "");
-  if (auto it = asked_.find(ask); it != asked_.end()) return answer(id, 200, it->second);
-  auto type = body.value("build", ""), zone = body.value("room", "");
-  bool spot = body.value("lendable", false);
-  int left = 0;
-  for (const auto& c : capacity_)
-    if (c.type == type && c.zone == zone && c.spot == spot) left = c.max_machines;
-  for (const auto& [name, m] : machines_)
-    left -= m.gone <= 0 && m.died <= 0 && m.facts.type.name == type && m.facts.zone == zone &&
-            m.facts.spot == spot;
-  int n = std::min({left, body.value("howMany", 0), 50});
-  if (n <= 0) return answer(id, 503, {{"error", "no capacity"}});
-  Json hosts = Json::array();
-  std::uniform_real_distribution<double> boot(0.6, 1.5), one(0, 1);
-  for (int i = 0; i < n; ++i) {
-    Machine& m = create(type, zone, spot);
-    hosts.push_back(m.facts.name);
-    if (one(rng_) < kNeverUp) continue;
-    boots_.push_back(std::make_unique<Timer>(loop_));
-    boots_.back()->once(m.facts.type.boot_s * boot(rng_), [this, &m] {
-      if (m.gone > 0) return;
-      m.up = steady_now();
-      if (callbacks_.up) callbacks_.up(m.facts);
-    });
+ServiceReply Cloud::remove(const Json& body) {
+  ++deletion_requests_;
+  for (const auto& name : body.value("hosts", Json::array())) {
+    const auto found = machines_.find(name.get<std::string>());
+    if (found == machines_.end() || found->second.gone_at) continue;
+    Machine& machine = found->second;
+    const bool was_up = machine.up_at && !machine.died_at;
+    machine.gone_at = steady_now();
+    if (was_up && callbacks_.deleted) callbacks_.deleted(found->first);
   }
-  asked_[ask] = {{"hosts", hosts}};
-  answer(id, 200, asked_[ask]);
+  return {200, Json::object()};
 }
 
-void Cloud::list(Id id, const std::string& target) {
-  auto after = query(target, "after");
-  auto most = std::min(500ul, std::stoul("0" + query(target, "most")));
-  double then = steady_now() - list_lag_s_ * std::uniform_real_distribution<double>(0.5, 2)(rng_);
+ServiceReply Cloud::list(const std::string& target) {
+  const auto after = query_field(target, "after");
+  // The zero stands for a field that is not there.
+  const std::size_t wanted = std::stoul("0" + query_field(target, "most"));
+  const std::size_t max_machines = std::min(kMaxListedAtOnce, wanted);
+  std::uniform_real_distribution<double> lag_share(kMinLagShare, kMaxLagShare);
+  const double as_of = steady_now() - list_lag_s_ * lag_share(rng_);
   Json hosts = Json::array();
-  bool more = false;
-  for (auto it = machines_.upper_bound(after); it != machines_.end(); ++it) {
-    const Machine& m = it->second;
-    if (m.rented > then || (m.gone > 0 && m.gone <= then)) continue;
-    if (hosts.size() >= most) {
-      more = true;
+  bool truncated = false;
+  for (auto entry = machines_.upper_bound(after); entry != machines_.end(); ++entry) {
+    const Machine& machine = entry->second;
+    if (machine.provisioned_at > as_of || (machine.gone_at && *machine.gone_at <= as_of)) continue;
+    if (hosts.size() >= max_machines) {
+      truncated = true;
       break;
     }
-    bool failed = m.died > 0 && m.died + kDeadListed <= then;
-    const char* phase = failed ? "failed" : m.up > 0 && m.up <= then ? "running" : "starting";
-    hosts.push_back({{"ref", it->first},
-                     {"address", callbacks_.address ? callbacks_.address(it->first) : ""},
-                     {"build", m.facts.type.name},
-                     {"room", m.facts.zone},
-                     {"lendable", m.facts.spot},
-                     {"phase", phase},
-                     {"ageS", then - m.rented}});
+    hosts.push_back(listed(machine, as_of));
   }
-  answer(id, 200, {{"hosts", hosts}, {"truncated", more}});
+  return {200, {{"hosts", hosts}, {"truncated", truncated}}};
+}
+
+Json Cloud::listed(const Machine& machine, double as_of) const {
+  const MachineFacts& facts = machine.facts;
+  const char* phase = "starting";
+  if (machine.up_at && *machine.up_at <= as_of) phase = "running";
+  if (machine.died_at && *machine.died_at + kDeadListed <= as_of) phase = "failed";
+  return {{"ref", facts.name},
+          {"address", callbacks_.address ? callbacks_.address(facts.name) : ""},
+          {"build", facts.type.name},
+          {"room", facts.zone},
+          {"lendable", facts.spot},
+          {"phase", phase},
+          {"ageS", as_of - machine.provisioned_at}};
 }
 
 }  // namespace corkmux::simulation
--- a/src/simulation/cluster_simulation.h
+++ b/src/simulation/cluster_simulation.h
@@ -13,6 +13,7 @@
 #include "event_simulator.h"
 #include "invariant_checker.h"
 #include "simulation_plan.h"
+#include "state_service.h"
 #include "users.h"
 
 namespace corkmux::simulation {
--- a/src/simulation/invariant_checker.cc
+++ b/src/simulation/invariant_checker.cc
@@ -3,254 +3,324 @@
 #include <fmt/format.h>
 
 #include <algorithm>
+#include <variant>
 
 #include "simulation_constants.h"
 
 namespace corkmux::simulation {
+namespace {
 
-void InvariantChecker::broke(const char* rule, const std::string& what) {
-  broken_.push_back(fmt::format("{}: {} at {:.2f} s", rule, what, now_()));
+bool is_success(int status) { return status == 200 || status == 201; }
+bool is_refusal(int status) { return status == 400 || status == 422; }
+
+/// Whether users were told before the question was asked: then the answer must know of it.
+bool told_before(const std::optional<double>& told_at, double asked_at) {
+  return told_at && *told_at <= asked_at;
+}
+
+bool is_told_over(const JobHistory& history) {
+  return history.told_done_at.has_value() || history.told_cancelled_at.has_value();
+}
+
+std::string task_name(const std::string& job, int index) { return fmt::format("{}/{}", job, index); }
+
+}  // namespace
+
+void InvariantChecker::violated(const char* rule, const std::string& what) {
+  violations_.push_back(fmt::format("{}: {} at {:.2f} s", rule, what, now_()));
 }
+
 bool InvariantChecker::violates(const std::string& rule) const {
-  return std::any_of(broken_.begin(), broken_.end(),
-                     [&](const auto& b) { return b.compare(0, rule.size() + 1, rule + ":") == 0; });
+  return std::any_of(violations_.begin(), violations_.end(),
+                     [&](const std::string& violation) { return violation.starts_with(rule + ":"); });
 }
 
 // ---------------------------------------------------------------- machines
 
-void InvariantChecker::task_placed(const MachineFacts& machine, const SimulatedJob& work, int index,
-                                   std::uint64_t attempt) {
-  const JobSpec& s = work.spec;
-  Job& job = jobs_[s.id];
-  double now = now_();
-  auto part = fmt::format("{}/{}", s.id, index);
-  if (auto it = job.places.find(index); it != job.places.end())
-    broke("ran_twice", fmt::format("{} starts on {} while on {}", part, machine.name, it->second.machine));
-  if (!s.allows_type(machine.type.name) || (s.zone && *s.zone != machine.zone) || (machine.spot && !s.spot))
-    broke("wrong_place",
-          fmt::format("{} on {} ({} in {})", part, machine.name, machine.type.name, machine.zone));
-  int there = 1;
-  for (const auto& [i, p] : job.places) {
-    there += p.zone == machine.zone;
-    if (s.one_zone && p.zone != machine.zone)
-      broke("wrong_place", fmt::format("{} in {}, mate in {}", part, machine.zone, p.zone));
-  }
-  if (s.spread && there > (s.tasks + 1) / 2)
-    broke("wrong_place", fmt::format("{}: too many in {}", part, machine.zone));
-  if (job.cancel_told >= 0 && now > job.cancel_told + cancel_s_)
-    broke("ran_cancelled", fmt::format("{} starts", part));
-  if (job.cancel_told >= 0)
-    ++starts_after_cancel_,
-        latest_start_after_cancel_ = std::max(latest_start_after_cancel_, now - job.cancel_told);
-  job.places[index] = {machine.name, machine.zone, attempt, now};
-  Resources& use = use_[s.team] += s.need;
-  auto team = std::find_if(teams_.begin(), teams_.end(), [&](const Team& t) { return t.name == s.team; });
-  if (team != teams_.end() && !team->allows(use))
-    broke("quota", fmt::format("{} uses {:.0f} CPUs and {:.0f} GPUs", s.team, use.cpus, use.gpus));
+void InvariantChecker::task_placed(const MachineFacts& machine, const SimulatedJob& job, int index,
+                                   std::uint64_t /*attempt*/) {
+  const JobSpec& spec = job.spec;
+  JobHistory& history = jobs_[spec.id];
+  const auto task = task_name(spec.id, index);
+  if (auto found = history.placements.find(index); found != history.placements.end())
+    violated("ran_twice",
+             fmt::format("{} starts on {} while on {}", task, machine.name, found->second.machine));
+  check_requirements(spec, machine, task);
+  check_zones(history, spec, machine.zone, task);
+  check_not_cancelled(history, task);
+  history.placements[index] = {machine.name, machine.zone};
+  team_usage_[spec.team] += spec.need;
+  check_quota(spec.team);
   ++starts_;
-  last_start_ = now;
+  last_start_ = now_();
+}
+
+void InvariantChecker::check_requirements(const JobSpec& spec, const MachineFacts& machine,
+                                          const std::string& task) {
+  const bool wrong_zone = spec.zone && *spec.zone != machine.zone;
+  const bool wrong_kind = machine.spot && !spec.spot;
+  if (!spec.allows_type(machine.type.name) || wrong_zone || wrong_kind)
+    violated("wrong_place",
+             fmt::format("{} on {} ({} in {})", task, machine.name, machine.type.name, machine.zone));
+}
+
+void InvariantChecker::check_zones(const JobHistory& history, const JobSpec& spec, const std::string& zone,
+                                   const std::string& task) {
+  int in_zone = 1;
+  for (const auto& [index, other] : history.placements) {
+    if (other.zone == zone) ++in_zone;
+    if (spec.one_zone && other.zone != zone)
+      violated("wrong_place", fmt::format("{} in {}, mate in {}", task, zone, other.zone));
+  }
+  if (spec.spread && in_zone > (spec.tasks + 1) / 2)
+    violated("wrong_place", fmt::format("{}: too many in {}", task, zone));
+}
+
+bool InvariantChecker::is_past_cancellation(const JobHistory& history) const {
+  return history.told_cancelled_at && now_() > *history.told_cancelled_at + cancel_s_;
 }
 
-void InvariantChecker::task_removed(const std::string& machine, const SimulatedJob& work, int index,
-                                    std::uint64_t, const std::string&) {
-  Job& job = jobs_[work.spec.id];
-  use_[work.spec.team] -= work.spec.need;
-  if (job.cancel_told >= 0 && now_() > job.cancel_told + cancel_s_)
-    broke("ran_cancelled", fmt::format("{}/{} was still there", work.spec.id, index));
-  if (auto it = job.places.find(index); it != job.places.end() && it->second.machine == machine)
-    job.places.erase(it);
+void InvariantChecker::check_not_cancelled(const JobHistory& history, const std::string& task) {
+  if (!history.told_cancelled_at) return;
+  if (is_past_cancellation(history)) violated("ran_cancelled", fmt::format("{} starts", task));
+  ++starts_after_cancel_;
+  latest_start_after_cancel_ = std::max(latest_start_after_cancel_, now_() - *history.told_cancelled_at);
 }
 
-void InvariantChecker::progress_lost(const SimulatedJob&, const std::string& why, double seconds) {
-  lost_[why] += std::max(0.0, seconds);
+void InvariantChecker::check_quota(const std::string& team) {
+  const Resources& usage = team_usage_[team];
+  const auto quota =
+      std::find_if(teams_.begin(), teams_.end(), [&](const Team& other) { return other.name == team; });
+  if (quota != teams_.end() && !quota->allows(usage))
+    violated("quota", fmt::format("{} uses {:.0f} CPUs and {:.0f} GPUs", team, usage.cpus, usage.gpus));
 }
-void InvariantChecker::task_running(const SimulatedJob& work, int) {
-  Job& job = jobs_[work.spec.id];
-  if (job.first_run < 0) job.first_run = now_();
+
+void InvariantChecker::task_removed(const std::string& machine, const SimulatedJob& job, int index,
+                                    std::uint64_t /*attempt*/, const std::string& /*why*/) {
+  JobHistory& history = jobs_[job.spec.id];
+  team_usage_[job.spec.team] -= job.spec.need;
+  if (is_past_cancellation(history))
+    violated("ran_cancelled", fmt::format("{} was still there", task_name(job.spec.id, index)));
+  const auto found = history.placements.find(index);
+  if (found != history.placements.end() && found->second.machine == machine) history.placements.erase(found);
+}
+
+void InvariantChecker::progress_lost(const SimulatedJob& /*job*/, const std::string& why, double seconds) {
+  lost_seconds_[why] += std::max(0.0, seconds);
+}
+
+void InvariantChecker::task_running(const SimulatedJob& job, int /*index*/) {
+  JobHistory& history = jobs_[job.spec.id];
+  if (!history.first_run_at) history.first_run_at = now_();
 }
-void InvariantChecker::task_done(const SimulatedJob& work, int) {
-  Job& job = jobs_[work.spec.id];
-  if (++job.done == work.spec.tasks) job.done_at = now_();
+
+void InvariantChecker::task_done(const SimulatedJob& job, int /*index*/) {
+  JobHistory& history = jobs_[job.spec.id];
+  ++history.tasks_done;
+  if (history.tasks_done == job.spec.tasks) history.done_at = now_();
 }
 
 // ---------------------------------------------------------------- users
 
-void InvariantChecker::submitted(const JobSpec& spec) {
-  Job& job = jobs_[spec.id];
-  job.spec = spec, job.first_try = now_();
+void InvariantChecker::observe(const UserEvent& event) {
+  std::visit([this](const auto& happened) { on(happened); }, event);
 }
 
-/// An answer about a job that was accepted, or that nobody submitted.
-void InvariantChecker::record_answer(Job& job, const std::string& id, int status, const std::string& phase,
-                                     double asked_at) {
-  bool known = !job.spec.id.empty();
-  if (!known) {
-    if (status == 200) broke("invented", id);
-    return;
-  }
-  auto before = [&](double told_at) { return told_at >= 0 && told_at <= asked_at; };
-  if (status == 404 && before(job.accepted_at)) broke("forgotten", id);
-  if (status != 200 && status != 201) return;
-  if (!std::exchange(job.accepted, true)) job.accepted_at = now_();
-  if ((before(job.done_told) && phase != "done") || (before(job.cancel_told) && phase != "cancelled"))
-    broke("went_back", fmt::format("{} is called {}", id, phase));
-  if (phase == "cancelled" && job.cancel_asked < 0)
-    broke("went_back", fmt::format("{} is called cancelled, which nobody asked for", id));
-  if (phase == "done" && job.done < job.spec.tasks)
-    broke("not_done", fmt::format("{} with {} of {} tasks", id, job.done, job.spec.tasks));
-  if (phase == "done" && job.done_told < 0) job.done_told = now_();
-  if (phase == "cancelled" && job.cancel_told < 0) {
-    job.cancel_told = now_();
-    if (!job.places.empty()) cancels_of_running_.push_back(now_());
-  }
+void InvariantChecker::on(const JobSubmitted& event) {
+  JobHistory& history = jobs_[event.spec.id];
+  history.spec = event.spec;
+  history.submitted_at = now_();
 }
 
-void InvariantChecker::answered_submission(const std::string& id, int status, const std::string& phase,
-                                           double asked_at) {
-  Job& job = jobs_[id];
-  if (status == 400 || status == 422) {
-    if (job.accepted_at >= 0 && job.accepted_at <= asked_at)
-      broke("forgotten", fmt::format("{} was accepted and is refused", id));
-    job.refused = true;
-    return;
-  }
-  if (status == 200 || status == 201) {
-    record_answer(job, id, status, phase, asked_at);
-    if (job.done_told < 0 && job.cancel_told < 0) open_.insert(id);
-  }
+void InvariantChecker::on(const SubmissionAbandoned& event) { jobs_[event.job].abandoned = true; }
+
+void InvariantChecker::on(const CancellationRequested& event) {
+  JobHistory& history = jobs_[event.job];
+  if (!history.cancel_requested_at) history.cancel_requested_at = now_();
+}
+
+void InvariantChecker::on(const InvalidSubmissionAnswered& answer) {
+  if (is_success(answer.status))
+    return violated("accepted_odd", fmt::format("{} instead of {}", answer.job, answer.required_status));
+  if (is_refusal(answer.status) && answer.status != answer.required_status)
+    violated("accepted_odd",
+             fmt::format("{} gets {} instead of {}", answer.job, answer.status, answer.required_status));
+  if (answer.status == answer.required_status) ++invalid_refused_;
 }
-void InvariantChecker::gave_up(const std::string& id) { jobs_[id].given_up = true; }
-void InvariantChecker::asks_to_cancel(const std::string& id) {
-  if (jobs_[id].cancel_asked < 0) jobs_[id].cancel_asked = now_();
-}
-void InvariantChecker::answered_cancel(const std::string& id, int status, const std::string& phase,
-                                       double asked_at) {
-  record_answer(jobs_[id], id, status, phase, asked_at);
-  if (jobs_[id].cancel_told >= 0) open_.erase(id);
-}
-void InvariantChecker::answered_poll(const std::string& id, int status, const std::string& phase,
-                                     double asked_at) {
-  Job& job = jobs_[id];
-  double now = now_();
-  record_answer(job, id, status, phase, asked_at);
-  if (job.done_told >= 0 || job.cancel_told >= 0) open_.erase(id);
-  if (job.accepted) ++polls_, polls_answered_ += status == 200;
-  if (status == 200) {
-    any_poll_answered_ = now, job.silent_since = -1;
-  } else if (job.accepted) {
-    if (job.silent_since < 0) job.silent_since = now;
-    bool in_calm = now - std::max(job.silent_since, calm_from_) > kSilentInCalm;
-    if (in_calm) {
-      broke("forgotten", fmt::format("nothing is learnt of {} though all troubles are over", id));
-      job.silent_since = now;
-    } else if (now - job.silent_since > kSilentPolls && any_poll_answered_ > job.silent_since) {
-      broke("forgotten", fmt::format("every poll for {} fails", id));
-      job.silent_since = now;
-    }
+
+void InvariantChecker::on(const UserAnswer& answer) {
+  switch (answer.to) {
+    case UserAnswer::To::Submission:
+      return submission_answered(answer);
+    case UserAnswer::To::Poll:
+      return poll_answered(answer);
+    case UserAnswer::To::Cancellation:
+      check_answer(answer);
+      if (jobs_[answer.job].told_cancelled_at) unfinished_.erase(answer.job);
+      return;
+    case UserAnswer::To::ConcurrentRead:
+      if (answer.status == 200) ++concurrent_reads_;
+      return check_answer(answer);
   }
 }
 
-void InvariantChecker::answered_concurrent_read(const std::string& id, int status, const std::string& phase,
-                                                double asked_at) {
-  concurrent_reads_ += status == 200;
-  record_answer(jobs_[id], id, status, phase, asked_at);
+void InvariantChecker::check_answer(const UserAnswer& answer) {
+  JobHistory& history = jobs_[answer.job];
+  const bool was_submitted = !history.spec.id.empty();
+  if (!was_submitted) {
+    if (answer.status == 200) violated("invented", answer.job);
+    return;
+  }
+  if (answer.status == 404 && told_before(history.accepted_at, answer.asked_at))
+    violated("forgotten", answer.job);
+  if (!is_success(answer.status)) return;
+  if (!history.accepted_at) history.accepted_at = now_();
+  check_phase(answer, history);
+  remember_phase(answer, history);
 }
-void InvariantChecker::answered_invalid(const std::string& id, int status, int wanted) {
-  if (status == 200 || status == 201)
-    return broke("accepted_odd", fmt::format("{} instead of {}", id, wanted));
-  if ((status == 400 || status == 422) && status != wanted)
-    broke("accepted_odd", fmt::format("{} gets {} instead of {}", id, status, wanted));
-  invalid_refused_ += status == wanted;
+
+void InvariantChecker::check_phase(const UserAnswer& answer, const JobHistory& history) {
+  const bool was_done = told_before(history.told_done_at, answer.asked_at);
+  const bool was_cancelled = told_before(history.told_cancelled_at, answer.asked_at);
+  if ((was_done && answer.phase != "done") || (was_cancelled && answer.phase != "cancelled"))
+    violated("went_back", fmt::format("{} is called {}", answer.job, answer.phase));
+  if (answer.phase == "cancelled" && !history.cancel_requested_at)
+    violated("went_back", fmt::format("{} is called cancelled, which nobody asked for", answer.job));
+  if (answer.phase == "done" && history.tasks_done < history.spec.tasks)
+    violated("not_done",
+             fmt::format("{} with {} of {} tasks", answer.job, history.tasks_done, history.spec.tasks));
 }
 
-// ---------------------------------------------------------------- the account
+void InvariantChecker::remember_phase(const UserAnswer& answer, JobHistory& history) {
+  const double now = now_();
+  if (answer.phase == "done" && !history.told_done_at) history.told_done_at = now;
+  if (answer.phase != "cancelled" || history.told_cancelled_at) return;
+  history.told_cancelled_at = now;
+  if (!history.placements.empty()) cancellations_of_running_.push_back(now);
+}
 
-std::map<std::string, std::vector<std::string>> InvariantChecker::running_jobs() const {
-  std::map<std::string, std::vector<std::string>> out;
-  for (const auto& [id, job] : jobs_) {
-    if (job.places.empty() || job.cancel_asked >= 0 || job.done_at >= 0) continue;
-    for (const auto& [index, place] : job.places) out[id].push_back(place.machine);
+void InvariantChecker::submission_answered(const UserAnswer& answer) {
+  JobHistory& history = jobs_[answer.job];
+  if (is_refusal(answer.status)) {
+    if (told_before(history.accepted_at, answer.asked_at))
+      violated("forgotten", fmt::format("{} was accepted and is refused", answer.job));
+    history.refused = true;
+    return;
   }
-  return out;
+  if (!is_success(answer.status)) return;
+  check_answer(answer);
+  if (!is_told_over(history)) unfinished_.insert(answer.job);
 }
 
-std::vector<InvariantChecker::WaitingJob> InvariantChecker::waiting_jobs(JobRegistry& registry) const {
-  std::vector<WaitingJob> out;
-  for (const auto& id : open_) {
-    const Job& job = jobs_.at(id);
-    const SimulatedJob* work = registry.find(id);
-    if (!work || work->always_fails || job.cancel_asked >= 0) continue;
-    int waiting = job.spec.tasks - job.done - static_cast<int>(job.places.size());
-    if (waiting > 0 && (job.spec.kind != JobKind::Gang || job.places.empty())) out.push_back({work, waiting});
+void InvariantChecker::poll_answered(const UserAnswer& answer) {
+  JobHistory& history = jobs_[answer.job];
+  check_answer(answer);
+  if (is_told_over(history)) unfinished_.erase(answer.job);
+  if (history.accepted_at) {
+    ++polls_;
+    if (answer.status == 200) ++polls_answered_;
+  }
+  if (answer.status == 200) {
+    any_poll_answered_at_ = now_();
+    history.silent_since.reset();
+  } else if (history.accepted_at) {
+    poll_unanswered(answer.job, history);
   }
-  return out;
 }
-const Resources& InvariantChecker::team_usage(const std::string& team) const {
-  static const Resources none;
-  auto it = use_.find(team);
-  return it == use_.end() ? none : it->second;
+
+void InvariantChecker::poll_unanswered(const std::string& id, JobHistory& history) {
+  const double now = now_();
+  if (!history.silent_since) history.silent_since = now;
+  const double silent_since = *history.silent_since;
+  const bool silent_after_faults = now - std::max(silent_since, faults_end_at_) > kSilentInCalm;
+  const bool others_are_answered = any_poll_answered_at_ > silent_since;
+  if (silent_after_faults)
+    violated("forgotten", fmt::format("nothing is learnt of {} though all troubles are over", id));
+  else if (now - silent_since > kSilentPolls && others_are_answered)
+    violated("forgotten", fmt::format("every poll for {} fails", id));
+  else
+    return;
+  history.silent_since = now;
 }
 
+// ---------------------------------------------------------------- progress
+
 void InvariantChecker::sample_progress(const std::vector<std::string>& fitting) {
-  double now = now_();
+  const double now = now_();
   std::set<std::string> now_fitting(fitting.begin(), fitting.end());
   for (const auto& id : fitting_)
-    if (!now_fitting.count(id)) jobs_[id].fits_since = -1;
+    if (!now_fitting.contains(id)) jobs_[id].fits_since.reset();
   fitting_ = std::move(now_fitting);
-  if (now >= calm_from_)
-    for (const auto& id : fitting) {
-      Job& job = jobs_[id];
-      if (job.fits_since < 0) job.fits_since = now;
-      if (now - job.fits_since <= kLeftWaiting) continue;
-      broke("left_waiting", fmt::format("{} though a machine has room", id));
-      job.fits_since = 1e18;
-    }
+  if (now >= faults_end_at_) check_left_waiting(fitting);
   if (fitting.empty()) {
-    waits_since_ = -1;
+    waiting_since_.reset();
     return;
   }
-  if (waits_since_ < 0) waits_since_ = now;
-  longest_pause_ = std::max(longest_pause_, now - std::max(waits_since_, last_start_));
+  if (!waiting_since_) waiting_since_ = now;
+  longest_pause_ = std::max(longest_pause_, now - std::max(*waiting_since_, last_start_));
 }
 
-int InvariantChecker::confirmed_cancellations(double from, double to) const {
-  return static_cast<int>(std::count_if(cancels_of_running_.begin(), cancels_of_running_.end(),
-                                        [&](double at) { return at >= from && at <= to; }));
+void InvariantChecker::check_left_waiting(const std::vector<std::string>& fitting) {
+  const double now = now_();
+  for (const auto& id : fitting) {
+    JobHistory& history = jobs_[id];
+    if (!history.fits_since) history.fits_since = now;
+    if (now - *history.fits_since <= kLeftWaiting) continue;
+    violated("left_waiting", fmt::format("{} though a machine has room", id));
+    history.fits_since = kNever;  // is said once
+  }
 }
 
 void InvariantChecker::finish() {
-  double now = now_();
-  for (const auto& [id, job] : jobs_)
-    for (const auto& [index, p] : job.places)
-      if (job.cancel_told >= 0 && now > job.cancel_told + cancel_s_)
-        broke("ran_cancelled", fmt::format("{}/{} is still there", id, index));
-  if (starts_ == 0 && !jobs_.empty()) broke("nothing_ran", "no task was started");
-}
-
-std::map<std::string, InvariantChecker::JobStatistics> InvariantChecker::shares(
-    std::string JobSpec::*name) const {
-  std::map<std::string, JobStatistics> out;
-  std::map<std::string, int> size;  // of the largest
-  for (const auto& [id, job] : jobs_)
-    if (!job.spec.id.empty()) size[job.spec.*name] = std::max(size[job.spec.*name], job.spec.tasks);
-  for (const auto& [id, job] : jobs_) {
-    if (job.spec.id.empty()) continue;
-    JobStatistics& s = out[job.spec.*name];
-    // Of those that were accepted: what nobody took while the state service was away is counted as given up.
-    if (job.spec.tasks == size[job.spec.*name] && job.cancel_asked < 0 && job.accepted) {
-      ++s.largest;
-      s.largest_begun += job.first_run >= 0 && job.first_run - job.first_try <= kLargestBegin;
-      s.largest_done += job.done_at >= 0;
-    }
-    ++s.submitted;
-    s.accepted += job.accepted, s.refused += job.refused, s.given_up += job.given_up;
-    s.started += job.first_run >= 0;
-    s.cancelled += job.cancel_asked >= 0;
-    s.done += job.cancel_asked < 0 && job.done_at >= 0;
-    if (job.first_run >= 0) s.waits.push_back(job.first_run - job.first_try);
+  for (const auto& [id, history] : jobs_)
+    for (const auto& [index, placement] : history.placements)
+      if (is_past_cancellation(history))
+        violated("ran_cancelled", fmt::format("{} is still there", task_name(id, index)));
+  if (starts_ == 0 && !jobs_.empty()) violated("nothing_ran", "no task was started");
+}
+
+// ---------------------------------------------------------------- figures
+
+std::map<std::string, JobStatistics> InvariantChecker::by_class() const {
+  return job_statistics(jobs_, &JobSpec::job_class);
+}
+
+std::map<std::string, JobStatistics> InvariantChecker::by_team() const {
+  return job_statistics(jobs_, &JobSpec::team);
+}
+
+int InvariantChecker::confirmed_cancellations(double from, double to) const {
+  return static_cast<int>(std::count_if(cancellations_of_running_.begin(), cancellations_of_running_.end(),
+                                        [&](double told_at) { return told_at >= from && told_at <= to; }));
+}
+
+std::map<std::string, std::vector<std::string>> InvariantChecker::running_jobs() const {
+  std::map<std::string, std::vector<std::string>> running;
+  for (const auto& [id, history] : jobs_) {
+    if (history.placements.empty() || history.cancel_requested_at || history.done_at) continue;
+    for (const auto& [index, placement] : history.placements) running[id].push_back(placement.machine);
+  }
+  return running;
+}
+
+std::vector<InvariantChecker::WaitingJob> InvariantChecker::waiting_jobs(JobRegistry& registry) const {
+  std::vector<WaitingJob> waiting;
+  for (const auto& id : unfinished_) {
+    const JobHistory& history = jobs_.at(id);
+    const SimulatedJob* job = registry.find(id);
+    if (!job || job->always_fails || history.cancel_requested_at) continue;
+    const int placed = static_cast<int>(history.placements.size());
+    const int waiting_tasks = history.spec.tasks - history.tasks_done - placed;
+    const bool starts_later = history.spec.kind != JobKind::Gang || placed == 0;
+    if (waiting_tasks > 0 && starts_later) waiting.push_back({job, waiting_tasks});
   }
-  for (auto& [n, s] : out) std::sort(s.waits.begin(), s.waits.end());
-  return out;
+  return waiting;
+}
+
+const Resources& InvariantChecker::team_usage(const std::string& team) const {
+  static const Resources kNone;
+  const auto found = team_usage_.find(team);
+  return found == team_usage_.end() ? kNone : found->second;
 }
 
 }  // namespace corkmux::simulation
--- a/src/simulation/job_registry.cc
+++ b/src/simulation/job_registry.cc
@@ -2,20 +2,33 @@
 
 #include <algorithm>
 #include <cmath>
+#include <set>
+#include <utility>
 
+#include "exit_causes.h"
 #include "simulation_constants.h"
-#include "worker.h"
 
 namespace corkmux::simulation {
+namespace {
+constexpr double kMaxSpeed = 10;  // above that of any machine
+}
 
 struct JobRegistry::GangRendezvous {
-  GangRendezvous(Loop& loop, SimulatedJob& w) : work(&w), ends(loop), breaks(loop) {}
-  SimulatedJob* work;
-  std::map<int, Worker*> members;
-  std::set<int> told;  // to stop and save
-  bool started = false, saving = false, broken = false;
-  double began = 0, base = 0, speed = 1, frozen = 0;
-  Timer ends, breaks;
+  GangRendezvous(Loop& loop, SimulatedJob& gang_job) : job(gang_job), completion(loop), breakup(loop) {}
+  SimulatedJob& job;
+  std::map<int, GangMember*> members;  // by index
+  std::set<int> told_to_save;
+  bool started = false;
+  bool saving = false;
+  bool broken = false;  // a member is lost
+  double started_at = 0;
+  double progress_at_start = 0;  // s
+  double speed = 1;              // of the slowest
+  double frozen_progress = 0;    // s, once it saves or is broken
+  Timer completion;
+  Timer breakup;  // when the others notice a loss, or saving ends
+
+  bool all_told_to_save() const { return static_cast<int>(told_to_save.size()) == job.spec.tasks; }
 };
 
 JobRegistry::JobRegistry(Loop& loop, double gang_peer_s, MachineObserver& observer,
@@ -24,142 +37,169 @@
 JobRegistry::~JobRegistry() = default;
 
 SimulatedJob* JobRegistry::find(const std::string& job) {
-  auto it = jobs_.find(job);
-  if (it != jobs_.end()) return &it->second;
+  const auto found = jobs_.find(job);
+  if (found != jobs_.end()) return &found->second;
   return make_unknown_job ? &add(make_unknown_job(job)) : nullptr;
 }
-SimulatedJob& JobRegistry::add(SimulatedJob work) {
-  auto n = static_cast<std::size_t>(work.spec.tasks);
-  work.saved.resize(n), work.done.resize(n);
-  if (work.run_s.empty()) work.run_s.push_back(work.spec.estimate_s);
-  work.run_s.resize(n, work.run_s.back());
-  auto id = work.spec.id;
-  return jobs_.insert_or_assign(id, std::move(work)).first->second;
-}
-
-double JobRegistry::kept(const SimulatedJob& work, double progress) {
-  double every = work.spec.checkpoint_s;
-  return every > 0 ? std::floor(progress / every) * every : 0;
-}
-JobRegistry::GangRendezvous* JobRegistry::gang(const SimulatedJob& work, std::uint64_t attempt) {
-  auto it = gangs_.find({work.spec.id, attempt});
-  return it == gangs_.end() ? nullptr : it->second.get();
-}
-double JobRegistry::progress(const GangRendezvous& g) const {
-  return g.saving || g.broken ? g.frozen : g.base + (now_() - g.began) * g.speed;
-}
-
-void JobRegistry::join(SimulatedJob& work, std::uint64_t attempt, int index, Worker* worker) {
-  Key key{work.spec.id, attempt};
-  auto& g = gangs_[key];
-  if (!g) g = std::make_unique<GangRendezvous>(loop_, work);
-  if (g->started) return;  // a replacement after the start stays alone
-  g->members[index] = worker;
-  if (static_cast<int>(g->members.size()) == work.spec.tasks) begin(key);
-}
-
-void JobRegistry::begin(const Key& key) {
-  GangRendezvous& g = *gangs_.at(key);
-  g.started = true;
-  g.base = g.work->saved[0];
-  g.began = now_();
-  g.speed = 10;
-  for (const auto& [index, worker] : g.members) g.speed = std::min(g.speed, worker->speed());
-  for (const auto& [index, worker] : g.members) {
-    observer_.task_running(*g.work, index);
-    worker->gang_runs(key.first, index, key.second);
+
+SimulatedJob& JobRegistry::add(SimulatedJob job) {
+  const auto tasks = static_cast<std::size_t>(job.spec.tasks);
+  job.saved_s.resize(tasks);
+  job.done.resize(tasks);
+  if (job.run_s.empty()) job.run_s.push_back(job.spec.estimate_s);
+  job.run_s.resize(tasks, job.run_s.back());
+  const auto id = job.spec.id;
+  return jobs_.insert_or_assign(id, std::move(job)).first->second;
+}
+
+double JobRegistry::checkpointed(const SimulatedJob& job, double progress_s) {
+  const double interval_s = job.spec.checkpoint_s;
+  return interval_s > 0 ? std::floor(progress_s / interval_s) * interval_s : 0;
+}
+
+// ---------------------------------------------------------------- gangs
+
+JobRegistry::GangRendezvous* JobRegistry::find_gang(const SimulatedJob& job, std::uint64_t attempt) {
+  const auto found = gangs_.find({job.spec.id, attempt});
+  return found == gangs_.end() ? nullptr : found->second.get();
+}
+
+double JobRegistry::progress(const GangRendezvous& gang) const {
+  if (gang.saving || gang.broken) return gang.frozen_progress;
+  return gang.progress_at_start + (now_() - gang.started_at) * gang.speed;
+}
+
+void JobRegistry::freeze(GangRendezvous& gang) const { gang.frozen_progress = progress(gang); }
+
+void JobRegistry::join_gang(SimulatedJob& job, std::uint64_t attempt, int index, GangMember* member) {
+  const GangKey key{job.spec.id, attempt};
+  auto& gang = gangs_[key];
+  if (!gang) gang = std::make_unique<GangRendezvous>(loop_, job);
+  if (gang->started) return;  // a replacement after the start stays alone
+  gang->members[index] = member;
+  if (static_cast<int>(gang->members.size()) == job.spec.tasks) start_gang(key);
+}
+
+void JobRegistry::start_gang(const GangKey& key) {
+  GangRendezvous& gang = *gangs_.at(key);
+  gang.started = true;
+  gang.progress_at_start = gang.job.saved_s[0];
+  gang.started_at = now_();
+  gang.speed = kMaxSpeed;
+  for (const auto& [index, member] : gang.members) gang.speed = std::min(gang.speed, member->speed());
+  for (const auto& [index, member] : gang.members) {
+    observer_.task_running(gang.job, index);
+    member->gang_started(key.job, index, key.attempt);
   }
-  g.ends.once((g.work->run_s[0] - g.base) / g.speed, [this, key] { finish(key); });
+  const double remaining_s = (gang.job.run_s[0] - gang.progress_at_start) / gang.speed;
+  gang.completion.once(remaining_s, [this, key] { finish_gang(key); });
 }
 
-void JobRegistry::finish(const Key& key) {
-  auto node = gangs_.extract(key);
-  GangRendezvous& g = *node.mapped();
-  for (const auto& [index, worker] : g.members) {
-    g.work->done[static_cast<std::size_t>(index)] = true;
-    observer_.task_done(*g.work, index);
-    worker->gang_exits(key.first, index, key.second, "done", false);
+std::unique_ptr<JobRegistry::GangRendezvous> JobRegistry::take_gang(const GangKey& key) {
+  return std::move(gangs_.extract(key).mapped());
+}
+
+void JobRegistry::dispose(std::unique_ptr<GangRendezvous> gang) {
+  loop_.post([gang = std::shared_ptr<GangRendezvous>(std::move(gang))] {});
+}
+
+void JobRegistry::finish_gang(const GangKey& key) {
+  auto gang = take_gang(key);
+  for (const auto& [index, member] : gang->members) {
+    gang->job.done[static_cast<std::size_t>(index)] = true;
+    observer_.task_done(gang->job, index);
+    member->gang_exits(key.job, index, key.attempt, exit_cause::kDone, false);
   }
-  loop_.post(
-      [old = std::shared_ptr<GangRendezvous>(std::move(node.mapped()))] {});  // its timer may be running
+  dispose(std::move(gang));
 }
 
-void JobRegistry::gone(SimulatedJob& work, std::uint64_t attempt, int index) {
-  GangRendezvous* g = gang(work, attempt);
-  if (!g || !g->members.erase(index)) return;
-  Key key{work.spec.id, attempt};
-  if (!g->started) {
-    if (g->members.empty()) gangs_.erase(key);
+void JobRegistry::member_gone(const SimulatedJob& job, std::uint64_t attempt, int index) {
+  GangRendezvous* gang = find_gang(job, attempt);
+  if (!gang || gang->members.erase(index) == 0) return;
+  const GangKey key{job.spec.id, attempt};
+  if (!gang->started) {
+    if (gang->members.empty()) gangs_.erase(key);
     return;
   }
-  if (!g->saving && !g->broken) {
-    g->frozen = progress(*g);
-    g->ends.stop();
-    g->breaks.once(kPeerLossDetectionShare * gang_peer_s_, [this, key] { lose(key, "mates_gone"); });
+  if (!gang->saving && !gang->broken) {
+    freeze(*gang);
+    gang->completion.stop();
+    gang->breakup.once(kPeerLossDetectionShare * gang_peer_s_,
+                       [this, key] { break_gang(key, exit_cause::kMatesGone); });
+  }
+  gang->broken = true;
+}
+
+void JobRegistry::member_hangs(const SimulatedJob& job, std::uint64_t attempt, int index) {
+  GangRendezvous* gang = find_gang(job, attempt);
+  if (!gang || !gang->started) return;
+  const GangKey key{job.spec.id, attempt};
+  auto detection = std::make_shared<Timer>(loop_);
+  detection->once(kPeerLossDetectionShare * gang_peer_s_,
+                  [this, detection, key, index, member = gang->members.at(index)] {
+                    detect_hang(key, index, member);
+                    // The timer lives until it has run.
+                    loop_.post([detection] {});
+                  });
+}
+
+/// `member` is valid only while it is in the gang.
+void JobRegistry::detect_hang(const GangKey& key, int index, const GangMember* member) {
+  const auto found = gangs_.find(key);
+  if (found == gangs_.end()) return;
+  GangRendezvous& gang = *found->second;
+  if (!gang.members.contains(index) || !member->hangs() || gang.saving) return;
+  if (!gang.broken) freeze(gang);
+  gang.broken = true;
+  break_gang(key, exit_cause::kMateHung);
+}
+
+void JobRegistry::break_gang(const GangKey& key, const char* why) {
+  auto gang = take_gang(key);
+  SimulatedJob& job = gang->job;
+  const double safe = std::max(job.saved_s[0], checkpointed(job, gang->frozen_progress));
+  observer_.progress_lost(job, why, (gang->frozen_progress - safe) * job.spec.tasks);
+  job.saved_s[0] = safe;
+  for (const auto& [index, member] : gang->members)
+    member->gang_exits(key.job, index, key.attempt, exit_cause::kMatesGone, false);
+  dispose(std::move(gang));
+}
+
+void JobRegistry::stop_member(const SimulatedJob& job, std::uint64_t attempt, int index, double grace_s) {
+  GangRendezvous* gang = find_gang(job, attempt);
+  if (!gang || !gang->members.contains(index)) return;
+  const GangKey key{job.spec.id, attempt};
+  GangMember* member = gang->members.at(index);
+  const bool can_save = job.spec.checkpoint_s > 0 && grace_s >= job.spec.save_s;
+  if (!gang->started || !can_save || (gang->broken && !gang->saving)) {
+    member_gone(job, attempt, index);
+    return member->gang_exits(key.job, index, attempt, exit_cause::kHalted, false);
   }
-  g->broken = true;
-}
-
-void JobRegistry::hangs(SimulatedJob& work, std::uint64_t attempt, int index) {
-  GangRendezvous* g = gang(work, attempt);
-  if (!g || !g->started) return;
-  Worker* worker = g->members.at(index);
-  auto look = std::make_shared<Timer>(loop_);
-  look->once(kPeerLossDetectionShare * gang_peer_s_,
-             [this, look, worker, index, attempt, job = work.spec.id] {
-               GangRendezvous* g = gang(*find(job), attempt);
-               if (g && g->members.count(index) && worker->hangs() && !g->saving) {
-                 if (!g->broken) g->frozen = progress(*g);
-                 g->broken = true;
-                 lose({job, attempt}, "mate_hung");
-               }
-               loop_.post([look] {});
-             });
-}
-
-void JobRegistry::lose(const Key& key, const char* why) {
-  auto node = gangs_.extract(key);
-  GangRendezvous& g = *node.mapped();
-  double safe = std::max(g.work->saved[0], kept(*g.work, g.frozen));
-  observer_.progress_lost(*g.work, why, (g.frozen - safe) * g.work->spec.tasks);
-  g.work->saved[0] = safe;
-  for (const auto& [index, worker] : g.members)
-    worker->gang_exits(key.first, index, key.second, "mates_gone", false);
-  loop_.post([old = std::shared_ptr<GangRendezvous>(std::move(node.mapped()))] {});
-}
-
-void JobRegistry::stop(SimulatedJob& work, std::uint64_t attempt, int index, double grace_s) {
-  GangRendezvous* g = gang(work, attempt);
-  if (!g || !g->members.count(index)) return;
-  Key key{work.spec.id, attempt};
-  Worker* worker = g->members.at(index);
-  bool saves = work.spec.checkpoint_s > 0 && grace_s >= work.spec.save_s;
-  if (!g->started || !saves || (g->broken && !g->saving)) {
-    gone(work, attempt, index);
-    return worker->gang_exits(key.first, index, attempt, "halted", false);
+  if (!gang->saving) {
+    freeze(*gang);
+    gang->saving = true;
+    gang->completion.stop();
+    gang->breakup.once(gang_peer_s_, [this, key] { end_saving(key); });
   }
-  if (!g->saving) {
-    g->frozen = progress(*g);
-    g->saving = true;
-    g->ends.stop();
-    g->breaks.once(gang_peer_s_, [this, key] { end_saving(key); });
+  if (!gang->told_to_save.insert(index).second) return;
+  member->gang_saves(key.job, index, attempt);
+  if (gang->all_told_to_save()) gang->breakup.once(job.spec.save_s, [this, key] { end_saving(key); });
+}
+
+void JobRegistry::end_saving(const GangKey& key) {
+  auto gang = take_gang(key);
+  SimulatedJob& job = gang->job;
+  const bool saved = !gang->broken && gang->all_told_to_save();
+  const double progress_s = gang->frozen_progress;
+  const double safe = saved ? progress_s : std::max(job.saved_s[0], checkpointed(job, progress_s));
+  if (!saved) observer_.progress_lost(job, exit_cause::kSaveFailed, (progress_s - safe) * job.spec.tasks);
+  job.saved_s[0] = safe;
+  for (const auto& [index, member] : gang->members) {
+    const bool was_told = gang->told_to_save.contains(index);
+    const char* cause = was_told ? exit_cause::kHalted : exit_cause::kMatesGone;
+    member->gang_exits(key.job, index, key.attempt, cause, saved);
   }
-  if (!g->told.insert(index).second) return;
-  worker->gang_saves(key.first, index, attempt);
-  if (static_cast<int>(g->told.size()) == work.spec.tasks)
-    g->breaks.once(work.spec.save_s, [this, key] { end_saving(key); });
-}
-
-void JobRegistry::end_saving(const Key& key) {
-  auto node = gangs_.extract(key);
-  GangRendezvous& g = *node.mapped();
-  bool safe = !g.broken && static_cast<int>(g.told.size()) == g.work->spec.tasks;
-  double keeps = safe ? g.frozen : std::max(g.work->saved[0], kept(*g.work, g.frozen));
-  if (!safe) observer_.progress_lost(*g.work, "save_failed", (g.frozen - keeps) * g.work->spec.tasks);
-  g.work->saved[0] = keeps;
-  for (const auto& [index, worker] : g.members)
-    worker->gang_exits(key.first, index, key.second, g.told.count(index) ? "halted" : "mates_gone", safe);
-  loop_.post([old = std::shared_ptr<GangRendezvous>(std::move(node.mapped()))] {});
+  dispose(std::move(gang));
 }
 
 }  // namespace corkmux::simulation
--- a/src/simulation/job_registry.h
+++ b/src/simulation/job_registry.h
@@ -1,107 +1,75 @@
 // What exists outside all controllers and machines: the jobs' descriptions as their users uploaded them,
-// checkpoints, and the gangs, whose tasks find one another by their attempt (PROTOCOL, 'Gangs'). And the
-// observer, which is told what machines did.
+// checkpoints, and the gangs, whose tasks find one another by their attempt (PROTOCOL, 'Gangs').
 #pragma once
+#include <cstdint>
 #include <functional>
 #include <map>
 #include <memory>
-#include <set>
 #include <string>
-#include <vector>
+#include <tuple>
 
 #include "event_loop.h"
-#include "machine_facts.h"
-#include "model.h"
+#include "gang_member.h"
+#include "machine_observer.h"
+#include "simulated_job.h"
 
 namespace corkmux::simulation {
 
-class Worker;
-
-/// A job as it really is.
-struct SimulatedJob {
-  JobSpec spec;
-  std::vector<double> run_s;  // per task, on a machine of usual speed; of a gang the first counts for all
-  bool always_fails = false;  // submitted with a mistake: fails everywhere
-  std::vector<double> saved;  // s of progress that are safe; of a gang the first
-  std::vector<bool> done;
-};
-
-/// Is told what happens on machines; knows nothing of the controllers. Every method may be left as it is.
-class MachineObserver {
- public:
-  virtual ~MachineObserver() = default;
-  /// The task has its image: from now on it is on that machine.
-  virtual void task_placed(const MachineFacts& /*machine*/, const SimulatedJob&, int /*index*/,
-                           std::uint64_t /*attempt*/) {}
-  virtual void task_removed(const std::string& /*machine*/, const SimulatedJob&, int /*index*/,
-                            std::uint64_t /*attempt*/, const std::string& /*why*/) {}
-  /// So many seconds of a task's run were for nothing.
-  virtual void progress_lost(const SimulatedJob&, const std::string& /*why*/, double /*seconds*/) {}
-  virtual void task_running(const SimulatedJob&, int /*index*/) {}
-  virtual void task_done(const SimulatedJob&, int /*index*/) {}
-};
-
-/// Is told what users ask and what they are answered. Times are s on the clock of whoever tells.
-class UserObserver {
- public:
-  virtual ~UserObserver() = default;
-  virtual void submitted(const JobSpec& spec) = 0;
-  /// status of a submission; 0: none.
-  virtual void answered_submission(const std::string& job, int status, const std::string& phase,
-                                   double asked_at) = 0;
-  virtual void gave_up(const std::string& job) = 0;
-  virtual void asks_to_cancel(const std::string& job) = 0;
-  /// An answer to a question that was on its way before another answer came may be older than that.
-  virtual void answered_cancel(const std::string& job, int status, const std::string& phase,
-                               double asked_at) = 0;
-  virtual void answered_poll(const std::string& job, int status, const std::string& phase,
-                             double asked_at) = 0;
-  /// A question that counts for what it says alone; or a cancel of what is done.
-  virtual void answered_concurrent_read(const std::string& job, int status, const std::string& phase,
-                                        double asked_at) = 0;
-  /// A submission that has to be refused with the wanted status.
-  virtual void answered_invalid(const std::string& job, int status, int wanted) = 0;
-};
-
 class JobRegistry {
  public:
-  /// `now`: one clock for all machines, s.
+  /// `gang_peer_s`: that a gang's member survives another; `now`: one clock for all machines, s.
   JobRegistry(Loop& loop, double gang_peer_s, MachineObserver& observer,
               std::function<double()> now = steady_now);
   ~JobRegistry();
-  /// Null: no such job, or not submitted.
+
+  /// Null: no such job, or not submitted. Stays valid as long as the registry.
   SimulatedJob* find(const std::string& job);
-  SimulatedJob& add(SimulatedJob work);
+  SimulatedJob& add(SimulatedJob job);
   /// Makes a job that is asked for but unknown; for tests that submit without telling.
   std::function<SimulatedJob(const std::string&)> make_unknown_job;
   MachineObserver& observer() { return observer_; }
   const std::map<std::string, SimulatedJob>& jobs() const { return jobs_; }
 
-  // Gangs. A worker is named by the pointer, which it takes back with gone().
-  void join(SimulatedJob& work, std::uint64_t attempt, int index, Worker* worker);
+  /// What a run of so many seconds is worth when it ends without saving: whole checkpoints.
+  static double checkpointed(const SimulatedJob& job, double progress_s);
+
+  // Gangs. `member` is kept until member_gone or gang_exits.
+  /// The task waits for the others; the gang starts when all are there.
+  void join_gang(SimulatedJob& job, std::uint64_t attempt, int index, GangMember* member);
   /// The task has ended for that reason, or its machine has; before the start the others go on waiting.
-  void gone(SimulatedJob& work, std::uint64_t attempt, int index);
+  void member_gone(const SimulatedJob& job, std::uint64_t attempt, int index);
   /// Its machine hangs: its gang notices unless it resumes in time.
-  void hangs(SimulatedJob& work, std::uint64_t attempt, int index);
-  void stop(SimulatedJob& work, std::uint64_t attempt, int index, double grace_s);
-  /// What a run of so many seconds is worth when it ends without saving: whole checkpoints.
-  static double kept(const SimulatedJob& work, double progress);
+  void member_hangs(const SimulatedJob& job, std::uint64_t attempt, int index);
+  /// The task is told to stop: it saves with the others if they are all told, and if there is time to.
+  void stop_member(const SimulatedJob& job, std::uint64_t attempt, int index, double grace_s);
 
  private:
   struct GangRendezvous;
-  using Key = std::pair<std::string, std::uint64_t>;
-  GangRendezvous* gang(const SimulatedJob& work, std::uint64_t attempt);
-  void begin(const Key& key);
-  void finish(const Key& key);
-  void lose(const Key& key, const char* why);
-  void end_saving(const Key& key);
+  struct GangKey {
+    std::string job;
+    std::uint64_t attempt = 0;
+    bool operator<(const GangKey& other) const {
+      return std::tie(job, attempt) < std::tie(other.job, other.attempt);
+    }
+  };
+  GangRendezvous* find_gang(const SimulatedJob& job, std::uint64_t attempt);
+  void start_gang(const GangKey& key);
+  void finish_gang(const GangKey& key);
+  void break_gang(const GangKey& key, const char* why);
+  void end_saving(const GangKey& key);
+  std::unique_ptr<GangRendezvous> take_gang(const GangKey& key);
+  /// Frees it once the message that runs now, maybe one of its timers', is over.
+  void dispose(std::unique_ptr<GangRendezvous> gang);
+  void detect_hang(const GangKey& key, int index, const GangMember* member);
   double progress(const GangRendezvous& gang) const;
+  void freeze(GangRendezvous& gang) const;
+
   Loop& loop_;
   double gang_peer_s_;
   MachineObserver& observer_;
   std::function<double()> now_;
   std::map<std::string, SimulatedJob> jobs_;
-  std::map<Key, std::unique_ptr<GangRendezvous>> gangs_;
+  std::map<GangKey, std::unique_ptr<GangRendezvous>> gangs_;
 };
 
 }  // namespace corkmux::simulation
--- a/src/simulation/state_service.cc
+++ b/src/simulation/state_service.cc
@@ -1,250 +1,266 @@
 #include "state_service.h"
 
 #include <algorithm>
-
-#include "simulation_constants.h"
+#include <string_view>
+#include <utility>
 
 namespace corkmux::simulation {
+namespace {
+
+constexpr double kLeaseCheckInterval = 0.05;  // s
+constexpr double kMillisecondsPerSecond = 1000;
 
-bool RateLimiter::take(double n) {
-  if (rate_ <= 0) return true;
-  double now = steady_now();
-  left_ = std::min(burst_, left_ + rate_ * (now - at_));
-  at_ = now;
-  if (left_ < n) return false;
-  left_ -= n;
-  return true;
+// Where the endpoints are, PROTOCOL's names.
+constexpr std::string_view kKeyPath = "/kv/";
+constexpr std::string_view kListPath = "/kv?";
+constexpr std::string_view kTransactionPath = "/multi";
+constexpr std::string_view kLeasesPath = "/grants";
+constexpr std::string_view kLeasePath = "/grants/";
+constexpr std::string_view kWatchPath = "/watch";
+
+KeyValueTransaction parse_transaction(const Json& body) {
+  KeyValueTransaction transaction;
+  for (const auto& condition : body["if"])
+    transaction.conditions.push_back({condition["k"].get<std::string>(), condition["stamp"].get<Revision>()});
+  for (const auto& write : body["writes"]) {
+    if (write.contains("remove")) {
+      transaction.writes.push_back({write["remove"].get<std::string>(), std::nullopt, std::nullopt});
+      continue;
+    }
+    const auto lease = write.value("tenure", LeaseId{0});
+    transaction.writes.push_back(
+        {write["write"].get<std::string>(), write["value"], lease ? std::optional(lease) : std::nullopt});
+  }
+  return transaction;
 }
 
-std::string query(const std::string& target, const std::string& name) {
-  auto at = target.find(name + "=");
-  if (at == std::string::npos) return "";
-  at += name.size() + 1;
-  return target.substr(at, target.find('&', at) - at);
+Json change_to_wire(const KeyValueChange& change) {
+  if (!change.value) return {{"remove", change.key}, {"stamp", change.revision}};
+  return {{"write", change.key}, {"value", *change.value}, {"stamp", change.revision}};
 }
 
-StateService::StateService(Loop& loop, const std::string& address) : loop_(loop), timer_(loop) {
+Json entry_to_wire(const std::string& key, const KeyValueEntry& entry) {
+  return {{"k", key}, {"value", entry.value}, {"stamp", entry.revision}};
+}
+
+}  // namespace
+
+StateService::StateService(Loop& loop, const std::string& address) : loop_(loop), lease_timer_(loop) {
   add_listener(address);
-  timer_.every(0.05, [this] { expire(); });
+  lease_timer_.every(kLeaseCheckInterval, [this] { expire_leases(); });
 }
 
 std::size_t StateService::add_listener(const std::string& address) {
-  auto door = doors_.size();
-  doors_.push_back(std::make_unique<Door>(
-      loop_, address, [this, door](Id id, http::Request r) { serve(*doors_[door], id, std::move(r)); }));
-  return door;
+  const std::size_t number = listeners_.size();
+  auto handler = [this, number](http::Server::ConnectionId connection, const http::Request& request) {
+    serve({number, connection}, request);
+  };
+  listeners_.push_back(std::make_unique<Listener>(loop_, address, std::move(handler)));
+  return number;
 }
 
+// ---------------------------------------------------------------- a test's own reads and writes
+
 std::vector<int> StateService::release_held() {
   faults.held_prefix.clear();
-  std::vector<int> out;
-  for (const auto& body : std::exchange(held_, {})) {
-    Json failed = failing(body);
-    out.push_back(failed.empty() ? 200 : 409);
-    if (failed.empty()) apply(body);
+  std::vector<int> statuses;
+  for (const auto& transaction : std::exchange(held_transactions_, {})) {
+    const bool succeeds = store_.failed_conditions(transaction).empty();
+    statuses.push_back(succeeds ? 200 : 409);
+    if (succeeds) apply(transaction);
   }
-  return out;
+  return statuses;
 }
+
 void StateService::erase(const std::string& key) {
-  ++epoch_;
-  remove_key(key);
-  wake();
+  store_.erase(key);
+  answer_due_watches();
 }
+
 void StateService::put(const std::string& key, const Json& value) {
-  data_[key] = {value, ++epoch_, 0};
-  log(key, {{"write", key}, {"value", value}, {"stamp", epoch_}});
-  wake();
+  store_.put(key, value);
+  answer_due_watches();
 }
+
 std::map<std::string, Json> StateService::values() const {
-  std::map<std::string, Json> out;
-  for (const auto& [k, e] : data_) out[k] = e.value;
-  return out;
+  std::map<std::string, Json> values;
+  for (const auto& [key, entry] : store_.entries()) values[key] = entry.value;
+  return values;
 }
 
-void StateService::answer(Door& door, Id id, int status, const Json& body) {
-  http::Response response{status, codec::pack(body), 0, false};
-  if (!latency || !loop_.runtime()) return door.server.respond(id, response);
-  loop_.runtime()->start(latency(),
-                         [&door, id, response = std::move(response)] { door.server.respond(id, response); });
+Json StateService::value(const std::string& key) const {
+  const KeyValueEntry* entry = store_.find(key);
+  return entry ? entry->value : Json::object();
 }
 
-void StateService::serve(Door& door, Id id, http::Request r) {
-  expire();
+// ---------------------------------------------------------------- endpoints
+
+void StateService::serve(Caller caller, const http::Request& request) {
+  expire_leases();
   ++counters_.requests;
   if (faults.unresponsive) return;
-  if (faults.unavailable || door.refused) return answer(door, id, 503, {{"error", "down"}});
+  if (!is_reachable(caller.listener)) return answer(caller, {503, {{"error", "down"}}});
   if (!request_rate.take(1)) {
     ++counters_.rate_limited;
-    return answer(door, id, 429, {{"error", "too many requests"}});
-  }
-  Json body = r.body.empty() ? Json() : codec::unpack(r.body).value_or(Json());
-  const std::string& t = r.target;
-  if (t.rfind("/kv/", 0) == 0) {
-    auto key = t.substr(4);
-    auto it = data_.find(key);
-    if (it == data_.end()) return answer(door, id, 404, {{"epoch", epoch_}});
-    return answer(door, id, 200, {{"k", key}, {"value", it->second.value}, {"stamp", it->second.stamp}});
-  }
-  if (t.rfind("/kv?", 0) == 0) return list(door, id, t);
-  if (t == "/multi") return txn(door, id, body);
-  if (t == "/grants") {
-    auto tenure = ++leases_created_;
-    double life = body["lifeMs"].get<double>() / 1000;
-    leases_[tenure] = {life, steady_now() + life};
-    return answer(door, id, 200, {{"tenure", tenure}});
-  }
-  if (t.rfind("/grants/", 0) == 0) {
-    auto it = leases_.find(std::stoull(t.substr(8)));
-    if (it == leases_.end()) return answer(door, id, 404, {{"epoch", epoch_}});
-    if (r.method == "DELETE") {
-      it->second.until = -1e9;
-      expire();
-      return answer(door, id, 200, {{"epoch", epoch_}});
-    }
-    it->second.until = steady_now() + it->second.life;
-    return answer(door, id, 200, {{"tenure", it->first}});
+    return answer(caller, {429, {{"error", "too many requests"}}});
   }
-  if (t.rfind("/watch", 0) == 0) {
-    watchers_.push_back({&door, id, query(t, "under"), std::stoull(query(t, "after")),
-                         steady_now() + std::stod(query(t, "waitMs")) / 1000});
-    woken_for_ = 0;
-    return wake();
+  if (auto reply = handle(caller, request)) answer(caller, *reply);
+}
+
+std::optional<ServiceReply> StateService::handle(Caller caller, const http::Request& request) {
+  const std::string& target = request.target;
+  if (target.starts_with(kKeyPath)) return get(target.substr(kKeyPath.size()));
+  if (target.starts_with(kListPath)) return list(target);
+  const Json body = request.body.empty() ? Json() : codec::unpack(request.body).value_or(Json());
+  if (target == kTransactionPath) return transact(parse_transaction(body));
+  if (target == kLeasesPath) return grant_lease(body);
+  if (target.starts_with(kLeasePath))
+    return keep_or_revoke_lease(std::stoull(target.substr(kLeasePath.size())), request.method);
+  if (target.starts_with(kWatchPath)) {
+    watch(caller, target);
+    return std::nullopt;
   }
-  answer(door, id, 400, {{"error", "what?"}});
+  return ServiceReply{400, {{"error", "what?"}}};
 }
 
-void StateService::list(Door& door, Id id, const std::string& t) {
-  Json pairs = Json::array();
-  auto prefix = query(t, "under"), after = query(t, "after");
-  std::size_t most =
-      std::min({limits.page_items, kMostItems, static_cast<std::size_t>(std::stoul(query(t, "most")))});
+ServiceReply StateService::get(const std::string& key) const {
+  const KeyValueEntry* entry = store_.find(key);
+  if (!entry) return {404, {{"epoch", store_.revision()}}};
+  return {200, entry_to_wire(key, *entry)};
+}
+
+ServiceReply StateService::list(const std::string& target) {
   ++counters_.pages;
-  bool more = false;
-  for (auto it = data_.lower_bound(std::max(prefix, after));
-       it != data_.end() && it->first.rfind(prefix, 0) == 0; ++it) {
-    if (!after.empty() && it->first <= after) continue;
-    if (pairs.size() >= most) {
-      more = true;
+  const auto prefix = query_field(target, "under");
+  const auto after = query_field(target, "after");
+  const std::size_t wanted = std::stoul(query_field(target, "most"));
+  const std::size_t max_items = std::min({limits.page_items, kMostItems, wanted});
+  Json pairs = Json::array();
+  bool truncated = false;
+  const auto& entries = store_.entries();
+  const bool from_start = after.empty() || after < prefix;
+  auto entry = from_start ? entries.lower_bound(prefix) : entries.upper_bound(after);
+  for (; entry != entries.end() && entry->first.starts_with(prefix); ++entry) {
+    if (pairs.size() >= max_items) {
+      truncated = true;
       break;
     }
-    pairs.push_back({{"k", it->first}, {"value", it->second.value}, {"stamp", it->second.stamp}});
+    pairs.push_back(entry_to_wire(entry->first, entry->second));
   }
-  answer(door, id, 200, {{"pairs", pairs}, {"truncated", more}, {"epoch", epoch_}});
+  return {200, {{"pairs", pairs}, {"truncated", truncated}, {"epoch", store_.revision()}}};
 }
 
-void StateService::txn(Door& door, Id id, const Json& body) {
-  if (!change_rate.take(static_cast<double>(body["writes"].size()))) {
+std::optional<ServiceReply> StateService::transact(const KeyValueTransaction& transaction) {
+  if (auto refusal = refuse(transaction)) return refusal;
+  if (is_held(transaction)) {
+    held_transactions_.push_back(transaction);
+    return std::nullopt;
+  }
+  const auto failed = store_.failed_conditions(transaction);
+  if (!failed.empty()) return ServiceReply{409, {{"failed", failed}, {"epoch", store_.revision()}}};
+  apply(transaction);
+  if (std::exchange(faults.drop_next_transaction_answer, false)) return std::nullopt;
+  return ServiceReply{200, {{"epoch", store_.revision()}}};
+}
+
+/// A reply if it breaks a limit or names a lease that there is not.
+std::optional<ServiceReply> StateService::refuse(const KeyValueTransaction& transaction) {
+  if (!change_rate.take(static_cast<double>(transaction.writes.size()))) {
     ++counters_.rate_limited;
-    return answer(door, id, 429, {{"error", "too many changes"}});
+    return ServiceReply{429, {{"error", "too many changes"}}};
   }
-  bool over =
-      body["writes"].size() > limits.transaction_writes || body["if"].size() > 4 * limits.transaction_writes;
-  for (const auto& w : body["writes"])
-    over |= w.contains("value") && w["value"].dump().size() > limits.value_bytes;
-  if (over) {
+  if (is_oversized(transaction)) {
     ++counters_.oversized_transactions;
-    return answer(door, id, 400, {{"error", "too large"}});
-  }
-  for (const auto& w : body["writes"])
-    if (w.value("tenure", std::uint64_t{0}) && !leases_.count(w["tenure"].get<std::uint64_t>()))
-      return answer(door, id, 400, {{"error", "no such lease"}});
-  if (!faults.held_prefix.empty())
-    for (const auto& w : body["writes"])
-      if (w.value("write", "").rfind(faults.held_prefix, 0) == 0) return held_.push_back(body);
-  Json failed = failing(body);
-  if (!failed.empty()) return answer(door, id, 409, {{"failed", failed}, {"epoch", epoch_}});
-  apply(body);
-  if (std::exchange(faults.drop_next_transaction_answer, false)) return;
-  answer(door, id, 200, {{"epoch", epoch_}});
-}
-
-Json StateService::failing(const Json& body) const {
-  Json failed = Json::array();
-  for (const auto& c : body["if"]) {
-    auto it = data_.find(c["k"].get<std::string>());
-    if ((it == data_.end() ? 0 : it->second.stamp) != c["stamp"].get<std::uint64_t>())
-      failed.push_back(c["k"]);
+    return ServiceReply{400, {{"error", "too large"}}};
   }
-  return failed;
+  const bool names_no_lease =
+      std::any_of(transaction.writes.begin(), transaction.writes.end(),
+                  [this](const auto& write) { return write.lease && !store_.has_lease(*write.lease); });
+  if (names_no_lease) return ServiceReply{400, {{"error", "no such lease"}}};
+  return std::nullopt;
 }
 
-void StateService::apply(const Json& body) {
-  if (body["writes"].empty()) return;
-  ++epoch_;
-  for (const auto& w : body["writes"]) {
-    const auto& changed = w[w.contains("remove") ? "remove" : "write"].get_ref<const std::string&>();
-    ++counters_.changes_by_kind[changed.substr(0, changed.find('/'))];
-    if (w.contains("remove")) {
-      remove_key(w["remove"].get<std::string>());
-      continue;
-    }
-    auto key = w["write"].get<std::string>();
-    data_[key] = {w["value"], epoch_, w.value("tenure", std::uint64_t{0})};
-    log(key, {{"write", key}, {"value", w["value"]}, {"stamp", epoch_}});
-  }
-  wake();
+bool StateService::is_oversized(const KeyValueTransaction& transaction) const {
+  if (transaction.writes.size() > limits.transaction_writes) return true;
+  if (transaction.conditions.size() > 4 * limits.transaction_writes) return true;
+  return std::any_of(transaction.writes.begin(), transaction.writes.end(), [this](const auto& write) {
+    return write.value && write.value->dump().size() > limits.value_bytes;
+  });
 }
 
-void StateService::remove_key(const std::string& key) {
-  if (data_.erase(key)) log(key, {{"remove", key}, {"stamp", epoch_}});
+bool StateService::is_held(const KeyValueTransaction& transaction) const {
+  if (faults.held_prefix.empty()) return false;
+  return std::any_of(transaction.writes.begin(), transaction.writes.end(), [this](const auto& write) {
+    return write.value && write.key.starts_with(faults.held_prefix);
+  });
 }
 
-void StateService::log(const std::string& key, Json event) {
-  log_.push_back({epoch_, key, std::move(event)});
-  if (log_.size() <= kHistory) return;
-  history_from_ = std::max(history_from_, log_.front().epoch + 1);
-  log_.pop_front();
+ServiceReply StateService::grant_lease(const Json& body) {
+  const double lifetime_s = body["lifeMs"].get<double>() / kMillisecondsPerSecond;
+  return {200, {{"tenure", store_.grant_lease(lifetime_s)}}};
 }
 
-void StateService::expire() {
-  double now = steady_now();
-  for (auto it = leases_.begin(); it != leases_.end();) {
-    if (faults.unavailable) it->second.until = std::max(it->second.until, now + it->second.life);
-    if (it->second.until > now) {
-      ++it;
-      continue;
-    }
-    std::vector<std::string> gone;
-    for (const auto& [k, e] : data_)
-      if (e.tenure == it->first) gone.push_back(k);
-    if (!gone.empty()) ++epoch_;
-    for (const auto& k : gone) remove_key(k);
-    it = leases_.erase(it);
+ServiceReply StateService::keep_or_revoke_lease(LeaseId lease, const std::string& method) {
+  ServiceReply unknown{404, {{"epoch", store_.revision()}}};
+  if (method == "DELETE") {
+    if (!store_.revoke_lease(lease)) return unknown;
+    expire_leases();
+    return {200, {{"epoch", store_.revision()}}};
   }
-  wake();
+  if (!store_.renew_lease(lease)) return unknown;
+  return {200, {{"tenure", lease}}};
 }
 
-void StateService::wake() {
-  double now = steady_now();
-  std::vector<std::tuple<Door*, Id, int, Json>> answers;
-  bool news = woken_for_ != epoch_ + 1;
-  for (auto it = watchers_.begin(); it != watchers_.end();) {
-    bool too_old = it->after + 1 < history_from_;
-    if (faults.unavailable || it->door->refused || (!news && !too_old && now < it->until)) {
-      ++it;
-      continue;
-    }
-    Json events = Json::array();
-    auto from = std::upper_bound(log_.begin(), log_.end(), it->after,
-                                 [](std::uint64_t after, const Change& c) { return after < c.epoch; });
-    for (; from != log_.end(); ++from)
-      if (from->key.rfind(it->prefix, 0) == 0) events.push_back(from->event);
-    if (events.empty() && now < it->until && !too_old) {
-      ++it;
+void StateService::watch(Caller caller, const std::string& target) {
+  const double wait_s = std::stod(query_field(target, "waitMs")) / kMillisecondsPerSecond;
+  watches_.add({caller, query_field(target, "under"), std::stoull(query_field(target, "after")),
+                steady_now() + wait_s});
+  answer_due_watches();
+}
+
+// ---------------------------------------------------------------- changes and answers
+
+void StateService::apply(const KeyValueTransaction& transaction) {
+  if (transaction.writes.empty()) return;
+  for (const auto& write : transaction.writes)
+    ++counters_.changes_by_kind[write.key.substr(0, write.key.find('/'))];
+  store_.apply(transaction);
+  answer_due_watches();
+}
+
+void StateService::expire_leases() {
+  if (faults.unavailable) store_.renew_all_leases();
+  store_.expire_leases();
+  answer_due_watches();
+}
+
+void StateService::answer_due_watches() {
+  const auto due = watches_.take_due(store_, listeners_.size(),
+                                     [this](std::size_t listener) { return is_reachable(listener); });
+  if (faults.withhold_watch_answers) return;
+  for (const auto& answered : due) {
+    if (answered.compacted) {
+      answer(answered.caller, {410, {{"epoch", store_.revision()}}});
       continue;
     }
-    if (too_old)
-      answers.emplace_back(it->door, it->id, 410, Json{{"epoch", epoch_}});
-    else
-      answers.emplace_back(it->door, it->id, 200, Json{{"epoch", epoch_}, {"log", events}});
-    it = watchers_.erase(it);
+    Json log = Json::array();
+    for (const auto& change : answered.changes) log.push_back(change_to_wire(change));
+    answer(answered.caller, {200, {{"epoch", store_.revision()}, {"log", log}}});
   }
-  // While it is away, what has changed has not been looked at for everybody.
-  bool all_looked = !faults.unavailable;
-  for (const auto& door : doors_) all_looked &= !door->refused;
-  woken_for_ = all_looked ? epoch_ + 1 : 0;
-  if (faults.withhold_watch_answers) return;
-  for (auto& [door, id, status, body] : answers) answer(*door, id, status, body);
+}
+
+bool StateService::is_reachable(std::size_t listener) const {
+  return !faults.unavailable && !listeners_[listener]->unavailable;
+}
+
+void StateService::answer(Caller caller, const ServiceReply& reply) {
+  http::Server& server = listeners_[caller.listener]->server;
+  http::Response response{reply.status, codec::pack(reply.body), 0, false};
+  if (!latency || !loop_.runtime()) return server.respond(caller.connection, response);
+  loop_.runtime()->start(latency(),
+                         [&server, connection = caller.connection, response = std::move(response)] {
+                           server.respond(connection, response);
+                         });
 }
 
 }  // namespace corkmux::simulation
--- a/tests/invariant_checker_test.cc
+++ b/tests/invariant_checker_test.cc
@@ -7,146 +7,259 @@
 namespace corkmux::simulation {
 namespace {
 
-MachineType machine_type(const char* name) {
+constexpr double kCancelTime = 10;  // s within which tasks of a cancelled job end
+
+MachineFacts machine(const char* name) {
   MachineType type;
-  type.name = name;
-  return type;
+  type.name = "g8";
+  return {name, type, "a", false};
 }
 
-class CheckerTest : public ::testing::Test {
+/// A job of two tasks that was submitted and accepted at 0 s; its team may use 20 CPUs, a task 4.
+class InvariantCheckerTest : public ::testing::Test {
  protected:
-  double now = 0;
-  InvariantChecker checker{{{"x", 0, 20, 0, 0}}, 10, [this] { return now; }};
-  SimulatedJob work;
-  void SetUp() override {
-    work.spec.id = "run-1", work.spec.team = "x", work.spec.job_class = "c", work.spec.tasks = 2;
-    work.spec.need = {4, 0, 4};
-    work.spec.types = std::vector<std::string>{"g8"}, work.spec.zone = "a";
-    checker.submitted(work.spec);
-    checker.answered_submission("run-1", 201, "queued", 0);
+  InvariantCheckerTest() {
+    job.spec.id = "run-1";
+    job.spec.team = "x";
+    job.spec.job_class = "c";
+    job.spec.tasks = 2;
+    job.spec.need = {4, 0, 4};
+    job.spec.types = std::vector<std::string>{"g8"};
+    job.spec.zone = "a";
+    checker.observe(JobSubmitted{job.spec});
+    answer(UserAnswer::To::Submission, 201, "queued");
+  }
+
+  void place(int index, const MachineFacts& where = machine("n-1")) {
+    checker.task_placed(where, job, index, 1);
+  }
+  void remove(int index, const char* where = "n-1") { checker.task_removed(where, job, index, 1, ""); }
+  void finish_tasks() {
+    checker.task_done(job, 0);
+    checker.task_done(job, 1);
+  }
+  void answer(UserAnswer::To request, int status, const char* phase) {
+    answer_asked_at(now, request, status, phase);
+  }
+  void answer_asked_at(double asked_at, UserAnswer::To request, int status, const char* phase) {
+    checker.observe(UserAnswer{request, "run-1", status, phase, asked_at});
   }
-  void on(int index, const char* machine = "n-1", const char* type = "g8", const char* zone = "a",
-          bool spot = false) {
-    checker.task_placed({machine, machine_type(type), zone, spot}, work, index, 1);
+  void poll(const char* phase) { answer(UserAnswer::To::Poll, 200, phase); }
+  void poll_other(const char* id, int status, const char* phase) {
+    checker.observe(UserAnswer{UserAnswer::To::Poll, id, status, phase, now});
   }
-  void off(int index, const char* machine = "n-1") { checker.task_removed(machine, work, index, 1, ""); }
-  void poll(const char* phase, int status = 200) { checker.answered_poll("run-1", status, phase, now); }
   void cancel() {
-    checker.asks_to_cancel("run-1");
-    checker.answered_cancel("run-1", 200, "cancelled", now);
+    checker.observe(CancellationRequested{"run-1"});
+    answer(UserAnswer::To::Cancellation, 200, "cancelled");
   }
   /// Just that rule, once.
-  void broken(const char* rule) {
+  void expect_only_violation(const char* rule) {
     ASSERT_EQ(checker.violations().size(), 1u) << rule;
     EXPECT_TRUE(checker.violates(rule)) << checker.violations()[0];
   }
+  void expect_no_violation() { EXPECT_TRUE(checker.violations().empty()) << checker.violations()[0]; }
+
+  double now = 0;
+  InvariantChecker checker{{{"x", 0, 20, 0, 0}}, kCancelTime, [this] { return now; }};
+  SimulatedJob job;
 };
 
-TEST_F(CheckerTest, FindsNothingInAHistoryWithoutFault) {
-  on(0), on(1, "n-2");
-  off(0), on(0, "n-3"), off(0, "n-3"), off(1, "n-2");
-  checker.task_done(work, 0), checker.task_done(work, 1);
-  now = 5, poll("done");
-  checker.answered_poll("run-nobody", 404, "", now);
+TEST_F(InvariantCheckerTest, FindsNothingInAHistoryWithoutFault) {
+  place(0);
+  place(1, machine("n-2"));
+  remove(0);
+  place(0, machine("n-3"));
+  remove(0, "n-3");
+  remove(1, "n-2");
+  finish_tasks();
+  now = 5;
+  poll("done");
+  poll_other("run-nobody", 404, "");
   checker.finish();
-  EXPECT_TRUE(checker.violations().empty()) << checker.violations()[0];
+  expect_no_violation();
   EXPECT_EQ(checker.by_team().at("x").served(), 1);
 }
-TEST_F(CheckerTest, RanTwice) {
-  on(0), on(0, "n-2");
-  broken("ran_twice");
+
+// ---------------------------------------------------------------- where tasks run
+
+TEST_F(InvariantCheckerTest, FindsATaskOnTwoMachines) {
+  place(0);
+  place(0, machine("n-2"));
+  expect_only_violation("ran_twice");
+}
+
+TEST_F(InvariantCheckerTest, FindsATeamAboveItsQuota) {
+  job.spec.tasks = 6;
+  for (int index = 0; index < 5; ++index) place(index);
+  expect_no_violation();
+  place(5);
+  expect_only_violation("quota");
+}
+
+TEST_F(InvariantCheckerTest, FindsATaskOnAMachineOfAnotherType) {
+  auto where = machine("n-1");
+  where.type.name = "g9";
+  place(0, where);
+  expect_only_violation("wrong_place");
 }
-TEST_F(CheckerTest, Quota) {
-  work.spec.tasks = 6;
-  for (int i = 0; i < 6; ++i) on(i);
-  broken("quota");
+
+TEST_F(InvariantCheckerTest, FindsATaskInAnotherZone) {
+  auto where = machine("n-1");
+  where.zone = "b";
+  place(0, where);
+  expect_only_violation("wrong_place");
 }
-TEST_F(CheckerTest, WrongType) {
-  on(0, "n-1", "g9");
-  broken("wrong_place");
+
+TEST_F(InvariantCheckerTest, FindsATaskOnASpotInstanceThatItDoesNotTake) {
+  auto where = machine("n-1");
+  where.spot = true;
+  place(0, where);
+  expect_only_violation("wrong_place");
 }
-TEST_F(CheckerTest, WrongZone) {
-  on(0, "n-1", "g8", "b");
-  broken("wrong_place");
+
+TEST_F(InvariantCheckerTest, FindsTasksOfOneZoneInTwo) {
+  job.spec.zone.reset();
+  job.spec.one_zone = true;
+  place(0);
+  auto where = machine("n-2");
+  where.zone = "b";
+  place(1, where);
+  expect_only_violation("wrong_place");
 }
-TEST_F(CheckerTest, WrongKindOfMachine) {
-  on(0, "n-1", "g8", "a", true);
-  broken("wrong_place");
+
+TEST_F(InvariantCheckerTest, FindsSpreadTasksInOneZone) {
+  job.spec.spread = true;
+  place(0);
+  place(1, machine("n-2"));
+  expect_only_violation("wrong_place");
 }
-TEST_F(CheckerTest, MatesInTwoZones) {
-  work.spec.zone.reset(), work.spec.one_zone = true;
-  on(0), on(1, "n-2", "g8", "b");
-  broken("wrong_place");
+
+// ---------------------------------------------------------------- cancellations
+
+TEST_F(InvariantCheckerTest, FindsAStartLongAfterTheCancellation) {
+  cancel();
+  now = kCancelTime + 1;
+  place(0);
+  expect_only_violation("ran_cancelled");
 }
-TEST_F(CheckerTest, TooManyInOneZone) {
-  work.spec.spread = true;
-  on(0), on(1, "n-2");
-  broken("wrong_place");
+
+TEST_F(InvariantCheckerTest, FindsATaskThatEndsLongAfterTheCancellation) {
+  place(0);
+  cancel();
+  now = kCancelTime + 1;
+  remove(0);
+  expect_only_violation("ran_cancelled");
 }
-TEST_F(CheckerTest, StartsAfterItsCancel) {
+
+TEST_F(InvariantCheckerTest, FindsATaskThatNeverEndsAfterTheCancellation) {
+  place(0);
   cancel();
-  now = 11, on(0);
-  broken("ran_cancelled");
-}
-TEST_F(CheckerTest, IsStillThereAfterItsCancel) {
-  on(0), cancel();
-  now = 11, off(0);
-  broken("ran_cancelled");
-}
-TEST_F(CheckerTest, IsThereForEverAfterItsCancel) {
-  on(0), cancel();
-  now = 11, checker.finish();
-  broken("ran_cancelled");
-}
-TEST_F(CheckerTest, ForgottenInAPoll) {
-  poll("", 404);
-  broken("forgotten");
-}
-TEST_F(CheckerTest, ForgottenInARepeatedSubmission) {
-  checker.answered_submission("run-1", 422, "", now);
-  broken("forgotten");
-}
-TEST_F(CheckerTest, ForgottenInSilence) {
-  checker.answered_poll("run-1", 503, "", 0);
-  SimulatedJob other = work;
-  other.spec.id = "run-2";
-  checker.submitted(other.spec);
-  now = 50, checker.answered_poll("run-2", 200, "queued", now);
-  now = 95, checker.answered_poll("run-1", 0, "", now);
-  broken("forgotten");
-}
-TEST_F(CheckerTest, Invented) {
-  checker.answered_poll("run-nobody", 200, "queued", now);
-  broken("invented");
-}
-TEST_F(CheckerTest, NotDone) {
-  checker.task_done(work, 0);
+  now = kCancelTime + 1;
+  checker.finish();
+  expect_only_violation("ran_cancelled");
+}
+
+TEST_F(InvariantCheckerTest, ATaskMayEndWithinTheTimeForCancellations) {
+  place(0);
+  cancel();
+  now = kCancelTime;
+  remove(0);
+  expect_no_violation();
+}
+
+// ---------------------------------------------------------------- what users are told
+
+TEST_F(InvariantCheckerTest, FindsAnAcceptedJobThatAPollDoesNotFind) {
+  answer(UserAnswer::To::Poll, 404, "");
+  expect_only_violation("forgotten");
+}
+
+TEST_F(InvariantCheckerTest, FindsAnAcceptedJobThatIsRefusedWhenRepeated) {
+  answer(UserAnswer::To::Submission, 422, "");
+  expect_only_violation("forgotten");
+}
+
+TEST_F(InvariantCheckerTest, FindsAJobOfWhichEveryPollFailsWhileOthersAreAnswered) {
+  answer(UserAnswer::To::Poll, 503, "");
+  JobSpec other = job.spec;
+  other.id = "run-2";
+  checker.observe(JobSubmitted{other});
+  now = 50;
+  poll_other("run-2", 200, "queued");
+  now = 95;
+  answer(UserAnswer::To::Poll, 0, "");
+  expect_only_violation("forgotten");
+}
+
+TEST_F(InvariantCheckerTest, FindsAnAnswerAboutAJobThatNobodySubmitted) {
+  poll_other("run-nobody", 200, "queued");
+  expect_only_violation("invented");
+}
+
+TEST_F(InvariantCheckerTest, FindsAJobThatIsCalledDoneBeforeItIs) {
+  checker.task_done(job, 0);
   poll("done");
-  broken("not_done");
+  expect_only_violation("not_done");
 }
-TEST_F(CheckerTest, DoneWentBack) {
-  checker.task_done(work, 0), checker.task_done(work, 1);
+
+TEST_F(InvariantCheckerTest, FindsADoneJobThatIsCalledRunning) {
+  finish_tasks();
   poll("done");
-  now = 1, poll("running");
-  broken("went_back");
+  now = 1;
+  poll("running");
+  expect_only_violation("went_back");
 }
-TEST_F(CheckerTest, CancelledWentBack) {
+
+TEST_F(InvariantCheckerTest, FindsACancelledJobThatIsCalledQueued) {
   cancel();
-  now = 1, poll("queued");
-  broken("went_back");
+  now = 1;
+  poll("queued");
+  expect_only_violation("went_back");
 }
-TEST_F(CheckerTest, AnAnswerThatWasAskedForBeforeMayBeOlder) {
+
+TEST_F(InvariantCheckerTest, AnAnswerThatWasAskedForBeforeMayBeOlder) {
   cancel();
-  now = 1, checker.answered_poll("run-1", 200, "running", -1);
-  EXPECT_TRUE(checker.violations().empty());
+  now = 1;
+  answer_asked_at(-1, UserAnswer::To::Poll, 200, "running");
+  expect_no_violation();
 }
-TEST_F(CheckerTest, CancelledByNobody) {
+
+TEST_F(InvariantCheckerTest, FindsACancellationThatNobodyAskedFor) {
   poll("cancelled");
-  broken("went_back");
+  expect_only_violation("went_back");
+}
+
+TEST_F(InvariantCheckerTest, FindsAnInvalidSubmissionThatIsAccepted) {
+  checker.observe(InvalidSubmissionAnswered{"run-2", 201, 400});
+  expect_only_violation("accepted_odd");
+}
+
+TEST_F(InvariantCheckerTest, FindsAnInvalidSubmissionThatIsRefusedWithTheWrongStatus) {
+  checker.observe(InvalidSubmissionAnswered{"run-2", 400, 422});
+  expect_only_violation("accepted_odd");
 }
-TEST_F(CheckerTest, NothingRan) {
+
+TEST_F(InvariantCheckerTest, AnInvalidSubmissionMayBeRefusedAsRequired) {
+  checker.observe(InvalidSubmissionAnswered{"run-2", 422, 422});
+  expect_no_violation();
+  EXPECT_EQ(checker.invalid_refused(), 1);
+}
+
+// ---------------------------------------------------------------- progress
+
+TEST_F(InvariantCheckerTest, FindsThatNothingRan) {
   checker.finish();
-  broken("nothing_ran");
+  expect_only_violation("nothing_ran");
+}
+
+TEST_F(InvariantCheckerTest, FindsAJobLeftWaitingOnceFaultsAreOver) {
+  checker.set_faults_end(0);
+  checker.sample_progress({"run-1"});
+  now = 200;
+  checker.sample_progress({"run-1"});
+  now = 400;  // is said once
+  checker.sample_progress({"run-1"});
+  expect_only_violation("left_waiting");
 }
 
 }  // namespace
