--- a/src/cmd/corkmux_main.cc
+++ b/src/cmd/corkmux_main.cc
@@ -9,11 +9,13 @@
 #include "cmd_constants.h"
 #include "controller.h"
 #include "logging.h"
+#include "program.h"
 
 namespace {
 
 using namespace corkmux;
 
+constexpr int kFailed = 1;              // exit status
 constexpr int kSignalExitStatus = 128;  // plus the signal's number, as shells have it
 
 struct Arguments {
@@ -145,10 +147,5 @@
   log_to_stderr();
   spdlog::set_pattern("%L %v");
   set_log_level_from_environment(spdlog::level::info);
-  try {
-    return run(arguments);
-  } catch (const std::exception& error) {
-    std::cerr << "corkmux: " << error.what() << "\n";
-    return 1;
-  }
+  return run_program("corkmux", kFailed, [&] { return run(arguments); });
 }
--- a/src/cmd/simulator_main.cc
+++ b/src/cmd/simulator_main.cc
@@ -6,9 +6,12 @@
 
 #include "cluster_simulation.h"
 #include "logging.h"
+#include "program.h"
 
 namespace {
 
+constexpr int kCannotPlay = 2;  // exit status
+
 struct Arguments {
   std::string file;
   std::string scenario;
@@ -43,10 +46,5 @@
   corkmux::log_to_stderr();
   corkmux::set_log_level_from_environment(spdlog::level::off);
   spdlog::set_formatter(corkmux::simulation::log_formatter());
-  try {
-    return run(arguments);
-  } catch (const std::exception& error) {
-    std::cerr << "corkmux-simulator: " << error.what() << "\n";
-    return 2;
-  }
+  return corkmux::run_program("corkmux-simulator", kCannotPlay, [&] { return run(arguments); });
 }
--- /dev/null
+++ b/src/scale_test/controller_settings.h
@@ -0,0 +1,26 @@
+// The settings file of one controller of a scale run, in the platform's form.
+#pragma once
+#include <cstddef>
+#include <string>
+#include <vector>
+
+#include "scale_test_plan.h"
+
+namespace corkmux::scale_test {
+
+/// Where the controllers of a run and the services they use are reached; every address is host:port.
+struct RunAddresses {
+  std::vector<std::string> users;  // of each controller
+  std::vector<std::string> peers;  // of each controller
+  std::string state;
+  std::string cloud;
+};
+
+/// "c01", "c02", ...
+std::string controller_label(std::size_t controller);
+
+/// The text of the settings file (TOML) of that controller, counted from 0.
+std::string controller_settings(const ScaleTestPlan& plan, std::size_t controller,
+                                const RunAddresses& addresses);
+
+}  // namespace corkmux::scale_test
--- a/src/scale_test/hollow_worker_host.cc
+++ b/src/scale_test/hollow_worker_host.cc
@@ -2,31 +2,31 @@
 
 #include <fmt/format.h>
 
+#include <algorithm>
 #include <stdexcept>
 
-#include "scale_test_constants.h"
-#include "simulation_constants.h"
-
 namespace corkmux::scale_test {
 namespace {
 
-constexpr int kMostFailures = 5;  // of status messages in a row, after which the collector counts as gone
+constexpr std::size_t kNamePrefix = 2;           // of "n-17", as the cloud names machines
+constexpr int kAddressesPerBlock = 250;          // of the last number of an address: 1 to 250
+constexpr double kLingering = 2 * kEventsEvery;  // s in which messages may still name a lost worker
 
-int number_of(const std::string& machine) { return std::stoi(machine.substr(2)); }
+/// A loopback address of the machine's own, with any free port.
+std::string listen_address(int network, const std::string& machine) {
+  int number = std::stoi(machine.substr(kNamePrefix));
+  return fmt::format("127.{}.{}.{}:0", network, number / kAddressesPerBlock, number % kAddressesPerBlock + 1);
+}
 
 }  // namespace
 
-HollowWorkerHost::HollowWorkerHost(Loop& loop, const ScaleTestPlan& plan, int host, int network,
-                                   std::map<std::string, std::string> controllers,
-                                   const std::string& collector)
+HollowWorkerHost::HollowWorkerHost(Loop& loop, const ScaleTestPlan& plan, Place place)
     : loop_(loop),
       plan_(plan),
-      host_(host),
-      network_(network),
-      controllers_(std::move(controllers)),
+      place_(std::move(place)),
       jobs_(plan),
       registry_(loop, plan.times.gang_peer_s, *this, run_time),
-      collector_(loop, collector, 1, 4),
+      collector_(loop, place_.collector),
       types_(plan.types()) {
   registry_.invent = [this](const std::string& job) {
     auto number = JobSource::number(job);
@@ -35,69 +35,91 @@
   };
   report();
 }
-HollowWorkerHost::~HollowWorkerHost() = default;
+
+// ---------------------------------------------------------------- what machines do
 
 void HollowWorkerHost::add(MachineEvent event) {
   event.at = run_time();
   events_.push_back(std::move(event));
 }
 
-void HollowWorkerHost::on(const std::string& machine, const std::string&, const std::string&, bool,
-                          const simulation::Work& work, int index, std::uint64_t attempt) {
-  add({MachineEvent::Kind::On, 0, machine, work.spec.id, index, attempt, "", 0});
+void HollowWorkerHost::on(const std::string& machine, const std::string& /*type*/,
+                          const std::string& /*zone*/, bool /*spot*/, const simulation::Work& work, int index,
+                          std::uint64_t attempt) {
+  add({.kind = MachineEvent::Kind::On,
+       .machine = machine,
+       .job = work.spec.id,
+       .index = index,
+       .attempt = attempt});
 }
+
 void HollowWorkerHost::off(const std::string& machine, const simulation::Work& work, int index,
                            std::uint64_t attempt, const std::string& why) {
-  add({MachineEvent::Kind::Off, 0, machine, work.spec.id, index, attempt, why, 0});
+  add({.kind = MachineEvent::Kind::Off,
+       .machine = machine,
+       .job = work.spec.id,
+       .index = index,
+       .attempt = attempt,
+       .why = why});
 }
+
 void HollowWorkerHost::lost(const simulation::Work& work, const std::string& why, double seconds) {
-  add({MachineEvent::Kind::Lost, 0, "", work.spec.id, 0, 0, why, seconds});
+  add({.kind = MachineEvent::Kind::Lost, .job = work.spec.id, .why = why, .seconds = seconds});
 }
+
 void HollowWorkerHost::running(const simulation::Work& work, int index) {
-  add({MachineEvent::Kind::Running, 0, "", work.spec.id, index, 0, "", 0});
+  add({.kind = MachineEvent::Kind::Running, .job = work.spec.id, .index = index});
 }
+
 void HollowWorkerHost::done(const simulation::Work& work, int index) {
-  add({MachineEvent::Kind::Done, 0, "", work.spec.id, index, 0, "", 0});
+  add({.kind = MachineEvent::Kind::Done, .job = work.spec.id, .index = index});
 }
 
-/// One batch of events, then the next after a pause; what is not taken is sent again.
+// ---------------------------------------------------------------- messages to the collector
+
 void HollowWorkerHost::report() {
-  auto batch = std::make_shared<HostStatus>();
-  batch->host = host_;
+  auto status = next_status();
+  bool more = status.events.size() < events_.size();
+  collector_.send("/host", to_wire(status),
+                  [this, sent = status.events.size(), more](const std::optional<std::string>& answer) {
+                    on_answer(answer, sent, more);
+                  });
+}
+
+HostStatus HollowWorkerHost::next_status() const {
+  HostStatus status;
+  status.host = place_.host;
   std::size_t count = std::min(events_.size(), kEventsAtOnce);
-  batch->events.assign(events_.begin(), events_.begin() + static_cast<std::ptrdiff_t>(count));
-  batch->until = count < events_.size() ? batch->events.back().at : run_time();
-  batch->traffic = traffic_to_wire();
-  batch->workers = static_cast<int>(workers_.size());
-  for (const auto& [name, worker] : workers_) batch->tasks += worker->tasks();
-  bool more = count < events_.size();
-  collector_.request("POST", "/host", codec::pack(to_wire(*batch)), kEventsTimeout,
-                     [this, count, more](http::Result result) {
-                       auto body = result.ok() ? codec::unpack(result.body) : std::nullopt;
-                       if (!body) {
-                         if (++failures_ >= kMostFailures) return loop_.stop();
-                         loop_.call_later(kEventsEvery, [this] { report(); });
-                         return;
-                       }
-                       failures_ = 0;
-                       events_.erase(events_.begin(), events_.begin() + static_cast<std::ptrdiff_t>(count));
-                       obey(parse_host_instructions(*body, types_));
-                       loop_.call_later(more ? 0 : kEventsEvery, [this] { report(); });
-                     });
+  status.events.assign(events_.begin(), events_.begin() + static_cast<std::ptrdiff_t>(count));
+  status.until = count < events_.size() ? status.events.back().at : run_time();
+  status.traffic = traffic_to_wire();
+  status.workers = static_cast<int>(workers_.size());
+  for (const auto& [name, worker] : workers_) status.tasks += worker->tasks();
+  return status;
 }
 
+void HollowWorkerHost::on_answer(const std::optional<std::string>& answer, std::size_t events_sent,
+                                 bool more) {
+  auto body = answer ? codec::unpack(*answer) : std::nullopt;
+  if (body) {
+    events_.erase(events_.begin(), events_.begin() + static_cast<std::ptrdiff_t>(events_sent));
+    obey(parse_host_instructions(*body, types_));
+  }
+  loop_.call_later(body && more ? 0 : kEventsEvery, [this] { report(); });
+}
+
+// ---------------------------------------------------------------- instructions
+
 void HollowWorkerHost::obey(const HostInstructions& instructions) {
   for (const auto& facts : instructions.boot) boot(facts);
   for (const auto& name : instructions.lose) lose(name, instructions.why_lost);
 }
 
 void HollowWorkerHost::boot(const simulation::MachineFacts& facts) {
-  if (workers_.count(facts.name)) return;
-  int n = number_of(facts.name);
-  auto listen = fmt::format("127.{}.{}.{}:0", network_, n / 250, n % 250 + 1);
-  auto worker =
-      std::make_unique<simulation::Worker>(loop_, facts, plan_.times, controllers_, registry_, listen);
-  add({MachineEvent::Kind::Up, 0, facts.name, "", 0, 0, worker->address(), 0});
+  if (workers_.contains(facts.name)) return;
+  auto worker = std::make_unique<simulation::Worker>(loop_, facts, plan_.times, place_.controllers, registry_,
+                                                     listen_address(place_.network, facts.name));
+  add({.kind = MachineEvent::Kind::Up, .machine = facts.name, .why = worker->address()});
   workers_.emplace(facts.name, std::move(worker));
 }
 
@@ -107,7 +129,7 @@
   worker.mapped()->die(why);
   // Messages that name it may still wait on the loop; it is freed after them.
   std::shared_ptr<simulation::Worker> dead(std::move(worker.mapped()));
-  loop_.call_later(2 * kEventsEvery, [dead] {});
+  loop_.call_later(kLingering, [dead] {});
 }
 
 }  // namespace corkmux::scale_test
--- a/src/scale_test/hollow_worker_host.h
+++ b/src/scale_test/hollow_worker_host.h
@@ -2,12 +2,15 @@
 // heartbeats, leases, fencing tokens, commands and image times, but executes nothing. All workers of one zone
 // share a process, so that the members of a gang, which are placed in one zone, find one another in it.
 #pragma once
+#include <cstddef>
 #include <deque>
 #include <map>
 #include <memory>
+#include <optional>
 #include <string>
+#include <vector>
 
-#include "http.h"
+#include "collector_client.h"
 #include "job_source.h"
 #include "machine_events.h"
 #include "scale_test_plan.h"
@@ -15,12 +18,20 @@
 
 namespace corkmux::scale_test {
 
+inline constexpr double kEventsEvery = 0.05;       // s between batches of events
+inline constexpr std::size_t kEventsAtOnce = 400;  // of one batch; some 100 bytes each, 64 KiB at most
+
 class HollowWorkerHost : public simulation::MachineObserver {
  public:
-  /// `controllers`: label and users' address of each; `network`: second number of the loopback addresses.
-  HollowWorkerHost(Loop& loop, const ScaleTestPlan& plan, int host, int network,
-                   std::map<std::string, std::string> controllers, const std::string& collector);
-  ~HollowWorkerHost() override;
+  /// Which host of the run this is, and whom it talks to.
+  struct Place {
+    int host = 0;
+    int network = 0;                                 // second number of the workers' loopback addresses
+    std::map<std::string, std::string> controllers;  // users' address of each, by label
+    std::string collector;                           // host:port
+  };
+  /// The references have to outlive it.
+  HollowWorkerHost(Loop& loop, const ScaleTestPlan& plan, Place place);
 
   void on(const std::string& machine, const std::string& type, const std::string& zone, bool spot,
           const simulation::Work& work, int index, std::uint64_t attempt) override;
@@ -31,22 +42,26 @@
   void done(const simulation::Work& work, int index) override;
 
  private:
+  /// Sends one batch of events, then the next after a pause; what is not taken is sent again.
   void report();
+  HostStatus next_status() const;
+  /// To a message with so many events; `more`: others waited already when it was sent.
+  void on_answer(const std::optional<std::string>& answer, std::size_t events_sent, bool more);
   void obey(const HostInstructions& instructions);
   void boot(const simulation::MachineFacts& facts);
   void lose(const std::string& machine, const std::string& why);
+  /// Stamps it with the present time.
   void add(MachineEvent event);
+
   Loop& loop_;
   const ScaleTestPlan& plan_;
-  int host_, network_;
-  std::map<std::string, std::string> controllers_;
+  Place place_;
   JobSource jobs_;
   simulation::JobRegistry registry_;
-  http::Client collector_;
+  CollectorClient collector_;
   std::vector<MachineType> types_;
-  std::map<std::string, std::unique_ptr<simulation::Worker>> workers_;
-  std::deque<MachineEvent> events_;
-  int failures_ = 0;  // status messages in a row that the collector did not take
+  std::map<std::string, std::unique_ptr<simulation::Worker>> workers_;  // by machine
+  std::deque<MachineEvent> events_;                                     // not taken yet
 };
 
 }  // namespace corkmux::scale_test
--- a/src/scale_test/job_source.cc
+++ b/src/scale_test/job_source.cc
@@ -10,56 +10,64 @@
 
 const std::string kPrefix = "run-";
 
-std::mt19937_64 generator(const ScaleTestPlan& plan, int number, unsigned purpose) {
-  std::seed_seq seed{static_cast<unsigned>(plan.seed), static_cast<unsigned>(number), purpose};
+/// For what a generator's draws are, so that no purpose depends on another's draws.
+enum class Purpose : unsigned { Description = 1, Cancellation = 2 };
+
+std::mt19937_64 generator(const ScaleTestPlan& plan, int number, Purpose purpose) {
+  std::seed_seq seed{static_cast<unsigned>(plan.seed), static_cast<unsigned>(number),
+                     static_cast<unsigned>(purpose)};
   return std::mt19937_64(seed);
 }
 
 const JobClass& draw_class(const ScaleTestPlan& plan, std::mt19937_64& random) {
   std::vector<double> weights;  // of jobs: a class of large jobs needs few for its share of the tasks
-  for (const auto& c : plan.classes) weights.push_back(c.share / c.mean_tasks());
+  for (const auto& job_class : plan.classes) weights.push_back(job_class.share / job_class.mean_tasks());
   std::discrete_distribution<std::size_t> draw(weights.begin(), weights.end());
   return plan.classes[draw(random)];
 }
 
+JobSpec draw_spec(const ScaleTestPlan& plan, int number, std::mt19937_64& random) {
+  const JobClass& job_class = draw_class(plan, random);
+  JobSpec spec;
+  spec.id = JobSource::name(number);
+  spec.job_class = job_class.name;
+  spec.kind = job_class.kind;
+  spec.priority = job_class.priority;
+  spec.tasks = job_class.tasks[random() % job_class.tasks.size()];
+  spec.team = fmt::format("team-{:03}", 1 + random() % static_cast<unsigned>(plan.teams));
+  spec.image = fmt::format("{}-{}", job_class.name, random() % static_cast<unsigned>(plan.images));
+  spec.image_gb = plan.image_gb;
+  spec.need = {plan.task_cpus, job_class.accelerators, 1};
+  spec.one_zone = job_class.kind == JobKind::Gang;  // members find one another in one process
+  spec.estimate_s = plan.run_s;
+  return spec;
+}
+
 }  // namespace
 
 std::string JobSource::name(int number) { return fmt::format("{}{:06}", kPrefix, number); }
 
 std::optional<int> JobSource::number(const std::string& name) {
   if (name.rfind(kPrefix, 0) != 0) return std::nullopt;
-  int out = 0;
-  auto [end, error] = std::from_chars(name.data() + kPrefix.size(), name.data() + name.size(), out);
-  if (error != std::errc() || end != name.data() + name.size() || out < 1) return std::nullopt;
-  return out;
+  int number = 0;
+  const char* end_of_name = name.data() + name.size();
+  auto [end, error] = std::from_chars(name.data() + kPrefix.size(), end_of_name, number);
+  if (error != std::errc() || end != end_of_name || number < 1) return std::nullopt;
+  return number;
 }
 
 simulation::Work JobSource::job(int number) const {
-  auto random = generator(plan_, number, 1);
-  const JobClass& c = draw_class(plan_, random);
+  auto random = generator(plan_, number, Purpose::Description);
   simulation::Work work;
-  JobSpec& spec = work.spec;
-  spec.id = name(number);
-  spec.job_class = c.name;
-  spec.kind = c.kind;
-  spec.priority = c.priority;
-  spec.tasks = c.tasks[random() % c.tasks.size()];
-  spec.team = fmt::format("team-{:03}", 1 + random() % static_cast<unsigned>(plan_.teams));
-  spec.image = fmt::format("{}-{}", c.name, random() % static_cast<unsigned>(plan_.images));
-  spec.image_gb = plan_.image_gb;
-  spec.need = {plan_.task_cpus, c.accelerators, 1};
-  spec.one_zone = c.kind == JobKind::Gang;  // members find one another in one process
-  std::uniform_real_distribution<double> around(0.85, 1.15);
-  if (c.kind == JobKind::Gang)
-    work.run_s.assign(1, plan_.run_s * around(random));
-  else
-    for (int i = 0; i < spec.tasks; ++i) work.run_s.push_back(plan_.run_s * around(random));
-  spec.estimate_s = plan_.run_s;
+  work.spec = draw_spec(plan_, number, random);
+  std::uniform_real_distribution<double> spread(1 - kRunSpread, 1 + kRunSpread);
+  int runs = work.spec.kind == JobKind::Gang ? 1 : work.spec.tasks;
+  for (int i = 0; i < runs; ++i) work.run_s.push_back(plan_.run_s * spread(random));
   return work;
 }
 
 bool JobSource::cancelled(int number) const {
-  auto random = generator(plan_, number, 2);
+  auto random = generator(plan_, number, Purpose::Cancellation);
   return std::uniform_real_distribution<double>(0, 1)(random) < plan_.cancel_share;
 }
 
--- /dev/null
+++ b/src/scale_test/load_generator.cc
@@ -0,0 +1,23 @@
+#include "load_generator.h"
+
+namespace corkmux::scale_test {
+namespace {
+
+constexpr double kNotCancelled = -1;  // as Users::submit has it
+
+}  // namespace
+
+void LoadGenerator::start(simulation::Users& users) { submit_next(users); }
+
+void LoadGenerator::submit_next(simulation::Users& users) {
+  if (stopped_) return;
+  int number = ++submitted_;
+  double cancel_after_s = kNotCancelled;
+  if (jobs_.cancelled(number))
+    cancel_after_s = std::uniform_real_distribution<double>(0, plan_.run_s)(random_);
+  users.submit(jobs_.job(number), cancel_after_s);
+  std::exponential_distribution<double> gap_s(plan_.jobs_per_s());
+  loop_.call_later(gap_s(random_), [this, &users] { submit_next(users); });
+}
+
+}  // namespace corkmux::scale_test
--- /dev/null
+++ b/src/scale_test/load_generator.h
@@ -0,0 +1,35 @@
+// Submits a run's jobs through its users, one after the other at random intervals, at the plan's rate.
+#pragma once
+#include <random>
+
+#include "event_loop.h"
+#include "job_source.h"
+#include "scale_test_plan.h"
+#include "users.h"
+
+namespace corkmux::scale_test {
+
+class LoadGenerator {
+ public:
+  /// `random`: shared with whatever else the run draws. All references have to outlive it.
+  LoadGenerator(Loop& loop, const ScaleTestPlan& plan, std::mt19937_64& random)
+      : loop_(loop), plan_(plan), jobs_(plan), random_(random) {}
+
+  /// Submits the first job now. `users` have to outlive the generator.
+  void start(simulation::Users& users);
+  /// Nothing is submitted any more.
+  void stop() { stopped_ = true; }
+  int submitted() const { return submitted_; }
+
+ private:
+  void submit_next(simulation::Users& users);
+
+  Loop& loop_;
+  const ScaleTestPlan& plan_;
+  JobSource jobs_;
+  std::mt19937_64& random_;
+  int submitted_ = 0;
+  bool stopped_ = false;
+};
+
+}  // namespace corkmux::scale_test
--- a/src/scale_test/machine_events.cc
+++ b/src/scale_test/machine_events.cc
@@ -5,31 +5,54 @@
 #include "http.h"
 
 namespace corkmux::scale_test {
+namespace {
+
+/// As a list: a status message may hold hundreds of events.
+Json event_to_wire(const MachineEvent& event) {
+  return {static_cast<int>(event.kind),
+          event.at,
+          event.machine,
+          event.job,
+          event.index,
+          event.attempt,
+          event.why,
+          event.seconds};
+}
+
+MachineEvent parse_event(const Json& body) {
+  MachineEvent event;
+  event.kind = static_cast<MachineEvent::Kind>(body.at(0).get<int>());
+  event.at = body.at(1).get<double>();
+  event.machine = body.at(2).get<std::string>();
+  event.job = body.at(3).get<std::string>();
+  event.index = body.at(4).get<int>();
+  event.attempt = body.at(5).get<std::uint64_t>();
+  event.why = body.at(6).get<std::string>();
+  event.seconds = body.at(7).get<double>();
+  return event;
+}
+
+}  // namespace
 
 double run_time() { return steady_now(); }
 
-Json to_wire(const HostStatus& report) {
+Json to_wire(const HostStatus& status) {
   Json events = Json::array();
-  for (const auto& e : report.events)
-    events.push_back(
-        {static_cast<int>(e.kind), e.at, e.machine, e.job, e.index, e.attempt, e.why, e.seconds});
-  return {{"host", report.host},       {"until", report.until},     {"events", std::move(events)},
-          {"traffic", report.traffic}, {"workers", report.workers}, {"tasks", report.tasks}};
+  for (const auto& event : status.events) events.push_back(event_to_wire(event));
+  return {{"host", status.host},       {"until", status.until},     {"events", std::move(events)},
+          {"traffic", status.traffic}, {"workers", status.workers}, {"tasks", status.tasks}};
 }
 
 std::optional<HostStatus> parse_host_status(const Json& body) {
   try {
-    HostStatus out;
-    out.host = body.at("host").get<int>();
-    out.until = body.at("until").get<double>();
-    out.traffic = body.at("traffic");
-    out.workers = body.at("workers").get<int>();
-    out.tasks = body.at("tasks").get<int>();
-    for (const auto& e : body.at("events"))
-      out.events.push_back({static_cast<MachineEvent::Kind>(e.at(0).get<int>()), e.at(1).get<double>(),
-                            e.at(2).get<std::string>(), e.at(3).get<std::string>(), e.at(4).get<int>(),
-                            e.at(5).get<std::uint64_t>(), e.at(6).get<std::string>(), e.at(7).get<double>()});
-    return out;
+    HostStatus status;
+    status.host = body.at("host").get<int>();
+    status.until = body.at("until").get<double>();
+    status.traffic = body.at("traffic");
+    status.workers = body.at("workers").get<int>();
+    status.tasks = body.at("tasks").get<int>();
+    for (const auto& event : body.at("events")) status.events.push_back(parse_event(event));
+    return status;
   } catch (const Json::exception&) {
     return std::nullopt;
   }
@@ -37,27 +60,29 @@
 
 Json to_wire(const HostInstructions& instructions) {
   Json boot = Json::array();
-  for (const auto& m : instructions.boot) boot.push_back({m.name, m.type.name, m.zone});
+  for (const auto& machine : instructions.boot)
+    boot.push_back({machine.name, machine.type.name, machine.zone});
   return {{"boot", std::move(boot)}, {"lose", instructions.lose}, {"why", instructions.why_lost}};
 }
 
 HostInstructions parse_host_instructions(const Json& body, const std::vector<MachineType>& types) {
-  HostInstructions out;
-  for (const auto& m : body.value("boot", Json::array())) {
-    auto type = std::find_if(types.begin(), types.end(),
-                             [&](const auto& t) { return t.name == m.at(1).get<std::string>(); });
-    out.boot.push_back({m.at(0).get<std::string>(), *type, m.at(2).get<std::string>(), false});
+  HostInstructions instructions;
+  for (const auto& machine : body.value("boot", Json::array())) {
+    auto name = machine.at(1).get<std::string>();
+    auto type = std::find_if(types.begin(), types.end(), [&](const auto& one) { return one.name == name; });
+    instructions.boot.push_back(
+        {machine.at(0).get<std::string>(), *type, machine.at(2).get<std::string>(), false});
   }
-  out.lose = body.value("lose", std::vector<std::string>());
-  out.why_lost = body.value("why", "died");
-  return out;
+  instructions.lose = body.value("lose", std::vector<std::string>());
+  instructions.why_lost = body.value("why", "died");
+  return instructions;
 }
 
 Json traffic_to_wire() {
-  Json out = Json::object();
+  Json counts = Json::object();
   for (const auto& [kind, count] : http::Traffic::of_process().counts())
-    out[kind] = {count.messages, count.bytes_in, count.bytes_out};
-  return out;
+    counts[kind] = {count.messages, count.bytes_in, count.bytes_out};
+  return counts;
 }
 
 }  // namespace corkmux::scale_test
--- a/src/scale_test/run_metrics.cc
+++ b/src/scale_test/run_metrics.cc
@@ -1,23 +1,38 @@
 #include "run_metrics.h"
 
-#include <algorithm>
+#include "scale_test_plan.h"
+#include "time_constants.h"
 
 namespace corkmux::scale_test {
+namespace {
+
+constexpr double kSmallestLength = 1e-9;  // s; keeps a rate finite
+
+codec::Json quantiles(const TimeHistogram& times) {
+  return {{"count", times.count()},
+          {"p50_s", times.quantile(0.5)},
+          {"p95_s", times.quantile(0.95)},
+          {"p99_s", times.quantile(0.99)}};
+}
+
+}  // namespace
 
 double TimeHistogram::count() const { return boost::histogram::algorithm::sum(histogram_); }
 
 double TimeHistogram::quantile(double share) const {
-  double wanted = share * count(), so_far = 0;
-  if (wanted <= 0) return 0;
+  double rank = share * count();
+  if (rank <= 0) return 0;
+  double so_far = 0;
   for (auto&& bin : boost::histogram::indexed(histogram_)) {
     so_far += *bin;
-    if (so_far >= wanted) return bin.bin().upper();
+    if (so_far >= rank) return bin.bin().upper();
   }
   return kMostTime;
 }
 
 double TimeHistogram::share_within(double seconds) const {
-  double all = count(), within = 0;
+  double all = count();
+  double within = 0;
   for (auto&& bin : boost::histogram::indexed(histogram_))
     if (bin.bin().lower() < seconds) within += *bin;
   return all > 0 ? within / all : 1;
@@ -26,70 +41,80 @@
 void RunMetrics::submitted(const JobSpec& job, double at) {
   if (!counts(at)) return;
   ++submitted_;
-  waiting_for_answer_[job.id] = {at, false};
+  waiting_for_answer_[job.id] = at;
   waiting_for_start_[job.id] = {at, job.priority == Priority::High};
 }
 
 void RunMetrics::accepted(const std::string& job, double at) {
-  auto waiting = waiting_for_answer_.extract(job);
-  if (waiting) accepted_in_.add(at - waiting.mapped().since);
+  auto since = waiting_for_answer_.extract(job);
+  if (since) accepted_in_.add(at - since.mapped());
 }
 
-void RunMetrics::refused(int status, double at) { refusals_[status] += counts(at); }
+void RunMetrics::refused(int status, double at) { refusals_[status] += counts(at) ? 1 : 0; }
 
-void RunMetrics::started(const simulation::Work&, int, double at) {
-  most_running_ = std::max(most_running_, ++running_now_);
-  double gap = last_start_ > 0 ? at - last_start_ : 0;
+void RunMetrics::started(const simulation::Work& /*work*/, int /*index*/, double at) {
+  ++running_now_;
+  most_running_ = std::max(most_running_, running_now_);
   if (counts(at)) {
     ++starts_;
-    longest_pause_ = std::max(longest_pause_, gap);
+    if (last_start_) longest_pause_ = std::max(longest_pause_, at - *last_start_);
   }
-  // Once nothing is submitted any more, a time without starts is no pause.
-  for (auto& p : pauses_)
-    if (at > p.at && at < to_ && last_start_ < p.at + kPauseWindow)
-      p.longest_s = std::max(p.longest_s, at - std::max(last_start_, p.at));
+  extend_pauses(at);
   last_start_ = at;
 }
 
+void RunMetrics::extend_pauses(double start_at) {
+  // Once nothing is submitted any more, a time without starts is no pause.
+  if (!window_ || start_at >= window_->to) return;
+  double last_start = last_start_.value_or(kLongAgo);
+  for (auto& pause : pauses_)
+    if (start_at > pause.at && last_start < pause.at + kPauseWindow)
+      pause.longest_s = std::max(pause.longest_s, start_at - std::max(last_start, pause.at));
+}
+
 /// Of a gang all tasks run from the same moment on; of an array the first counts.
 void RunMetrics::running(const simulation::Work& work, double at) {
-  auto waiting = waiting_for_start_.extract(work.spec.id);
-  if (!waiting) return;
-  (waiting.mapped().urgent ? urgent_running_in_ : other_running_in_).add(at - waiting.mapped().since);
+  auto job = waiting_for_start_.extract(work.spec.id);
+  if (!job) return;
+  TimeHistogram& times = job.mapped().urgent ? urgent_running_in_ : other_running_in_;
+  times.add(at - job.mapped().since);
 }
 
-void RunMetrics::left(const simulation::Work&, const std::string& why, double) {
+void RunMetrics::left(const simulation::Work& /*work*/, const std::string& why, double /*at*/) {
   --running_now_;
   ++exits_by_why_[why];
 }
 
+codec::Json RunMetrics::pauses_to_json() const {
+  double window_from = window_ ? window_->from : 0;
+  auto pauses = codec::Json::array();
+  for (const auto& pause : pauses_)
+    pauses.push_back(
+        {{"fault", pause.after}, {"at_s", pause.at - window_from}, {"longest_pause_s", pause.longest_s}});
+  return pauses;
+}
+
 codec::Json RunMetrics::to_json() const {
-  auto times = [](const TimeHistogram& h) {
-    return codec::Json{{"count", h.count()},
-                       {"p50_s", h.quantile(0.5)},
-                       {"p95_s", h.quantile(0.95)},
-                       {"p99_s", h.quantile(0.99)}};
-  };
-  auto urgent = times(urgent_running_in_);
+  double length_s = window_ ? window_->length_s() : 0;
+  auto urgent = quantiles(urgent_running_in_);
   urgent["share_within_aim"] = urgent_running_in_.share_within(kUrgentWithin);
-  codec::Json refusals = codec::Json::object(), pauses = codec::Json::array();
-  for (const auto& [status, count] : refusals_) refusals[std::to_string(status)] = count;
-  for (const auto& p : pauses_)
-    pauses.push_back({{"fault", p.after}, {"at_s", p.at - from_}, {"longest_pause_s", p.longest_s}});
   int urgent_left = 0;
-  for (const auto& [job, waiting] : waiting_for_start_) urgent_left += waiting.urgent;
+  for (const auto& [id, job] : waiting_for_start_)
+    if (job.urgent) ++urgent_left;
+  auto refusals = codec::Json::object();
+  for (const auto& [status, count] : refusals_) refusals[std::to_string(status)] = count;
   return {{"submitted", submitted_},
           {"starts", starts_},
-          {"starts_per_s", starts_ / std::max(1e-9, to_ - from_)},
+          {"starts_per_s", starts_ / std::max(kSmallestLength, length_s)},
           {"most_tasks_on_machines", most_running_},
-          {"accepted_in", times(accepted_in_)},
+          {"accepted_in", quantiles(accepted_in_)},
           {"urgent_running_in", urgent},
           {"urgent_never_running", urgent_left},
-          {"other_running_in", times(other_running_in_)},
+          {"other_running_in", quantiles(other_running_in_)},
           {"longest_pause_s", longest_pause_},
           {"refused_submissions", refusals},
           {"task_exits", exits_by_why_},
-          {"pauses", pauses}};
+          {"pauses", pauses_to_json()}};
 }
 
 }  // namespace corkmux::scale_test
--- a/src/scale_test/run_metrics.h
+++ b/src/scale_test/run_metrics.h
@@ -1,23 +1,32 @@
 // What a scale run measures of users and machines: histograms of waits, starts and the pauses between them.
+// Told of events in the order of their times.
 #pragma once
+#include <algorithm>
 #include <boost/histogram.hpp>
 #include <map>
+#include <optional>
 #include <string>
+#include <tuple>
 #include <vector>
 
 #include "codec.h"
 #include "event_merger.h"
-#include "scale_test_constants.h"
 
 namespace corkmux::scale_test {
 
+// Bins of the histograms: logarithmic from a millisecond to the longest wait, 100 per factor of ten.
+inline constexpr double kLeastTime = 0.001;  // s
+inline constexpr double kMostTime = 1000;    // s
+inline constexpr int kTimeBins = 600;
+inline constexpr double kPauseWindow = 20;  // s after a fault in which a pause is put down to it
+
 /// Times on a logarithmic scale.
 class TimeHistogram {
  public:
   void add(double seconds) { histogram_(std::clamp(seconds, kLeastTime, kMostTime * 0.999)); }
   /// s that this share of the times does not exceed, to the width of a bin; 0 without any.
   double quantile(double share) const;
-  /// Of the times that do not exceed it.
+  /// The share of the times that do not exceed it; 1 without any.
   double share_within(double seconds) const;
   double count() const;
 
@@ -27,16 +36,25 @@
       boost::histogram::make_histogram(Axis(kTimeBins, kLeastTime, kMostTime));
 };
 
+/// s of run_time() between which a run is measured.
+struct MeasurementWindow {
+  double from = 0;
+  double to = 0;
+  double length_s() const { return to - from; }
+  bool contains(double at) const { return at >= from && at < to; }
+};
+
 /// A pause in placing: the longest time without any start after a moment.
 struct Pause {
   std::string after;  // which fault
-  double at = 0, longest_s = 0;
+  double at = 0;      // s of run_time()
+  double longest_s = 0;
 };
 
 class RunMetrics : public EventMerger::Listener {
  public:
-  /// Only what is submitted or starts in the window, s of run_time(), counts.
-  void set_window(double from, double to) { from_ = from, to_ = to; }
+  /// Only what is submitted or starts in the window counts; without one nothing does.
+  void set_window(MeasurementWindow window) { window_ = window; }
   void fault(const std::string& name, double at) { pauses_.push_back({name, at, 0}); }
   void submitted(const JobSpec& job, double at) override;
   void accepted(const std::string& job, double at) override;
@@ -48,17 +66,28 @@
   int starts() const { return starts_; }
 
  private:
-  bool counts(double at) const { return at >= from_ && at < to_; }
-  struct Waiting {
-    double since;
-    bool urgent;
+  struct WaitingJob {
+    double since = 0;
+    bool urgent = false;
   };
-  double from_ = 1e18, to_ = 1e18, last_start_ = 0, longest_pause_ = 0;
-  int starts_ = 0, submitted_ = 0, running_now_ = 0, most_running_ = 0;
-  std::map<std::string, Waiting> waiting_for_answer_, waiting_for_start_;
+  bool counts(double at) const { return window_ && window_->contains(at); }
+  void extend_pauses(double start_at);
+  codec::Json pauses_to_json() const;
+
+  std::optional<MeasurementWindow> window_;
+  std::optional<double> last_start_;
+  double longest_pause_ = 0;
+  int starts_ = 0;
+  int submitted_ = 0;
+  int running_now_ = 0;
+  int most_running_ = 0;
+  std::map<std::string, double> waiting_for_answer_;  // since when, by job
+  std::map<std::string, WaitingJob> waiting_for_start_;
   std::map<int, int> refusals_;              // by status
   std::map<std::string, int> exits_by_why_;  // of tasks
-  TimeHistogram accepted_in_, urgent_running_in_, other_running_in_;
+  TimeHistogram accepted_in_;
+  TimeHistogram urgent_running_in_;
+  TimeHistogram other_running_in_;
   std::vector<Pause> pauses_;
 };
 
--- a/src/scale_test/run_report.cc
+++ b/src/scale_test/run_report.cc
@@ -1,108 +1,156 @@
-// What a scale run says of itself: the account of each role, of users and of the rules.
+#include "run_report.h"
+
 #include <fmt/format.h>
 
 #include <algorithm>
-
-#include "scale_test_constants.h"
-#include "scale_test_run.h"
+#include <array>
 
 namespace corkmux::scale_test {
 using codec::Json;
 
 namespace {
 
+constexpr double kSmallestLength = 1e-9;   // s; keeps a rate finite
+constexpr std::size_t kTrafficCounts = 3;  // of a kind: messages, bytes in, bytes out
+
+/// Rates by kind, from two readings of [messages, bytes in, bytes out].
 Json per_second(const Json& now, const Json& before, double seconds) {
-  Json out = Json::object();
+  Json rates = Json::object();
   for (const auto& entry : now.items()) {
-    const auto& kind = entry.key();
-    const auto& counts = entry.value();
-    auto was = before.value(kind, Json{0, 0, 0});
-    auto rate = [&](std::size_t i) { return (counts[i].get<double>() - was[i].get<double>()) / seconds; };
-    if (rate(0) > 0) out[kind] = {{"messages", rate(0)}, {"bytes_in", rate(1)}, {"bytes_out", rate(2)}};
+    auto earlier = before.value(entry.key(), Json{0, 0, 0});
+    std::array<double, kTrafficCounts> rate{};
+    for (std::size_t i = 0; i < kTrafficCounts; ++i)
+      rate[i] = (entry.value()[i].get<double>() - earlier[i].get<double>()) / seconds;
+    if (rate[0] > 0)
+      rates[entry.key()] = {{"messages", rate[0]}, {"bytes_in", rate[1]}, {"bytes_out", rate[2]}};
   }
-  return out;
+  return rates;
 }
 
-/// Sums of [messages, bytes in, bytes out] by kind.
 void add_traffic(Json& sum, const Json& more) {
   for (const auto& [kind, counts] : more.items()) {
     if (!sum.contains(kind)) sum[kind] = {0, 0, 0};
-    for (std::size_t i = 0; i < 3; ++i)
+    for (std::size_t i = 0; i < kTrafficCounts; ++i)
       sum[kind][i] = sum[kind][i].get<std::uint64_t>() + counts[i].get<std::uint64_t>();
   }
 }
 
+using Shares = std::map<std::string, simulation::InvariantChecker::Share>;
+
+void add_unserved(const char* what, const Shares& shares, std::vector<std::string>& problems) {
+  for (const auto& [name, share] : shares)
+    if (share.served() < kServed)
+      problems.push_back(
+          fmt::format("served: {} {} only {:.2f} of {} jobs", what, name, share.served(), share.submitted));
+}
+
+std::string role_lines(const Json& roles) {
+  std::string text;
+  for (const auto& [name, role] : roles.items())
+    if (role["processes"].get<int>() > 0)
+      text += fmt::format(
+          "  {:<18} {:>3} processes, {:.3f} cores (busiest {:.3f}), {:.1f} MB, {} open files\n", name,
+          role["processes"].get<int>(), role["cores"].get<double>(),
+          role["cores_of_the_busiest"].get<double>(), role["peak_mb_of_the_largest"].get<double>(),
+          role["most_open_files_of_one"].get<int>());
+  return text;
+}
+
+std::string state_line(const Json& state) {
+  return fmt::format(
+      "  state service: {:.1f} requests and {:.1f} changes a second, {:.2f} changes a start, {} over its "
+      "rate\n",
+      state["requests_per_s"].get<double>(), state["changes_per_s"].get<double>(),
+      state["changes_per_start"].get<double>(), state["over_rate"].get<std::uint64_t>());
+}
+
+std::string user_lines(const Json& users) {
+  const auto& accepted = users["accepted_in"];
+  const auto& urgent = users["urgent_running_in"];
+  std::string text =
+      fmt::format("  {:.1f} starts a second, at most {} tasks on machines, longest pause {:.2f} s\n",
+                  users["starts_per_s"].get<double>(), users["most_tasks_on_machines"].get<int>(),
+                  users["longest_pause_s"].get<double>());
+  text += fmt::format(
+      "  accepted in {:.3f} s (half), {:.3f} s (19 of 20); urgent running in {:.3f} s, {:.3f} s, {:.3f} "
+      "within {} s\n",
+      accepted["p50_s"].get<double>(), accepted["p95_s"].get<double>(), urgent["p50_s"].get<double>(),
+      urgent["p95_s"].get<double>(), urgent["share_within_aim"].get<double>(), kUrgentWithin);
+  for (const auto& pause : users["pauses"])
+    text += fmt::format("  {} at {:.1f} s: longest pause {:.2f} s\n", pause["fault"].get<std::string>(),
+                        pause["at_s"].get<double>(), pause["longest_pause_s"].get<double>());
+  return text;
+}
+
 }  // namespace
 
-std::vector<std::string> ScaleTestRun::problems() const {
-  if (!failure_.empty()) return {"run: " + failure_};
-  auto out = record_.checker().broken();
-  auto shares = [&](const char* what, const std::map<std::string, simulation::InvariantChecker::Share>& all) {
-    for (const auto& [name, s] : all)
-      if (s.served() < kServed)
-        out.push_back(
-            fmt::format("served: {} {} only {:.2f} of {} jobs", what, name, s.served(), s.submitted));
-  };
-  shares("class", record_.checker().by_class());
-  shares("team", record_.checker().by_team());
-  return out;
+double RunReport::seconds() const { return std::max(kSmallestLength, results_.window_s); }
+
+std::vector<std::string> RunReport::problems() const {
+  if (results_.failure) return {"run: " + *results_.failure};
+  auto problems = checker_.broken();
+  add_unserved("class", checker_.by_class(), problems);
+  add_unserved("team", checker_.by_team(), problems);
+  return problems;
 }
 
-Json ScaleTestRun::role_account(const std::vector<const Role*>& of) const {
-  double seconds = std::max(1e-9, window_to_ - window_from_), cpu = 0, most_cpu = 0, peak = 0;
-  int files = 0, files_before = 0;
-  Json traffic = Json::object(), before = Json::object();
-  for (const auto* role : of) {
-    double used = (role->used.cpu_s - role->at_start.cpu_s) / seconds;
-    cpu += used;
-    most_cpu = std::max(most_cpu, used);
-    peak = std::max(peak, role->peak_mb);
-    files = std::max(files, role->most_files);
-    files_before = std::max(files_before, role->most_files_before);
-    if (role->restarts) continue;  // its counts began anew
-    add_traffic(traffic, role->traffic);
-    add_traffic(before, role->traffic_at_start);
+Json RunReport::role_account(const RunResults::Processes& processes) const {
+  double cores = 0;
+  double cores_of_busiest = 0;
+  double peak_mb = 0;
+  int files = 0;
+  int files_before = 0;
+  Json traffic = Json::object();
+  Json traffic_before = Json::object();
+  for (const auto* process : processes) {
+    double used = process->window_cpu_s() / seconds();
+    cores += used;
+    cores_of_busiest = std::max(cores_of_busiest, used);
+    peak_mb = std::max(peak_mb, process->peak_memory_mb());
+    files = std::max(files, process->most_files_in_window());
+    files_before = std::max(files_before, process->most_files_before_window());
+    if (process->restarts() > 0) continue;  // its counts of messages began anew
+    add_traffic(traffic, process->traffic());
+    add_traffic(traffic_before, process->traffic_at_window_open());
   }
-  return {{"processes", of.size()},
-          {"cores", cpu},
-          {"cores_of_the_busiest", most_cpu},
-          {"peak_mb_of_the_largest", peak},
+  return {{"processes", processes.size()},
+          {"cores", cores},
+          {"cores_of_the_busiest", cores_of_busiest},
+          {"peak_mb_of_the_largest", peak_mb},
           {"most_open_files_of_one", files},
           {"most_open_files_before_window", files_before},
-          {"per_second", per_second(traffic, before, seconds)}};
+          {"per_second", per_second(traffic, traffic_before, seconds())}};
 }
 
-Json ScaleTestRun::state_account() const {
-  double seconds = std::max(1e-9, window_to_ - window_from_);
-  Json out = role_account({&state_});
-  double changes = 0;
-  Json kinds = Json::object();
-  for (const auto& [kind, count] : state_counts_.changes_by_kind) {
-    auto before = state_at_start_.changes_by_kind.find(kind);
-    double rate = (count - (before == state_at_start_.changes_by_kind.end() ? 0 : before->second)) / seconds;
-    kinds[kind] = rate;
-    changes += rate;
+Json RunReport::state_account() const {
+  const StateCounts& now = results_.state;
+  const StateCounts& before = results_.state_at_window_open;
+  Json account = role_account(results_.state_service);
+  double changes_per_s = 0;
+  Json by_kind = Json::object();
+  for (const auto& [kind, count] : now.changes_by_kind) {
+    auto earlier = before.changes_by_kind.find(kind);
+    auto since = count - (earlier == before.changes_by_kind.end() ? 0 : earlier->second);
+    double rate = static_cast<double>(since) / seconds();
+    by_kind[kind] = rate;
+    changes_per_s += rate;
   }
-  out["changes_per_s"] = changes;
-  out["changes_per_s_by_kind_of_key"] = kinds;
-  out["changes_per_start"] = changes / std::max(1e-9, metrics_.starts() / seconds);
-  out["requests_per_s"] = (state_counts_.served - state_at_start_.served) / seconds;
-  out["over_rate"] = state_counts_.over_rate;
-  out["keys"] = state_counts_.keys;
-  return out;
+  double starts_per_s = metrics_.starts() / seconds();
+  account["changes_per_s"] = changes_per_s;
+  account["changes_per_s_by_kind_of_key"] = by_kind;
+  account["changes_per_start"] = changes_per_s / std::max(kSmallestLength, starts_per_s);
+  account["requests_per_s"] = static_cast<double>(now.served - before.served) / seconds();
+  account["over_rate"] = now.over_rate;
+  account["keys"] = now.keys;
+  return account;
 }
 
-Json ScaleTestRun::account() const {
-  std::vector<const Role*> leads, others, hosts, singles;
-  for (std::size_t i = 0; i < controllers_.size(); ++i)
-    (i == leader_at_start_ ? leads : others).push_back(controllers_[i].get());
-  for (std::size_t i = 0; i < hosts_.size(); ++i)
-    (i < static_cast<std::size_t>(plan_.zones) ? hosts : singles).push_back(hosts_[i].get());
-  Json served = Json::object();
-  for (const auto& [name, s] : record_.checker().by_class())
-    served[name] = {{"submitted", s.submitted}, {"done", s.done}, {"served", s.served()}};
-  double least = 1;
-  for (const auto& [name, s] : record_.checker().by_team()) least = std::min(least, s.served());
+Json RunReport::to_json() const {
+  Json classes = Json::object();
+  for (const auto& [name, share] : checker_.by_class())
+    classes[name] = {{"submitted", share.submitted}, {"done", share.done}, {"served", share.served()}};
+  double least_served = 1;
+  for (const auto& [name, share] : checker_.by_team()) least_served = std::min(least_served, share.served());
   return {{"plan", plan_.name},
           {"seed", plan_.seed},
           {"hollow", true},
@@ -113,55 +161,33 @@
           {"running_tasks_wanted", plan_.running_tasks()},
           {"starts_per_s_wanted", plan_.starts_per_s},
           {"jobs_per_s", plan_.jobs_per_s()},
-          {"window_s", window_to_ - window_from_},
-          {"leader_changed", leader_at_start_ != leader_at_end_},
+          {"window_s", results_.window_s},
+          {"leader_changed", results_.leader_changed},
           {"users", metrics_.to_json()},
           {"roles",
-           {{"leader", role_account(leads)},
-            {"other_controllers", role_account(others)},
+           {{"leader", role_account(results_.leader)},
+            {"other_controllers", role_account(results_.other_controllers)},
             {"state_service", state_account()},
-            {"hollow_workers", role_account(hosts)},
-            {"single_workers", role_account(singles)}}},
-          {"peak_mb_of_all", peak_mb_},
-          {"classes", served},
-          {"least_served_team", least},
+            {"hollow_workers", role_account(results_.zone_hosts)},
+            {"single_workers", role_account(results_.single_hosts)}}},
+          {"peak_mb_of_all", results_.peak_memory_mb},
+          {"classes", classes},
+          {"least_served_team", least_served},
           {"problems", problems()}};
 }
 
-std::string ScaleTestRun::report_text() const {
-  auto a = account();
-  std::string out =
+std::string RunReport::to_text() const {
+  auto account = to_json();
+  std::string text =
       fmt::format("{}: {} hollow workers, {} controllers, {} teams; window of {:.0f} s\n", plan_.name,
-                  plan_.workers, plan_.controllers, plan_.teams, window_to_ - window_from_);
-  for (const auto& [name, r] : a["roles"].items())
-    if (r["processes"].get<int>() > 0)
-      out += fmt::format(
-          "  {:<18} {:>3} processes, {:.3f} cores (busiest {:.3f}), {:.1f} MB, {} open files\n", name,
-          r["processes"].get<int>(), r["cores"].get<double>(), r["cores_of_the_busiest"].get<double>(),
-          r["peak_mb_of_the_largest"].get<double>(), r["most_open_files_of_one"].get<int>());
-  const auto& state = a["roles"]["state_service"];
-  const auto& users = a["users"];
-  out += fmt::format(
-      "  state service: {:.1f} requests and {:.1f} changes a second, {:.2f} changes a start, {} over its "
-      "rate\n",
-      state["requests_per_s"].get<double>(), state["changes_per_s"].get<double>(),
-      state["changes_per_start"].get<double>(), state["over_rate"].get<std::uint64_t>());
-  out += fmt::format("  {:.1f} starts a second, at most {} tasks on machines, longest pause {:.2f} s\n",
-                     users["starts_per_s"].get<double>(), users["most_tasks_on_machines"].get<int>(),
-                     users["longest_pause_s"].get<double>());
-  out += fmt::format(
-      "  accepted in {:.3f} s (half), {:.3f} s (19 of 20); urgent running in {:.3f} s, {:.3f} s, {:.3f} "
-      "within {} s\n",
-      users["accepted_in"]["p50_s"].get<double>(), users["accepted_in"]["p95_s"].get<double>(),
-      users["urgent_running_in"]["p50_s"].get<double>(), users["urgent_running_in"]["p95_s"].get<double>(),
-      users["urgent_running_in"]["share_within_aim"].get<double>(), kUrgentWithin);
-  for (const auto& p : users["pauses"])
-    out += fmt::format("  {} at {:.1f} s: longest pause {:.2f} s\n", p["fault"].get<std::string>(),
-                       p["at_s"].get<double>(), p["longest_pause_s"].get<double>());
-  out += fmt::format("  peak memory of all processes together: {:.0f} MB\n", peak_mb_);
-  for (const auto& p : problems()) out += "  WRONG: " + p + "\n";
-  if (good()) out += "  every rule held, every class and team was served\n";
-  return out;
+                  plan_.workers, plan_.controllers, plan_.teams, results_.window_s);
+  text += role_lines(account["roles"]);
+  text += state_line(account["roles"]["state_service"]);
+  text += user_lines(account["users"]);
+  text += fmt::format("  peak memory of all processes together: {:.0f} MB\n", results_.peak_memory_mb);
+  for (const auto& problem : problems()) text += "  WRONG: " + problem + "\n";
+  if (good()) text += "  every rule held, every class and team was served\n";
+  return text;
 }
 
 }  // namespace corkmux::scale_test
--- a/src/scale_test/scale_test_run.h
+++ b/src/scale_test/scale_test_run.h
@@ -1,115 +1,117 @@
-// One scale run: deployed controllers as processes of their own, hollow workers, a stand-in state service and
-// cloud, and users around them, on the sockets and the clock of this machine. Measures what each role uses,
-// brings about the plan's faults and holds PROTOCOL's rules against what was seen.
+// The course of one scale run: starts a stand-in state store and cloud, deployed controllers and hollow
+// workers as processes of their own, loads them with users' jobs on the sockets and the clock of this
+// machine, opens and closes the measurement window, and waits for the jobs to end. Which faults come, what is
+// measured and what is reported is its members' matter.
 #pragma once
-#include <filesystem>
-#include <map>
+#include <functional>
 #include <memory>
+#include <optional>
+#include <random>
 #include <string>
 #include <vector>
 
-#include "child_process.h"
-#include "cloud.h"
+#include "collector.h"
+#include "controller_group.h"
 #include "event_merger.h"
-#include "job_source.h"
+#include "fault_injector.h"
+#include "hollow_fleet.h"
+#include "load_generator.h"
+#include "process_sampler.h"
+#include "run_folder.h"
 #include "run_metrics.h"
+#include "run_report.h"
 #include "scale_test_plan.h"
-#include "state_host.h"
 #include "users.h"
 
 namespace corkmux::scale_test {
 
+inline constexpr double kProgressEvery = 5;       // s between lines of progress
+inline constexpr double kDrainCheckEvery = 1;     // s between looks whether all jobs have ended
+inline constexpr double kStartCheckEvery = 0.05;  // s between looks whether all processes are up
+inline constexpr double kUpPatience = 60;         // s until hosts, controllers and workers are up
+inline constexpr double kTrafficPatience = 0.5;   // s a controller has to log what it was asked for
+
 /// The programs that a run starts.
 struct Programs {
-  std::string own, controller;  // this program, for its other roles; the deployed one
+  std::string own;                         // this program, for its other roles
+  std::vector<std::string> own_arguments;  // the plan's file and what replaces parts of it, for these roles
+  std::string controller;                  // the deployed program
 };
 
 class ScaleTestRun {
  public:
-  /// `plan_file`: handed to the processes of other roles, which read the same plan, with `overrides`.
-  ScaleTestRun(Loop& loop, ScaleTestPlan plan, Programs programs, std::string plan_file,
-               std::vector<std::string> overrides);
+  ScaleTestRun(Loop& loop, ScaleTestPlan plan, Programs programs);
+  /// Ends all processes of the run.
   ~ScaleTestRun();
+  ScaleTestRun(const ScaleTestRun&) = delete;
+  ScaleTestRun& operator=(const ScaleTestRun&) = delete;
+
   /// Plays the plan; `done` when it is over. Throws std::runtime_error if something cannot be started.
   void start(std::function<void()> done);
-  /// Every rule held and enough of every class and team was served.
-  bool good() const { return problems().empty(); }
-  std::vector<std::string> problems() const;
-  codec::Json account() const;
-  /// The account for a reader.
-  std::string report_text() const;
+  /// Refers to the run.
+  RunReport report();
 
  private:
-  struct Role {
-    std::unique_ptr<ChildProcess> process;
-    std::string label, log;
-    ProcessUsage used, at_start;  // latest, and as the window began
-    double peak_mb = 0, cpu_before = 0;
-    int most_files = 0, most_files_before = 0, restarts = 0;  // open, in the window and before it
-    codec::Json traffic = codec::Json::object(), traffic_at_start = codec::Json::object();
+  /// What the start waits for, and what comes then.
+  struct StartStep {
+    std::string what;
+    std::function<bool()> reached;
+    std::function<void()> next;
+    double give_up_at = 0;  // s of run_time()
   };
-  struct Host : Role {
-    std::vector<simulation::MachineFacts> to_boot;
-    HostInstructions instructions;
-    int workers = 0, tasks = 0;
-  };
-  void serve(http::Server::ConnectionId id, const http::Request& request);
-  void host_status(http::Server::ConnectionId id, const HostStatus& report);
-  void state_counts_received(http::Server::ConnectionId id, StateCounts counts);
-  void begin_outside();
-  void start_controllers();
-  void start_controller(std::size_t number);
-  void start_hosts();
-  /// Goes on once `there` holds; the run fails with `what` if it does not in time.
-  void wait_for(std::string what, std::function<bool()> there, std::function<void()> then);
+
+  std::vector<std::string> role_command(const std::string& role) const;
+  std::optional<HostInstructions> on_host_status(const HostStatus& status);
+  void on_state_counts(StateCounts counts);
+  void on_process_ended(const MeasuredProcess& process);
+  /// The run fails if the step is not reached in time.
+  void wait_for(StartStep step);
+  void start_controllers_and_workers();
   void begin_load();
-  void submit_next();
   void open_window();
   void close_window();
+  /// Calls back once the controllers have had time to log their counts of messages, with these read.
+  void with_traffic(std::function<void()> then);
+  void inject(const Fault& fault);
+  /// Waits until every job is over, or the plan's patience is.
   void drain();
   void finish();
   void fail(const std::string& why);
-  void inject(const Fault& fault);
-  void restart_controller(std::size_t number);
-  void lose_machines(int count, const std::string& why, bool come_back);
-  std::size_t leader() const;  // number of the controller that leads; controllers_.size(): none
-  void sample();
-  void read_usage(Role& role, bool count_files);
-  void ask_for_traffic();
-  void read_traffic(Role& role) const;
-  void progress();
-  std::vector<Role*> roles();
-  codec::Json role_account(const std::vector<const Role*>& of) const;
-  codec::Json state_account() const;
-  double seconds() const { return run_time() - began_; }
+  void end();
+  void log_progress();
+  /// Number of the controller that leads, by the leader's record in the state store.
+  std::optional<std::size_t> leader() const { return controllers_.find(state_counts_.leader); }
+  std::vector<MeasuredProcess*> processes();
+  /// s since the load began; 0 before.
+  double load_s() const;
 
   Loop& loop_;
   ScaleTestPlan plan_;
   Programs programs_;
-  std::string plan_file_;
-  std::vector<std::string> overrides_;
-  JobSource jobs_;
+  RunFolder folder_;
+  std::mt19937_64 random_;
   RunMetrics metrics_;
-  EventMerger record_;
-  std::filesystem::path folder_;  // settings and logs; removed with the run unless it failed
-  std::unique_ptr<simulation::MachineObserver> nobody_;
+  EventMerger merger_;
+  simulation::MachineObserver unobserved_;  // machines are in other processes
   simulation::JobRegistry registry_;
-  http::Server collector_;
-  std::unique_ptr<simulation::Cloud> cloud_;
+  Collector collector_;
+  MeasuredProcess state_service_;
+  ControllerGroup controllers_;
+  HollowFleet fleet_;
+  LoadGenerator load_;
+  FaultInjector faults_;
+  ProcessSampler sampler_;
   std::unique_ptr<simulation::Users> users_;
-  std::vector<ReservedAddress> user_addresses_, peer_addresses_;
-  std::vector<std::unique_ptr<Role>> controllers_;
-  std::vector<std::unique_ptr<Host>> hosts_;
-  Role state_;
-  StateCounts state_counts_, state_at_start_;
-  std::map<std::string, simulation::MachineFacts> machines_;
-  std::map<std::string, std::string> machine_addresses_;
-  std::size_t leader_at_start_ = 0, leader_at_end_ = 0;
-  std::mt19937_64 random_;
-  double began_ = 0, window_from_ = 0, window_to_ = 0, peak_mb_ = 0;
-  int next_job_ = 0, samples_ = 0;
-  bool submitting_ = false, over_ = false;
-  std::string failure_;
+  StateCounts state_counts_;  // the latest
+  StateCounts state_counts_at_window_open_;
+  std::optional<std::size_t> leader_at_window_open_;
+  std::optional<std::size_t> leader_at_window_close_;
+  // s of run_time()
+  std::optional<double> load_began_at_;
+  std::optional<double> window_opened_at_;
+  std::optional<double> window_closed_at_;
+  bool over_ = false;
+  std::optional<std::string> failure_;
   std::function<void()> done_;
 };
 
--- a/src/scale_test/state_host.cc
+++ b/src/scale_test/state_host.cc
@@ -1,13 +1,14 @@
 #include "state_host.h"
 
 #include "machine_events.h"
-#include "scale_test_constants.h"
 #include "store_keys.h"
 
 namespace corkmux::scale_test {
 namespace {
-constexpr int kMostFailures = 5;  // of status messages in a row, after which the collector counts as gone
-}
+
+constexpr double kBytesPerKb = 1024;
+
+}  // namespace
 
 codec::Json to_wire(const StateCounts& counts) {
   return {{"port", counts.port},           {"leader", counts.leader}, {"served", counts.served},
@@ -16,20 +17,20 @@
 }
 
 StateCounts parse_state_counts(const codec::Json& body) {
-  StateCounts out;
-  out.port = body.at("port").get<int>();
-  out.leader = body.at("leader").get<std::string>();
-  out.served = body.at("served").get<std::uint64_t>();
-  out.over_rate = body.at("over_rate").get<std::uint64_t>();
-  out.keys = body.at("keys").get<std::uint64_t>();
-  out.changes_by_kind = body.at("changes").get<std::map<std::string, std::uint64_t>>();
-  out.traffic = body.at("traffic");
-  return out;
+  StateCounts counts;
+  counts.port = body.at("port").get<int>();
+  counts.leader = body.at("leader").get<std::string>();
+  counts.served = body.at("served").get<std::uint64_t>();
+  counts.over_rate = body.at("over_rate").get<std::uint64_t>();
+  counts.keys = body.at("keys").get<std::uint64_t>();
+  counts.changes_by_kind = body.at("changes").get<std::map<std::string, std::uint64_t>>();
+  counts.traffic = body.at("traffic");
+  return counts;
 }
 
 StateHost::StateHost(Loop& loop, const ScaleTestPlan& plan, const std::string& collector)
-    : loop_(loop), state_(loop, "127.0.0.1:0"), collector_(loop, collector, 1, 4) {
-  state_.value_bytes = static_cast<std::size_t>(plan.site.value_kb * 1024);
+    : loop_(loop), state_(loop, "127.0.0.1:0"), collector_(loop, collector) {
+  state_.value_bytes = static_cast<std::size_t>(plan.site.value_kb * kBytesPerKb);
   state_.txn_ops = static_cast<std::size_t>(plan.site.txn_ops);
   state_.requests.set(plan.site.state_rps);
   state_.changes.set(plan.site.state_write_rps);
@@ -37,24 +38,22 @@
 }
 
 StateCounts StateHost::counts() const {
-  StateCounts out;
-  out.port = state_.port();
-  out.leader = state_.value(kLeaderKey).value("label", "");
-  out.served = state_.served;
-  out.over_rate = static_cast<std::uint64_t>(state_.over_rate);
-  out.keys = state_.size();
-  out.changes_by_kind = state_.changes_by_kind;
-  out.traffic = traffic_to_wire();
-  return out;
+  StateCounts counts;
+  counts.port = state_.port();
+  counts.leader = state_.value(kLeaderKey).value("label", "");
+  counts.served = state_.served;
+  counts.over_rate = static_cast<std::uint64_t>(state_.over_rate);
+  counts.keys = state_.size();
+  counts.changes_by_kind = state_.changes_by_kind;
+  counts.traffic = traffic_to_wire();
+  return counts;
 }
 
 void StateHost::report() {
-  collector_.request("POST", "/state", codec::pack(to_wire(counts())), kEventsTimeout,
-                     [this](http::Result result) {
-                       failures_ = result.ok() ? 0 : failures_ + 1;
-                       if (failures_ >= kMostFailures) return loop_.stop();
-                       loop_.call_later(kCountsEvery, [this] { report(); });
-                     });
+  // Counts only grow: a message that was not taken needs no repetition, the next says more.
+  collector_.send("/state", to_wire(counts()), [this](const std::optional<std::string>&) {
+    loop_.call_later(kCountsEvery, [this] { report(); });
+  });
 }
 
 }  // namespace corkmux::scale_test
--- a/tests/scale_test_run_test.cc
+++ b/tests/scale_test_run_test.cc
@@ -6,16 +6,24 @@
 #include <cstdio>
 #include <cstdlib>
 #include <fstream>
+#include <optional>
 
+#include "controller_settings.h"
 #include "event_merger.h"
 #include "job_source.h"
-#include "scale_test_plan.h"
+#include "machine_limits.h"
+#include "plan_overrides.h"
+#include "scale_test_plan_parser.h"
 #include "toml_reader.h"
 
 namespace corkmux::scale_test {
 namespace {
 
-std::string small_text() { return read_file(std::string(SCALE_PLANS) + "/small.toml"); }
+std::string plan_file(const std::string& name) { return std::string(SCALE_PLANS) + "/" + name; }
+
+std::string small_text() { return read_file(plan_file("small.toml")); }
+
+ScaleTestPlan small_plan() { return parse_scale_plan(small_text(), "plan.toml"); }
 
 std::string replaced(std::string text, const std::string& what, const std::string& by) {
   auto at = text.find(what);
@@ -23,199 +31,306 @@
   return text.replace(at, what.size(), by);
 }
 
-std::string error_of(const std::string& text) {
+/// What the function throws as SettingsError; nullopt: nothing.
+template <typename Function>
+std::optional<std::string> settings_error_of(Function function) {
   try {
-    parse_scale_plan(text, "plan.toml");
-  } catch (const SettingsError& e) {
-    return e.what();
+    function();
+  } catch (const SettingsError& error) {
+    return error.what();
   }
-  return "";
+  return std::nullopt;
+}
+
+std::optional<std::string> parse_error(const std::string& text) {
+  return settings_error_of([&] { parse_scale_plan(text, "plan.toml"); });
 }
 
-TEST(ScaleTestPlan, SaysWhichFieldIsWrong) {
-  EXPECT_EQ(error_of(small_text()), "");
-  EXPECT_EQ(error_of(replaced(small_text(), "workers = 122", "workers = 2.5")),
+TEST(ScaleTestPlanParser, SaysWhichFieldIsWrong) {
+  EXPECT_EQ(parse_error(small_text()), std::nullopt);
+  EXPECT_EQ(parse_error(replaced(small_text(), "workers = 122", "workers = 2.5")),
             "plan.toml: workers: not a count");
-  EXPECT_EQ(error_of(replaced(small_text(), "teams = 6", "crews = 6")), "plan.toml: crews: no such field");
-  EXPECT_EQ(error_of(replaced(small_text(), "kind = \"leader_killed\"", "kind = \"flood\"")),
+  EXPECT_EQ(parse_error(replaced(small_text(), "teams = 6", "crews = 6")), "plan.toml: crews: no such field");
+  EXPECT_EQ(parse_error(replaced(small_text(), "kind = \"leader_killed\"", "kind = \"flood\"")),
             "plan.toml: faults[0].kind: no such fault");
-  EXPECT_EQ(error_of(replaced(small_text(), "report_s = 2", "report_s = -2")),
+  EXPECT_EQ(parse_error(replaced(small_text(), "report_s = 2", "report_s = -2")),
             "plan.toml: worker_times.report_s: out of range");
 }
 
 TEST(ScaleTestPlan, ZonesShareAllWorkers) {
-  auto plan = parse_scale_plan(small_text(), "plan.toml");
+  auto plan = small_plan();
   int workers = 0;
   double accelerators = 0;
-  for (std::size_t z = 0; z < plan.zone_names().size(); ++z) {
-    workers += plan.machines_in(z, "plain") + plan.machines_in(z, "accelerated");
-    accelerators += 8 * plan.machines_in(z, "accelerated");
+  for (std::size_t zone = 0; zone < plan.zone_names().size(); ++zone) {
+    workers += plan.machines_in(zone, "plain") + plan.machines_in(zone, "accelerated");
+    accelerators += 8 * plan.machines_in(zone, "accelerated");
   }
   EXPECT_EQ(workers, plan.workers);
   EXPECT_EQ(accelerators, plan.accelerators);
 }
 
-TEST(ScaleTestPlan, RefusesWhatTheMachineCannotCarry) {
-  auto plan = parse_scale_plan(small_text(), "plan.toml");
-  EXPECT_EQ(refusal(plan), "");
+TEST(PlanOverrides, ReplaceWhatTheFileSays) {
+  PlanOverrides overrides;
+  overrides.workers = 61;
+  overrides.starts_per_s = 2.5;
+  overrides.tasks_per_job = 3;
+  auto plan = small_plan();
+  overrides.apply(plan, "plan.toml");
+  EXPECT_EQ(plan.workers, 61);
+  EXPECT_EQ(plan.accelerators, small_plan().accelerators / 2);
+  EXPECT_EQ(plan.starts_per_s, 2.5);
+  EXPECT_EQ(plan.teams, small_plan().teams);
+  for (const auto& job_class : plan.classes)
+    if (job_class.kind == JobKind::Array) {
+      EXPECT_EQ(job_class.tasks, std::vector<int>{3});
+    }
+  EXPECT_EQ(overrides.to_arguments(),
+            (std::vector<std::string>{"--workers", "61", "--starts-per-s", "2.5", "--tasks-per-job", "3"}));
+}
+
+TEST(PlanOverrides, SayWhichFieldIsWrong) {
+  auto error_with = [](const PlanOverrides& overrides) {
+    return settings_error_of([&] {
+      auto plan = small_plan();
+      overrides.apply(plan, "plan.toml");
+    });
+  };
+  EXPECT_EQ(error_with({}), std::nullopt);
+  PlanOverrides too_short;
+  too_short.for_s = small_plan().warm_s;
+  EXPECT_EQ(error_with(too_short), "plan.toml: warm_s: not shorter than the run");
+  PlanOverrides too_small;
+  too_small.workers = small_plan().single_workers + small_plan().zones;
+  EXPECT_EQ(error_with(too_small), "plan.toml: workers: fewer than zones and single_workers");
+}
+
+/// The message of the refusal; nullopt: the machine can carry the plan.
+std::optional<std::string> refusal_of(const ScaleTestPlan& plan) {
+  try {
+    check_machine_limits(plan, "plan.toml");
+  } catch (const PlanTooLarge& error) {
+    return error.what();
+  }
+  return std::nullopt;
+}
+
+/// Whether the message names the file and what is short.
+::testing::AssertionResult refused_for(const char* what, const ScaleTestPlan& plan) {
+  auto refusal = refusal_of(plan);
+  if (!refusal) return ::testing::AssertionFailure() << "the plan is not refused";
+  if (refusal->rfind("plan.toml: ", 0) == 0 && refusal->find(what) != std::string::npos)
+    return ::testing::AssertionSuccess();
+  return ::testing::AssertionFailure() << *refusal;
+}
+
+TEST(MachineLimits, RefuseWhatTheMachineCannotCarry) {
+  EXPECT_EQ(refusal_of(small_plan()), std::nullopt);
+  auto plan = small_plan();
   plan.workers = 3'000'000;
-  EXPECT_NE(refusal(plan).find("sockets"), std::string::npos);
-  plan = parse_scale_plan(small_text(), "plan.toml");
+  EXPECT_TRUE(refused_for("sockets", plan));
+  plan = small_plan();
   plan.controllers = 500;
-  EXPECT_NE(refusal(plan).find("processes"), std::string::npos);
-  plan = parse_scale_plan(small_text(), "plan.toml");
+  EXPECT_TRUE(refused_for("processes", plan));
+  plan = small_plan();
   plan.starts_per_s = 1e6;
-  EXPECT_NE(refusal(plan).find("CPUs"), std::string::npos);
+  EXPECT_TRUE(refused_for("CPUs", plan));
 }
 
-TEST(ScaleTestPlan, ControllersTakeItsSettings) {
-  auto plan = parse_scale_plan(small_text(), "plan.toml");
-  auto settings =
-      parse_settings(controller_settings(plan, 1, {"127.0.1.1:1", "127.0.1.2:2"},
-                                         {"127.0.1.1:3", "127.0.1.2:4"}, "127.0.0.1:5", "127.0.0.1:6"),
-                     "settings.toml");
+TEST(ControllerSettings, AreTakenByAController) {
+  RunAddresses addresses;
+  addresses.users = {"127.0.1.1:1", "127.0.1.2:2"};
+  addresses.peers = {"127.0.1.1:3", "127.0.1.2:4"};
+  addresses.state = "127.0.0.1:5";
+  addresses.cloud = "127.0.0.1:6";
+  auto settings = parse_settings(controller_settings(small_plan(), 1, addresses), "settings.toml");
   EXPECT_EQ(settings.label, "c02");
+  EXPECT_EQ(settings.listen, "127.0.1.2:2");
+  EXPECT_EQ(settings.peer_listen, "127.0.1.2:4");
+  EXPECT_EQ(settings.state, "127.0.0.1:5");
+  EXPECT_EQ(settings.cloud, "127.0.0.1:6");
   EXPECT_EQ(settings.peers.size(), 1u);
   EXPECT_EQ(settings.teams.size(), 6u);
   EXPECT_EQ(settings.zones.size(), 5u);
 }
 
 TEST(JobSource, EveryProcessComputesTheSameJob) {
-  auto plan = parse_scale_plan(small_text(), "plan.toml");
-  auto other_plan = parse_scale_plan(small_text(), "plan.toml");
-  JobSource one(plan), other(other_plan);
+  auto plan = small_plan();
+  auto other_plan = small_plan();
+  JobSource one(plan);
+  JobSource other(other_plan);
   std::set<std::string> classes;
-  for (int n = 1; n <= 200; ++n) {
-    auto a = one.job(n), b = other.job(n);
-    EXPECT_EQ(JobSource::number(a.spec.id), n);
-    EXPECT_EQ(a.spec.team, b.spec.team);
-    EXPECT_EQ(a.spec.tasks, b.spec.tasks);
-    EXPECT_EQ(a.run_s, b.run_s);
-    classes.insert(a.spec.job_class);
+  for (int number = 1; number <= 200; ++number) {
+    auto job = one.job(number);
+    auto same = other.job(number);
+    EXPECT_EQ(JobSource::number(job.spec.id), number);
+    EXPECT_EQ(job.spec.team, same.spec.team);
+    EXPECT_EQ(job.spec.tasks, same.spec.tasks);
+    EXPECT_EQ(job.run_s, same.run_s);
+    classes.insert(job.spec.job_class);
   }
   EXPECT_EQ(classes.size(), plan.classes.size());
   EXPECT_FALSE(JobSource::number("run-x"));
   EXPECT_FALSE(JobSource::number("other-000001"));
 }
 
-class Ordered : public ::testing::Test {
+const std::string kJob = "run-000001";
+
+simulation::Work job_with(int tasks) {
+  simulation::Work work;
+  work.spec.id = kJob;
+  work.spec.team = "team-001";
+  work.spec.tasks = tasks;
+  return work;
+}
+
+simulation::MachineFacts plain_machine(const std::string& name, const std::string& zone) {
+  MachineType type;
+  type.name = "plain";
+  type.size = kPlainSize;
+  return {name, type, zone};
+}
+
+/// Two hosts, one machine and zone each, and one job of one task.
+class EventMergerTest : public ::testing::Test {
  protected:
-  Ordered() : registry_(loop_, 5, nobody_), record_({{"team-001", 0, 0, 0, 0}}, 30, 2, listener_) {
-    simulation::Work work;
-    work.spec.id = "run-000001", work.spec.team = "team-001", work.spec.tasks = 1;
-    registry_.add(std::move(work));
-    MachineType type;
-    type.name = "plain", type.size = {32, 0, 128};
-    machines_ = {{"n-1", {"n-1", type, "zone-1"}}, {"n-2", {"n-2", type, "zone-2"}}};
+  EventMergerTest()
+      : registry_(loop_, 5, unobserved_), merger_({{"team-001", 0, 0, 0, 0}}, 30, 2, listener_) {
+    registry_.add(job_with(1));
+    machines_ = {{"n-1", plain_machine("n-1", "zone-1")}, {"n-2", plain_machine("n-2", "zone-2")}};
   }
   MachineEvent event(MachineEvent::Kind kind, double at, const std::string& machine) {
-    return {kind, at, machine, "run-000001", 0, 1, "halted", 0};
+    return {kind, at, machine, kJob, 0, 1, "halted", 0};
   }
   void tell(int host, double until, std::vector<MachineEvent> events) {
-    record_.add({host, until, std::move(events), Json::object(), 1, 1}, machines_, registry_);
-    record_.apply();
+    merger_.add({host, until, std::move(events), Json::object(), 1, 1}, machines_, registry_);
+    merger_.apply();
   }
+
+  double begin_ = run_time() - 10;
   Loop loop_;
-  simulation::MachineObserver nobody_;
+  simulation::MachineObserver unobserved_;
   simulation::JobRegistry registry_;
   EventMerger::Listener listener_;
-  EventMerger record_;
+  EventMerger merger_;
   std::map<std::string, simulation::MachineFacts> machines_;
 };
 
-TEST_F(Ordered, AMoveHeardInTheWrongOrderIsNoSecondRun) {
-  double t = run_time() - 10;
-  tell(1, t + 3, {event(MachineEvent::Kind::On, t + 2, "n-2")});
-  EXPECT_EQ(record_.checker().starts(), 0) << "what the other process saw before that is not known yet";
-  tell(0, t + 3, {event(MachineEvent::Kind::On, t, "n-1"), event(MachineEvent::Kind::Off, t + 1, "n-1")});
-  EXPECT_EQ(record_.checker().starts(), 2);
-  EXPECT_TRUE(record_.checker().broken().empty());
+TEST_F(EventMergerTest, AMoveHeardInTheWrongOrderIsNoSecondRun) {
+  tell(1, begin_ + 3, {event(MachineEvent::Kind::On, begin_ + 2, "n-2")});
+  EXPECT_EQ(merger_.checker().starts(), 0) << "what the other process saw before that is not known yet";
+  tell(0, begin_ + 3,
+       {event(MachineEvent::Kind::On, begin_, "n-1"), event(MachineEvent::Kind::Off, begin_ + 1, "n-1")});
+  EXPECT_EQ(merger_.checker().starts(), 2);
+  EXPECT_TRUE(merger_.checker().broken().empty());
 }
 
-TEST_F(Ordered, ATaskOnTwoMachinesIsFound) {
-  double t = run_time() - 10;
-  tell(1, t + 3, {event(MachineEvent::Kind::On, t + 2, "n-2")});
-  tell(0, t + 4, {event(MachineEvent::Kind::On, t, "n-1"), event(MachineEvent::Kind::Off, t + 3, "n-1")});
-  EXPECT_TRUE(record_.checker().breaks("ran_twice"));
+TEST_F(EventMergerTest, ATaskOnTwoMachinesIsFound) {
+  tell(1, begin_ + 3, {event(MachineEvent::Kind::On, begin_ + 2, "n-2")});
+  tell(0, begin_ + 4,
+       {event(MachineEvent::Kind::On, begin_, "n-1"), event(MachineEvent::Kind::Off, begin_ + 3, "n-1")});
+  EXPECT_TRUE(merger_.checker().breaks("ran_twice"));
 }
 
-TEST_F(Ordered, AHostThatHasEndedIsNotWaitedFor) {
-  double t = run_time() - 10;
-  tell(0, t + 3, {event(MachineEvent::Kind::On, t, "n-1")});
-  EXPECT_EQ(record_.checker().starts(), 0);
-  record_.forget_host(1);
-  record_.apply();
-  EXPECT_EQ(record_.checker().starts(), 1);
+TEST_F(EventMergerTest, AHostThatHasEndedIsNotWaitedFor) {
+  tell(0, begin_ + 3, {event(MachineEvent::Kind::On, begin_, "n-1")});
+  EXPECT_EQ(merger_.checker().starts(), 0);
+  merger_.forget_host(1);
+  merger_.apply();
+  EXPECT_EQ(merger_.checker().starts(), 1);
 }
 
-struct CountsStarts : simulation::MachineObserver {
+/// Counts the tasks that come onto machines.
+struct StartCounter : simulation::MachineObserver {
   int starts = 0;
-  void on(const std::string&, const std::string&, const std::string&, bool, const simulation::Work&, int,
-          std::uint64_t) override {
+  void on(const std::string& /*machine*/, const std::string& /*type*/, const std::string& /*zone*/,
+          bool /*spot*/, const simulation::Work& /*work*/, int /*index*/,
+          std::uint64_t /*attempt*/) override {
     ++starts;
   }
 };
 
-/// A run whose machines took orders after their end looked as if tasks had run twice.
-TEST(HollowWorker, TakesNoOrdersAfterItsEnd) {
-  Loop loop;
-  CountsStarts observer;
-  simulation::JobRegistry registry(loop, 5, observer);
-  simulation::Work work;
-  work.spec.id = "run-000001", work.spec.tasks = 2, work.spec.image_gb = 0;
-  registry.add(std::move(work));
-  MachineType type;
-  type.name = "plain", type.size = {32, 0, 128};
-  simulation::Worker worker(loop, {"n-1", type, "zone-1"}, {}, {{"c1", "127.0.0.1:1"}}, registry,
-                            "127.0.0.1:0");
-  auto launch = [&](int index) {
-    http::Client client(loop, worker.address(), 1, 1);
+/// One worker and a job of two tasks.
+class HollowWorkerTest : public ::testing::Test {
+ protected:
+  HollowWorkerTest()
+      : registry_(loop_, 5, starts_),
+        worker_(loop_, plain_machine("n-1", "zone-1"), {}, {{"c1", "127.0.0.1:1"}}, registry_,
+                "127.0.0.1:0") {
+    auto work = job_with(2);
+    work.spec.image_gb = 0;
+    registry_.add(std::move(work));
+  }
+  void wait(double seconds) {
+    bool waited = false;
+    loop_.call_later(seconds, [&] { waited = true; });
+    while (!waited) loop_.run_once();
+  }
+  /// Sends the worker a command to start the task, waits for the answer or for none, and then a moment.
+  void send_start(int index) {
+    http::Client client(loop_, worker_.address(), 1, 1);
     bool over = false;
-    auto command_batch = codec::commands_to_wire(9, {{TaskCommand::Op::Start, "run-000001", index, 1, 0}}, 1);
+    auto command_batch = codec::commands_to_wire(9, {{TaskCommand::Op::Start, kJob, index, 1, 0}}, 1);
     client.request("POST", codec::kCommandsPath, codec::pack(command_batch), 0.3,
                    [&](http::Result) { over = true; });
-    while (!over) loop.run_once();
-    bool waited = false;
-    loop.call_later(0.2, [&] { waited = true; });
-    while (!waited) loop.run_once();
-  };
-  launch(0);
-  EXPECT_EQ(observer.starts, 1);
-  worker.die("died");
-  launch(1);
-  EXPECT_EQ(observer.starts, 1);
+    while (!over) loop_.run_once();
+    wait(0.2);
+  }
+
+  Loop loop_;
+  StartCounter starts_;
+  simulation::JobRegistry registry_;
+  simulation::Worker worker_;
+};
+
+/// A run whose machines took commands after their end would look as if tasks had run twice.
+TEST_F(HollowWorkerTest, TakesNoCommandsAfterItsEnd) {
+  send_start(0);
+  EXPECT_EQ(starts_.starts, 1);
+  worker_.die("died");
+  send_start(1);
+  EXPECT_EQ(starts_.starts, 1);
 }
 
-int run_program(const std::string& arguments, std::string* output) {
+/// What the program wrote, and its exit status.
+struct ProgramResult {
+  std::optional<int> status;  // nullopt: a signal ended it
+  std::string output;
+};
+
+ProgramResult run_scale_test(const std::string& arguments) {
   auto command = std::string(SCALE_PROGRAM) + " " + arguments + " 2>&1";
+  ProgramResult result;
   FILE* pipe = ::popen(command.c_str(), "r");
   char chunk[4096];
-  for (std::size_t n; (n = std::fread(chunk, 1, sizeof chunk, pipe)) > 0;) output->append(chunk, n);
+  for (std::size_t size; (size = std::fread(chunk, 1, sizeof chunk, pipe)) > 0;)
+    result.output.append(chunk, size);
   int status = ::pclose(pipe);
-  return WIFEXITED(status) ? WEXITSTATUS(status) : -1;
+  if (WIFEXITED(status)) result.status = WEXITSTATUS(status);
+  return result;
 }
 
-TEST(ScaleProgram, AWrongFileIsStatusTwo) {
-  std::string output;
-  EXPECT_EQ(run_program("/nonexistent.toml", &output), 2);
-  EXPECT_NE(output.find("/nonexistent.toml"), std::string::npos);
+TEST(ScaleTestProgram, AWrongFileIsStatusTwo) {
+  auto result = run_scale_test("/nonexistent.toml");
+  EXPECT_EQ(result.status, 2);
+  EXPECT_NE(result.output.find("/nonexistent.toml"), std::string::npos);
 }
 
-TEST(ScaleProgram, AnExcessiveRunIsRefusedBeforeAnythingStarts) {
-  std::string output;
-  EXPECT_EQ(run_program(std::string(SCALE_PLANS) + "/small.toml --workers 2000000", &output), 2);
-  EXPECT_NE(output.find("more zones are needed"), std::string::npos) << output;
-}
-
-TEST(ScaleProgram, TheSmallRunHoldsAllRulesThroughTheLeadersEnd) {
-  std::string output, account = ::testing::TempDir() + "/scale-run-test.json";
-  EXPECT_EQ(run_program(std::string(SCALE_PLANS) + "/small.toml --json " + account, &output), 0) << output;
-  auto json = Json::parse(read_file(account));
-  EXPECT_TRUE(json["problems"].empty()) << json["problems"].dump();
-  EXPECT_GT(json["users"]["starts"].get<int>(), 100);
-  EXPECT_EQ(json["users"]["pauses"].size(), 2u);
-  EXPECT_EQ(json["roles"]["single_workers"]["processes"], 2);
-  EXPECT_GT(json["roles"]["state_service"]["changes_per_s_by_kind_of_key"]["t"].get<double>(), 0);
+TEST(ScaleTestProgram, AnExcessiveRunIsRefusedBeforeAnythingStarts) {
+  auto result = run_scale_test(plan_file("small.toml") + " --workers 2000000");
+  EXPECT_EQ(result.status, 2);
+  EXPECT_NE(result.output.find("more zones are needed"), std::string::npos) << result.output;
+}
+
+TEST(ScaleTestProgram, TheSmallRunHoldsAllRulesThroughTheLeadersEnd) {
+  auto account_file = ::testing::TempDir() + "/scale-run-test.json";
+  auto result = run_scale_test(plan_file("small.toml") + " --json " + account_file);
+  EXPECT_EQ(result.status, 0) << result.output;
+  auto account = Json::parse(read_file(account_file));
+  EXPECT_TRUE(account["problems"].empty()) << account["problems"].dump();
+  EXPECT_GT(account["users"]["starts"].get<int>(), 100);
+  EXPECT_EQ(account["users"]["pauses"].size(), 2u);
+  EXPECT_EQ(account["roles"]["single_workers"]["processes"], 2);
+  EXPECT_GT(account["roles"]["state_service"]["changes_per_s_by_kind_of_key"]["t"].get<double>(), 0);
 }
 
 }  // namespace
