--- a/src/cmd/corkmux_main.cc
+++ b/src/cmd/corkmux_main.cc
@@ -144,8 +144,6 @@
   app.set_version_flag("--version", std::string("corkmux ") + CORKMUX_VERSION);
   CLI11_PARSE(app, argc, argv);
 
-  log_to_stderr();
-  spdlog::set_pattern("%L %v");
-  set_log_level_from_environment(spdlog::level::info);
+  start_logging(std::make_unique<spdlog::pattern_formatter>("%L %v"), spdlog::level::info);
   return run_program("corkmux", kFailed, [&] { return run(arguments); });
 }
--- a/src/cmd/simulator_main.cc
+++ b/src/cmd/simulator_main.cc
@@ -43,8 +43,6 @@
   app.add_option("--json", arguments.json_file, "also write the report there as JSON");
   CLI11_PARSE(app, argc, argv);
 
-  corkmux::log_to_stderr();
-  corkmux::set_log_level_from_environment(spdlog::level::off);
-  spdlog::set_formatter(corkmux::simulation::log_formatter());
+  corkmux::start_logging(corkmux::simulation::log_formatter(), spdlog::level::off);
   return corkmux::run_program("corkmux-simulator", kCannotPlay, [&] { return run(arguments); });
 }
--- a/src/scale_test/hollow_fleet.cc
+++ b/src/scale_test/hollow_fleet.cc
@@ -10,9 +10,10 @@
 namespace {
 
 constexpr double kCloudBurst = 2;  // s worth of requests
-constexpr int kFirstNetwork =
-    10;  // second number of the workers' loopback addresses: a run draws one, so that
-constexpr unsigned kNetworkCount = 200;  // two runs on one machine hardly ever take the same
+// The second number of the workers' loopback addresses. Each run draws one, so that two on one machine hardly
+// ever take the same.
+constexpr int kFirstNetwork = 10;
+constexpr unsigned kNetworkCount = 200;
 
 std::string join_addresses(const std::map<std::string, std::string>& addresses) {
   std::string text;
