--- a/src/cmd/corkmux_main.cc
+++ b/src/cmd/corkmux_main.cc
@@ -9,11 +9,13 @@
 #include "cmd_constants.h"
 #include "controller.h"
 #include "logging.h"
+#include "program.h"
 
 namespace {
 
 using namespace corkmux;
 
+constexpr int kFailed = 1;              // exit status
 constexpr int kSignalExitStatus = 128;  // plus the signal's number, as shells have it
 
 struct Arguments {
@@ -142,13 +144,6 @@
   app.set_version_flag("--version", std::string("corkmux ") + CORKMUX_VERSION);
   CLI11_PARSE(app, argc, argv);
 
-  log_to_stderr();
-  spdlog::set_pattern("%L %v");
-  set_log_level_from_environment(spdlog::level::info);
-  try {
-    return run(arguments);
-  } catch (const std::exception& error) {
-    std::cerr << "corkmux: " << error.what() << "\n";
-    return 1;
-  }
+  start_logging(std::make_unique<spdlog::pattern_formatter>("%L %v"), spdlog::level::info);
+  return run_program("corkmux", kFailed, [&] { return run(arguments); });
 }
--- a/src/cmd/simulator_main.cc
+++ b/src/cmd/simulator_main.cc
@@ -7,10 +7,13 @@
 #include "cluster_simulation.h"
 #include "log_formatter.h"
 #include "logging.h"
+#include "program.h"
 #include "simulation_plan_parser.h"
 
 namespace {
 
+constexpr int kCannotPlay = 2;  // exit status
+
 struct Arguments {
   std::string file;
   std::string scenario;
@@ -42,13 +45,6 @@
   app.add_option("--json", arguments.json_file, "also write the report there as JSON");
   CLI11_PARSE(app, argc, argv);
 
-  corkmux::log_to_stderr();
-  corkmux::set_log_level_from_environment(spdlog::level::off);
-  spdlog::set_formatter(corkmux::simulation::log_formatter());
-  try {
-    return run(arguments);
-  } catch (const std::exception& error) {
-    std::cerr << "corkmux-simulator: " << error.what() << "\n";
-    return 2;
-  }
+  corkmux::start_logging(corkmux::simulation::log_formatter(), spdlog::level::off);
+  return corkmux::run_program("corkmux-simulator", kCannotPlay, [&] { return run(arguments); });
 }
--- a/src/simulation/simulation_report.cc
+++ b/src/simulation/simulation_report.cc
@@ -11,7 +11,7 @@
 
 namespace {
 
-using Shares = std::map<std::string, InvariantChecker::JobStatistics>;
+using Shares = std::map<std::string, JobStatistics>;
 
 void find_unserved(const char* what, const Shares& shares, double min_served,
                    std::vector<std::string>& problems) {
