--- a/tests/simulation_test.cc
+++ b/tests/simulation_test.cc
@@ -235,6 +235,19 @@
   EXPECT_EQ(error("{ at_s = 1.0, kind = \"late_reports\", share = 0.5, for_s = 3.0, for_next = true }"), "");
 }
 
+// Random faults are drawn by position, so an order that changes would change what each seed plays.
+TEST(FaultKinds, StandAtTheirPositionInTheOrderOfTheirNames) {
+  const auto& kinds = fault_kinds();
+  for (std::size_t i = 0; i < kinds.size(); ++i) {
+    EXPECT_EQ(static_cast<std::size_t>(kinds[i].kind), i) << kinds[i].name;
+    EXPECT_EQ(fault_kind_named(kinds[i].name), kinds[i].kind) << kinds[i].name;
+    if (i > 0) {
+      EXPECT_LT(kinds[i - 1].name, kinds[i].name);
+    }
+  }
+  EXPECT_EQ(fault_kind_named("late_night"), std::nullopt);
+}
+
 /// Removes faults as long as the simulation still fails: what is left says why.
 std::vector<Fault> shrink(const SimulationPlan& plan, std::uint64_t seed, std::vector<Fault> faults) {
   auto fails = [&](const std::vector<Fault>& some) {
