--- a/src/scheduler/scheduler.cc
+++ b/src/scheduler/scheduler.cc
@@ -40,12 +40,12 @@
   return job.queued > 0 || !job.failed_on.empty() ? job.why : "";
 }
 
-void Scheduler::heartbeat_answered(const std::string& name, double now) {
-  if (Machine* machine = state_.machine(name)) machine->worker.last_answered = now;
+void Scheduler::heartbeat_answered(const std::string& machine, double now) {
+  if (Machine* known = state_.machine(machine)) known->worker.last_answered = now;
 }
 
-void Scheduler::set_unreachable(const std::string& name, double now) {
-  if (Machine* machine = state_.machine(name)) commands_.set_unreachable(*machine, now);
+void Scheduler::set_unreachable(const std::string& machine, double now) {
+  if (Machine* known = state_.machine(machine)) commands_.set_unreachable(*known, now);
 }
 
 void Scheduler::tick(double now) {
--- a/tests/history_test.cc
+++ b/tests/history_test.cc
@@ -380,7 +380,7 @@
     }
     at(now_ + 0.05, [this, raw, name, command_batch] {
       bool done = execute(name, command_batch);
-      auto heartbeat = workers_.count(name) ? snapshot(workers_[name]) : Heartbeat{};
+      auto heartbeat = workers_.contains(name) ? snapshot(workers_[name]) : Heartbeat{};
       at(now_ + 0.05, [this, raw, name, command_batch, done, heartbeat] {
         if (!raw->alive) return;
         raw->scheduler->dispatch_done(name, command_batch, done ? Outcome::Executed : Outcome::Refused, now_);
@@ -510,7 +510,7 @@
           for (auto& [k, ot] : o.tasks)
             mates += k.first == key.first && ot.attempt == t.attempt && on_machine(ot) && now_ > o.hung_until;
       if (t.state == TaskState::Waiting) {
-        if (j.done.count(key.second)) {
+        if (j.done.contains(key.second)) {
           t.state = TaskState::Exited, t.why = ExitReason::Done;
         } else if (!gang || mates == j.spec.tasks) {
           // All members start in the same moment.
@@ -525,12 +525,12 @@
         }
       }
       if (t.state == TaskState::Running) {
-        if (gang && mates < j.spec.tasks && !j.done.count(key.second)) {
+        if (gang && mates < j.spec.tasks && !j.done.contains(key.second)) {
           if (t.mates_gone_at < 0) t.mates_gone_at = now_ + config_.gang_peer_s;
           if (now_ > t.mates_gone_at) t.state = TaskState::Exited, t.why = ExitReason::PeersGone;
         } else if (w.sick) {
           t.state = TaskState::Exited, t.why = ExitReason::Error;
-        } else if (now_ >= t.until || j.done.count(key.second)) {
+        } else if (now_ >= t.until || j.done.contains(key.second)) {
           t.state = TaskState::Exited, t.why = ExitReason::Done;
           if (gang)
             for (int i = 0; i < j.spec.tasks; ++i) j.done.insert(i);
@@ -600,7 +600,7 @@
     if (cut) {
       if (chance(0.7)) at(now_ + uniform(0, 40), [deliver] { deliver(); });  // late: the answer is dropped
       at(now_ + 4, [this, name] {
-        if (workers_.count(name)) workers_[name].report_in_flight = false;
+        if (workers_.contains(name)) workers_[name].report_in_flight = false;
       });
       return;
     }
--- a/tests/quota_reclaim_test.cc
+++ b/tests/quota_reclaim_test.cc
@@ -108,10 +108,10 @@
     worst = std::max(worst, lost / *best);
     chosen_total += lost;
     best_total += *best;
-    for (std::size_t k = 0; k < chosen->size(); ++k) {
+    for (std::size_t position = 0; position < chosen->size(); ++position) {
       auto fewer = *chosen;
-      fewer.erase(fewer.begin() + static_cast<long>(k));
-      EXPECT_FALSE(meets_claim(input, fewer)) << "unit " << (*chosen)[k] << " was stopped for nothing";
+      fewer.erase(fewer.begin() + static_cast<long>(position));
+      EXPECT_FALSE(meets_claim(input, fewer)) << "unit " << (*chosen)[position] << " was stopped for nothing";
     }
   }
   EXPECT_GT(met, 1000);
@@ -278,11 +278,11 @@
 TEST(ZoneHold, AGangThatIsDueStartsAmongSmallWorkThatNeverCeases) {
   Site site(12);  // 24 places
   site.run_s = 3;
-  int n = 0;
+  int submitted = 0;
   auto small_work = [&](double seconds) {
     for (double end = site.now + seconds; site.now < end;) {
       while (site.scheduler->jobs().size() < 60)  // more than there is room for, at every moment
-        site.submit("s-" + std::to_string(n++), "b", Priority::High, 1, JobKind::Gang);
+        site.submit("s-" + std::to_string(submitted++), "b", Priority::High, 1, JobKind::Gang);
       site.run(0.25);
       for (const auto& id : site.scheduler->finished_jobs()) site.scheduler->forget_job(id);
     }
