--- a/benchmarks/submit_benchmark.cc
+++ b/benchmarks/submit_benchmark.cc
@@ -23,7 +23,8 @@
 constexpr double kBytesPerKib = 1024;
 
 /// As the platform sets them on a site without rate limits in the way.
-Settings controller_settings(int number, const simulation::Cloud& cloud, const simulation::StateService& state) {
+Settings controller_settings(int number, const simulation::Cloud& cloud,
+                             const simulation::StateService& state) {
   Settings settings;
   settings.label = "c" + std::to_string(number);
   settings.zone = "a";
@@ -164,9 +165,9 @@
     auto settings = controller_settings(number, cloud_, state_);
     controllers_.push_back(std::make_unique<Controller>(loop_, settings, load_operator("")));
     auto& controller = *controllers_.back();
-    apis_.push_back(
-        std::make_unique<kube::ApiServer>(loop_, settings, KubernetesChoices{"127.0.0.1:0", {{"default", "x"}}, ""},
-                                    controller.state(), controller.admission(), controller.status_cache()));
+    apis_.push_back(std::make_unique<kube::ApiServer>(
+        loop_, settings, KubernetesChoices{"127.0.0.1:0", {{"default", "x"}}, ""}, controller.state(),
+        controller.admission(), controller.status_cache()));
     controller.start();
     apis_.back()->start();
     native_clients_.push_back(client_of(controller.port()));
--- a/src/kube/api_server_writes.cc
+++ b/src/kube/api_server_writes.cc
@@ -4,11 +4,11 @@
 
 #include "api_server.h"
 #include "codec.h"
+#include "job_record.h"
 #include "job_translation.h"
 #include "object_keys.h"
 #include "request_body.h"
 #include "store_keys.h"
-#include "stored_job_record.h"
 
 namespace corkmux::kube {
 using codec::Write;
--- a/src/kube/object_reader.h
+++ b/src/kube/object_reader.h
@@ -6,10 +6,10 @@
 #include <optional>
 #include <string>
 
+#include "job_record.h"
 #include "job_status_cache.h"
 #include "objects.h"
 #include "state_client.h"
-#include "stored_job_record.h"
 
 namespace corkmux::kube {
 
--- a/src/kube/objects.cc
+++ b/src/kube/objects.cc
@@ -3,8 +3,8 @@
 #include <algorithm>
 #include <ctime>
 
+#include "job_record.h"
 #include "responder.h"
-#include "stored_job_record.h"
 
 namespace corkmux::kube {
 namespace c = constants;
--- a/src/scale_test/hollow_worker_host.cc
+++ b/src/scale_test/hollow_worker_host.cc
@@ -52,8 +52,8 @@
        .attempt = attempt});
 }
 
-void HollowWorkerHost::task_removed(const std::string& machine, const simulation::SimulatedJob& work, int index,
-                           std::uint64_t attempt, const std::string& why) {
+void HollowWorkerHost::task_removed(const std::string& machine, const simulation::SimulatedJob& work,
+                                    int index, std::uint64_t attempt, const std::string& why) {
   add({.kind = MachineEvent::Kind::Off,
        .machine = machine,
        .job = work.spec.id,
@@ -62,7 +62,8 @@
        .why = why});
 }
 
-void HollowWorkerHost::progress_lost(const simulation::SimulatedJob& work, const std::string& why, double seconds) {
+void HollowWorkerHost::progress_lost(const simulation::SimulatedJob& work, const std::string& why,
+                                     double seconds) {
   add({.kind = MachineEvent::Kind::Lost, .job = work.spec.id, .why = why, .seconds = seconds});
 }
 
--- a/src/simulation/cluster_simulation.cc
+++ b/src/simulation/cluster_simulation.cc
@@ -65,8 +65,8 @@
   std::vector<Capacity> capacity;
   for (const auto& group : plan_.machines) capacity.push_back(group.capacity);
   Cloud::Callbacks callbacks;
-  callbacks.up = [this](const MachineFacts& facts) { machines_->boot(facts); };
-  callbacks.gone = [this](const std::string& name) { machines_->terminate(name, "deleted"); };
+  callbacks.booted = [this](const MachineFacts& facts) { machines_->boot(facts); };
+  callbacks.deleted = [this](const std::string& name) { machines_->terminate(name, "deleted"); };
   callbacks.address = MachineFleet::command_address;
   cloud_ = std::make_unique<Cloud>(services_loop_, plan_.types, capacity, plan_.site.list_lag_s,
                                    std::move(callbacks), fmt::format("{}:{}", kServicesIp, kCloudPort));
--- a/tests/simulation_test.cc
+++ b/tests/simulation_test.cc
@@ -118,8 +118,9 @@
 }
 /// Counts the users told between these moments of a cancel of running tasks.
 auto cancels_between(double from, double to) {
-  return
-      [from, to](const ClusterSimulation& simulation) { return simulation.checker().confirmed_cancellations(from, to); };
+  return [from, to](const ClusterSimulation& simulation) {
+    return simulation.checker().confirmed_cancellations(from, to);
+  };
 }
 int count_concurrent_reads(const ClusterSimulation& simulation) {
   bool invalid_requests_too = simulation.checker().invalid_refused() >= 50;
@@ -145,7 +146,8 @@
 }
 int count_terms(const ClusterSimulation& simulation) { return simulation.terms(); }
 int count_cancels_during_zone_cuts(const ClusterSimulation& simulation) {
-  return simulation.checker().confirmed_cancellations(70, 100) + simulation.checker().confirmed_cancellations(130, 155);
+  return simulation.checker().confirmed_cancellations(70, 100) +
+         simulation.checker().confirmed_cancellations(130, 155);
 }
 
 class CombinedFaults : public ::testing::TestWithParam<CombinedFaultsScenario> {};
@@ -195,7 +197,8 @@
     ClusterSimulation simulation(plan, static_cast<std::uint64_t>(step + 1));
     simulation.run();
     EXPECT_TRUE(simulation.good()) << "moved by " << moved_s << " s\n" << describe(simulation);
-    for (double at : {80.0, 120.0, 160.0}) cancels += simulation.checker().confirmed_cancellations(at, at + 4.5);
+    for (double at : {80.0, 120.0, 160.0})
+      cancels += simulation.checker().confirmed_cancellations(at, at + 4.5);
   }
   RecordProperty("cancels", cancels);
   EXPECT_GE(cancels, 200);
