--- a/src/controller/controller.cc
+++ b/src/controller/controller.cc
@@ -107,11 +107,12 @@
 void Controller::post_heartbeats(const std::string& label, std::string body,
                                  std::function<void(http::Result)> done) {
   if (label != own_label_) return peer_exchange_.post_heartbeats(label, std::move(body), std::move(done));
+  // The leader of this very controller is spoken to as peers speak to theirs, without the network between.
   auto parsed = fanin::parse_heartbeats(body);
   leader_.tell([batch = std::move(parsed->message), done = std::move(done)](Leader& leader) mutable {
     leader.batch(std::move(batch), [done = std::move(done)](const auto& answers) {
-      if (!answers) return done({503, "", true});
-      done({200, fanin::pack(*answers), true});
+      if (!answers) return done(http::Result::response(503, ""));
+      done(http::Result::response(200, fanin::pack(*answers)));
     });
   });
 }
--- a/src/controller/job_status_cache.cc
+++ b/src/controller/job_status_cache.cc
@@ -6,7 +6,7 @@
 namespace corkmux {
 
 void JobStatusCache::update(const codec::JobView& view) {
-  // "done" and "cancelled" come only after they are stored, so they may be cached for good.
+  // These two come only after they are stored, so they may be cached for good.
   if (view.phase == job_phase::kDone || view.phase == job_phase::kCancelled)
     return remember_end(view.id, {view.phase, view.done});
   if (ended(view.id)) return;
--- a/src/heartbeat_fanin/heartbeat_forwarder.cc
+++ b/src/heartbeat_fanin/heartbeat_forwarder.cc
@@ -1,8 +1,8 @@
 #include "heartbeat_forwarder.h"
 
+#include <algorithm>
 #include <iterator>
 #include <memory>
-#include <ranges>
 
 #include "constants.h"
 #include "heartbeat_fanin_constants.h"
@@ -146,7 +146,7 @@
 }
 
 void HeartbeatForwarder::try_again(Sent sent) {
-  for (auto& [id, waiting] : std::views::reverse(sent)) put_back(std::move(waiting));
+  std::for_each(sent.rbegin(), sent.rend(), [this](auto& entry) { put_back(std::move(entry.second)); });
   schedule(constants::kRetryPause);
 }
 
--- a/src/leader/job_watcher.cc
+++ b/src/leader/job_watcher.cc
@@ -234,8 +234,9 @@
   // Where the record does not say when, the job's dependents count from their own acceptance.
   double ended_at = kLongAgo;
   if (outcome.ended_at) ended_at = steady_now() - std::max(0.0, wall_now() - *outcome.ended_at);
-  if (outcome.phase == "done") scheduler_.outcome(job, Scheduler::Outcome::Done, ended_at);
-  if (outcome.phase == "cancelled") scheduler_.outcome(job, Scheduler::Outcome::Cancelled, ended_at);
+  if (outcome.phase == job_phase::kDone) scheduler_.outcome(job, Scheduler::Outcome::Done, ended_at);
+  if (outcome.phase == job_phase::kCancelled)
+    scheduler_.outcome(job, Scheduler::Outcome::Cancelled, ended_at);
 }
 
 }  // namespace corkmux
--- a/src/leader/leader.cc
+++ b/src/leader/leader.cc
@@ -336,7 +336,8 @@
     const Job* job = scheduler.job(id);
     if (!job) continue;
     int running = scheduler.running(*job);
-    views.push_back({id, running ? "running" : "queued", job->done, running, scheduler.reason(*job)});
+    views.push_back(
+        {id, running ? job_phase::kRunning : job_phase::kQueued, job->done, running, scheduler.reason(*job)});
   }
   if (!views.empty()) callbacks_.views(std::move(views));
 }
--- a/src/leader/machine_provisioner.cc
+++ b/src/leader/machine_provisioner.cc
@@ -104,8 +104,8 @@
   double now = steady_now();
   for (const auto& name : names) scheduler_.provisioned(name, request.type, request.zone, request.spot, now);
   if (static_cast<int>(names.size()) < request.count) refused_until_[request.key()] = now + kNoCapacityPause;
-  spdlog::info("rented {} {} machines in {}{}", names.size(), request.type, request.zone,
-               request.spot ? ", spot" : "");
+  spdlog::info("machines provisioned: count={} type={} zone={} spot={}", names.size(), request.type,
+               request.zone, request.spot);
 }
 
 void MachineProvisioner::delete_machines() {
--- a/src/leader/store_writer.cc
+++ b/src/leader/store_writer.cc
@@ -18,7 +18,7 @@
   return std::find(keys.begin(), keys.end(), key) != keys.end();
 }
 
-const char* phase_of_end(bool done) { return done ? "done" : "cancelled"; }
+const char* phase_of_end(bool done) { return done ? job_phase::kDone : job_phase::kCancelled; }
 
 }  // namespace
 
--- a/tests/heartbeat_fanin_test.cc
+++ b/tests/heartbeat_fanin_test.cc
@@ -2,9 +2,9 @@
 // does when the leader is late, refuses, changes or forgets.
 #include <gtest/gtest.h>
 
+#include <algorithm>
 #include <cmath>
 #include <map>
-#include <ranges>
 #include <set>
 
 #include "command_delivery.h"
@@ -195,8 +195,10 @@
   void answer(std::size_t post, int status) {
     auto answers = codec::Json::array();
     // In another order than they came: an answer belongs to whom it names.
-    for (const auto& forwarded : std::views::reverse(posts_[post].batch.heartbeats))
+    const auto& heartbeats = posts_[post].batch.heartbeats;
+    std::for_each(heartbeats.rbegin(), heartbeats.rend(), [&](const ForwardedHeartbeat& forwarded) {
       answers.push_back({forwarded.id, status, "answer"});
+    });
     posts_[post].done({200, codec::pack(answers), true});
   }
   std::deque<Post> posts_;
--- a/tests/leader_state_test.cc
+++ b/tests/leader_state_test.cc
@@ -4,6 +4,7 @@
 #include "heartbeat_delta_cache.h"
 #include "parked_heartbeats.h"
 #include "stall_detector.h"
+#include "test_heartbeat.h"
 #include "worker_reachability.h"
 
 namespace corkmux {
@@ -12,14 +13,7 @@
 using Error = HeartbeatDeltaCache::Error;
 
 Heartbeat heartbeat_of(const std::string& machine, std::uint64_t seq) {
-  Heartbeat heartbeat;
-  heartbeat.machine = machine;
-  heartbeat.address = "127.0.0.1:1";
-  heartbeat.type = "m";
-  heartbeat.zone = "a";
-  heartbeat.worker_epoch = 7;
-  heartbeat.seq = seq;
-  return heartbeat;
+  return test::heartbeat_of(machine, 7, seq);
 }
 
 fanin::ForwardedHeartbeat with_body(codec::Json body) { return {1, fanin::FullHeartbeat{codec::pack(body)}}; }
--- a/tests/store_relay_test.cc
+++ b/tests/store_relay_test.cc
@@ -33,6 +33,13 @@
     far = std::make_unique<StoreRelay>(loop, settings, client, echo);
   }
   static Json report(int i) { return {{"host", "n-" + std::to_string(i)}, {"parts", std::string(300, 'x')}}; }
+  /// What comes of a heartbeat that `near` sends to `far`; no value: nothing within run_until's time.
+  std::optional<LeaderReply> request(const Json& heartbeat) {
+    std::optional<LeaderReply> replied;
+    near->request("far", codec::pack(heartbeat), [&](const LeaderReply& reply) { replied = reply; });
+    run_until([&] { return replied.has_value(); });
+    return replied;
+  }
   void run_until(const std::function<bool()>& condition) {
     double until = steady_now() + 30;
     while (!condition() && steady_now() < until) loop.run_once();
@@ -100,7 +107,10 @@
     EXPECT_EQ(got->notice_s, sent->notice_s);
     ASSERT_EQ(got->tasks.size(), sent->tasks.size());
     int saved = 0, running = 0;
-    for (const auto& t : got->tasks) saved += t.saved, running += t.state == TaskState::Running;
+    for (const auto& task : got->tasks) {
+      saved += task.saved ? 1 : 0;
+      running += task.state == TaskState::Running ? 1 : 0;
+    }
     EXPECT_EQ(saved, 1);
     EXPECT_EQ(running, 8);
   }
@@ -109,11 +119,9 @@
 
 // A controller that does not lead takes no heartbeats from others, whoever they thought it was.
 TEST_F(StoreRelayTest, OnlyALeaderIsDeliveredRequests) {
-  int status = -1;
-  near->request("far", codec::pack(report(1)),
-                [&](const LeaderReply& reply) { status = reply.wire_status(); });
-  run_until([&] { return status >= 0; });
-  EXPECT_EQ(status, 0);
+  auto reply = request(report(1));
+  ASSERT_TRUE(reply);
+  EXPECT_TRUE(reply->is_unanswered());
   EXPECT_TRUE(delivered.empty());
 }
 
@@ -121,11 +129,9 @@
 TEST_F(StoreRelayTest, GivesUpWhenTheStateServiceIsAway) {
   far->accept_requests(true);
   state.down = true;
-  int status = -1;
-  near->request("far", codec::pack(report(1)),
-                [&](const LeaderReply& reply) { status = reply.wire_status(); });
-  run_until([&] { return status >= 0; });
-  EXPECT_EQ(status, 0);
+  auto reply = request(report(1));
+  ASSERT_TRUE(reply);
+  EXPECT_TRUE(reply->is_unanswered());
   EXPECT_TRUE(delivered.empty());
 }
 
--- a/tests/stored_records_test.cc
+++ b/tests/stored_records_test.cc
@@ -2,6 +2,8 @@
 // wrote and read.
 #include <gtest/gtest.h>
 
+#include "dependency_barrier_record.h"
+#include "event_loop.h"
 #include "job_record.h"
 #include "leader_record.h"
 #include "lease_proxy_record.h"
@@ -77,10 +79,47 @@
   EXPECT_FALSE(parse_joined_spec("no JSON"));
   EXPECT_TRUE(parse_job_record(Json::parse(R"({"c":1})")).cancelled);
 
+  EXPECT_EQ(job_piece_to_json("text").dump(), R"({"x":"text"})");
+  EXPECT_EQ(cancel_mark_to_json().dump(), R"({"c":1})");
+
   auto unreadable = parse_job_record(Json::parse(R"({"j":{},"c":0})"));
   EXPECT_TRUE(unreadable.holds_spec);
   EXPECT_FALSE(unreadable.spec);
 }
 
+TEST(StoredRecords, AJobsRecordAsFrontEndsWriteIt) {
+  JobSpec spec;
+  spec.id = "run-1";
+  auto record = StoredJobRecord::for_new_job(spec);
+  EXPECT_EQ(record.json()["j"], codec::job_to_wire(spec));
+  EXPECT_EQ(record.json()["c"], 0);
+  EXPECT_NEAR(record.json()["t"].get<double>(), wall_now(), 60);
+  EXPECT_EQ(record.json().size(), 3u);
+  EXPECT_EQ(record.size(), record.json().dump().size());
+  EXPECT_EQ(StoredJobRecord::for_new_job_in_pieces(3).json()["x"], 3);
+
+  StoredJobRecord of_newer_version(Json::parse(R"({"c":0,"j":{"ref":"run-1"},"new":[1]})"));
+  EXPECT_FALSE(of_newer_version.cancelled());
+  of_newer_version.mark_cancelled();
+  EXPECT_TRUE(of_newer_version.cancelled());
+  EXPECT_EQ(of_newer_version.json().dump(), R"({"c":1,"j":{"ref":"run-1"},"new":[1]})");
+}
+
+TEST(StoredRecords, OnlyAWholeRecordSaysThatAJobDependsOnNone) {
+  auto depends = [](const char* text) { return StoredJobRecord(Json::parse(text)).has_dependencies(); };
+  EXPECT_FALSE(depends(R"({"j":{"ref":"run-1"},"c":0})"));
+  EXPECT_TRUE(depends(R"({"j":{"awaits":["run-0"]},"c":0})"));
+  EXPECT_TRUE(depends(R"({"x":2,"c":0})"));
+}
+
+TEST(StoredRecords, DependencyBarrier) {
+  auto record = dependency_barrier_to_json(steady_now() - 10);
+  EXPECT_EQ(record.size(), 1u);
+  EXPECT_NEAR(record["t"].get<double>(), wall_now() - 10, 1);
+  EXPECT_NEAR(parse_dependency_barrier(record), steady_now() - 10, 1);
+  double by_clock_ahead = parse_dependency_barrier(Json{{"t", wall_now() + 100}});
+  EXPECT_LE(by_clock_ahead, steady_now()) << "the writer's clock is ahead of ours";
+}
+
 }  // namespace
 }  // namespace corkmux
--- a/tests/term_test.cc
+++ b/tests/term_test.cc
@@ -2,7 +2,9 @@
 // answers late, and where the process stalled.
 #include <gtest/gtest.h>
 
+#include "cancel_acknowledgements.h"
 #include "cloud.h"
+#include "heartbeat_delta_cache.h"
 #include "job_watcher.h"
 #include "lease_expiry_monitor.h"
 #include "lease_proxy_record.h"
@@ -12,6 +14,7 @@
 #include "state_loader.h"
 #include "state_service.h"
 #include "store_writer.h"
+#include "test_heartbeat.h"
 
 namespace corkmux {
 namespace {
@@ -64,15 +67,9 @@
   }
   static std::string id(int n) { return "run-" + std::to_string(1000 + n); }
   Heartbeat heartbeat_of(const std::string& machine, std::uint64_t seq) {
-    Heartbeat r;
-    r.machine = machine;
-    r.address = "127.0.0.1:1";
-    r.type = "m";
-    r.zone = "a";
-    r.worker_epoch = 1;
-    r.seq = seq;
-    r.fencing_token = (std::uint64_t{1} << 20) + 1000;  // of the term, beyond what the scheduler has given
-    return r;
+    Heartbeat heartbeat = test::heartbeat_of(machine, 1, seq);
+    heartbeat.fencing_token = (std::uint64_t{1} << 20) + 1000;  // of the term, beyond what the scheduler gave
+    return heartbeat;
   }
 };
 
@@ -165,13 +162,15 @@
   auto batch = scheduler->next_writes(12, true, now);
   scheduler->written(batch, 77, now);
   scheduler->take_commands("n-8", now - 1000);
-  Machine* m = scheduler->machine("n-8");
-  m->last_answered = m->last_launch = m->fencing_token_raised_at = now - 1000;
+  Machine* machine = scheduler->machine("n-8");
+  machine->last_answered = now - 1000;
+  machine->last_launch = now - 1000;
+  machine->fencing_token_raised_at = now - 1000;
   ASSERT_EQ(scheduler->machines_with_expired_leases(now).size(), 1u);
   LeaseExpiryMonitor monitor(loop, settings, client, term, *scheduler, callbacks);
   monitor.tick();
-  wait_for([&] { return m->renewed_by_proxy_until > 0; }, 5);
-  EXPECT_GT(m->renewed_by_proxy_until, now);
+  wait_for([&] { return machine->renewed_by_proxy_until > 0; }, 5);
+  EXPECT_GT(machine->renewed_by_proxy_until, now);
   EXPECT_EQ(job->active.size(), 1u);  // not counted as gone
   for (int i = 0; i < 9; ++i) state.remove("k/c" + std::to_string(i));
 }
@@ -206,6 +205,46 @@
   EXPECT_TRUE(wait_for([&] { return cloud.deletions == 1; }));
 }
 
+// The leader may renew leases only as long as it knows every cancel: by the store, as far as both its term
+// and its watch are confirmed, or else by all peers, none of which has begun a new life since then.
+TEST_F(TermTest, CancelsAreKnownUpToTheStoresWordOrAllPeersAcknowledgement) {
+  auto jobs = job_watcher();
+  CancelAcknowledgements cancels(term, *jobs);
+  term.confirmed(steady_now());
+  EXPECT_EQ(cancels.complete_until(), kLongAgo) << "a confirmed term says nothing of cancels";
+  double before_load = steady_now();
+  bool loaded = false;
+  jobs->load([&] { loaded = true; });
+  ASSERT_TRUE(wait_for([&] { return loaded; }));
+  EXPECT_EQ(cancels.complete_until(), std::min(term.contact, jobs->seen_at()));
+  double by_store = cancels.complete_until();
+  cancels.peers_acknowledged(before_load + 100, before_load + 50);
+  EXPECT_EQ(cancels.complete_until(), by_store) << "a peer began a new life since the store was heard";
+  cancels.peers_acknowledged(before_load + 100, before_load - 50);
+  EXPECT_EQ(cancels.complete_until(), before_load + 100);
+  cancels.peers_acknowledged(before_load + 90, before_load - 50);
+  EXPECT_EQ(cancels.complete_until(), before_load + 100) << "what was once known stays known";
+}
+
+TEST_F(TermTest, TheHeartbeatsOfUnknownMachinesAreForgotten) {
+  HeartbeatDeltaCache cache;
+  auto full = [](const std::string& machine) {
+    Json body = {{"host", machine}, {"address", "127.0.0.1:1"}, {"build", "m"}, {"room", "a"}, {"watch", 1},
+                 {"tick", 3}};
+    return fanin::ForwardedHeartbeat{1, fanin::FullHeartbeat{codec::pack(body)}};
+  };
+  auto knows = [&](const std::string& machine) {
+    auto completed = cache.complete({2, fanin::HeartbeatDelta{machine, 1, 3, 4}});
+    return std::holds_alternative<Heartbeat>(completed);
+  };
+  scheduler->on_heartbeat(heartbeat_of("n-1", 3), Scheduler::Channel::Heartbeat, steady_now());
+  for (const char* machine : {"n-1", "n-2"}) cache.complete(full(machine));
+  ASSERT_TRUE(knows("n-1") && knows("n-2"));
+  cache.forget_unknown_machines(*scheduler);
+  EXPECT_TRUE(knows("n-1"));
+  EXPECT_FALSE(knows("n-2"));
+}
+
 // What a takeover reads grows with unfinished work alone.
 TEST_F(TermTest, ATakeoverReadsNoMoreForTenTimesTheFinishedJobs) {
   for (int i = 0; i < 150; ++i) state.put("a/" + id(i), record(id(i)));
