--- a/src/world/world_constants.h
+++ b/src/simulation/simulation_constants.h
@@ -1,7 +1,7 @@
 // Constants of the simulated surroundings, each with unit and reason. What a world's file says is not here.
 #pragma once
 
-namespace corkmux::world {
+namespace corkmux::simulation {
 
 // --- clocks (DEPLOY) ---
 inline constexpr double kDrift = 0.0005;     // the most by which steady clocks run fast or slow
@@ -69,4 +69,4 @@
 inline constexpr int kLargestCounted = 4;   // jobs of a class at least, for a share of them to say anything
 inline constexpr double kLargestBegin = 240;  // s within which half of a class's largest jobs begin
 
-}  // namespace corkmux::world
+}  // namespace corkmux::simulation
--- a/src/world/plan.cc
+++ b/src/simulation/simulation_plan.cc
@@ -1,4 +1,4 @@
-#include "plan.h"
+#include "simulation_plan.h"
 
 #include <fmt/format.h>
 
@@ -7,7 +7,7 @@
 
 #include "toml_reader.h"
 
-namespace corkmux::world {
+namespace corkmux::simulation {
 namespace {
 
 JobKind kind_of(const Reader& r) {
@@ -280,4 +280,4 @@
   return out;
 }
 
-}  // namespace corkmux::world
+}  // namespace corkmux::simulation
--- a/src/world/plan.h
+++ b/src/simulation/simulation_plan.h
@@ -1,4 +1,4 @@
-// What a world is made of, and what goes wrong in it, as its TOML file says (docs/worlds.md).
+// What a world is made of, and what goes wrong in it, as its TOML file says (docs/simulation.md).
 #pragma once
 #include <cstdint>
 #include <string>
@@ -8,7 +8,7 @@
 #include "settings.h"
 #include "worker.h"
 
-namespace corkmux::world {
+namespace corkmux::simulation {
 
 /// One trouble. What a kind does not use stays as it is here.
 struct Fault {
@@ -64,4 +64,4 @@
 /// So many troubles drawn for that world, all over when its last third begins.
 std::vector<Fault> draw_faults(const Plan& plan, int count, std::uint64_t seed);
 
-}  // namespace corkmux::world
+}  // namespace corkmux::simulation
--- a/src/world/state_service.h
+++ b/src/simulation/state_service.h
@@ -11,9 +11,9 @@
 
 #include "codec.h"
 #include "http.h"
-#include "world_constants.h"
+#include "simulation_constants.h"
 
-namespace corkmux::world {
+namespace corkmux::simulation {
 
 using codec::Json;
 using Id = http::Server::ConnectionId;
@@ -129,4 +129,4 @@
   Timer timer_;
 };
 
-}  // namespace corkmux::world
+}  // namespace corkmux::simulation
--- a/src/world/worker.h
+++ b/src/simulation/worker.h
@@ -9,9 +9,9 @@
 
 #include "codec.h"
 #include "http.h"
-#include "yard.h"
+#include "job_registry.h"
 
-namespace corkmux::world {
+namespace corkmux::simulation {
 
 struct WorkerTimes {
   double report_s = 2, lease_s = 20, gang_wait_s = 30, gang_peer_s = 8;
@@ -28,7 +28,7 @@
  public:
   /// `controllers`: label and address of each. `listen`: where it takes orders.
   Worker(Loop& loop, MachineFacts facts, WorkerTimes times, std::map<std::string, std::string> controllers,
-         Yard& yard, const std::string& listen);
+         JobRegistry& registry, const std::string& listen);
   ~Worker();
   /// Where it takes orders, host:port.
   std::string address() const { return ip_ + ":" + std::to_string(server_.port()); }
@@ -51,7 +51,7 @@
   bool hangs() const { return hung_; }
   /// The machine ends with all that is on it.
   void die(const std::string& why);
-  std::uint64_t session() const { return session_; }
+  std::uint64_t worker_epoch() const { return session_; }
 
   // For the yard: what becomes of a gang's task. Take effect when the machine is awake.
   void gang_runs(const std::string& job, int index, std::uint64_t attempt);
@@ -94,7 +94,7 @@
   MachineFacts facts_;
   WorkerTimes times_;
   std::map<std::string, std::string> controllers_;
-  Yard& yard_;
+  JobRegistry& registry_;
   std::string ip_;
   std::mt19937_64 rng_;
   double speed_ = 1, pull_ = 1;
@@ -109,4 +109,4 @@
   bool waiting_ = false, sick_ = false, hung_ = false, dead_ = false;
 };
 
-}  // namespace corkmux::world
+}  // namespace corkmux::simulation
--- a/src/store/keeper_record.h
+++ b/src/state_store/lease_proxy_record.h
@@ -8,7 +8,7 @@
 namespace corkmux {
 
 /// Seconds for which a keeper's record entitles it to answer.
-inline double keeper_span(double lease_s) { return lease_s / 2; }
+inline double lease_proxy_span(double lease_s) { return lease_s / 2; }
 
 /// The machines that a keeper's record names; an unreadable one names none.
 inline std::vector<std::string> machines_in(const codec::Json& record) {
--- a/src/store/state_client.cc
+++ b/src/state_store/state_client.cc
@@ -6,17 +6,17 @@
 namespace corkmux {
 namespace c = constants;
 
-std::optional<std::string> reader_of_our_form(const codec::KeyValue& record) {
-  if (!record.value.is_object() || record.value.value("f", 0) < c::kForm) return std::nullopt;
-  return record.key.substr(std::min(kForms.size(), record.key.size()));
+std::optional<std::string> reader_of_our_format(const codec::KeyValue& record) {
+  if (!record.value.is_object() || record.value.value("f", 0) < c::kRecordFormat) return std::nullopt;
+  return record.key.substr(std::min(kRecordFormats.size(), record.key.size()));
 }
 
 StateClient::StateClient(Loop& loop, const std::string& address)
     : requests_(loop, address, c::kStateConnections, 256),
       watches_(loop, address, 6, 8),
-      grants_(loop, address, 1, 8),  // renewals never queue behind other requests
+      leases_(loop, address, 1, 8),  // renewals never queue behind other requests
       outage_("the state service", address) {
-  for (auto* client : {&requests_, &grants_})
+  for (auto* client : {&requests_, &leases_})
     client->observe([this](const http::Result& r) { log_outcome(outage_, r); });
 }
 
@@ -97,16 +97,16 @@
   auto body = codec::txn_to_wire(conditions, {});
   send(requests_, "POST", codec::kTxnPath, &body, timeout_s, true, std::move(done));
 }
-void StateClient::grant(double life_s, Callback done) {
-  auto body = codec::grant_request(life_s);
-  send(grants_, "POST", codec::kGrantPath, &body, c::kStateTimeout, true, std::move(done));
+void StateClient::create_lease(double life_s, Callback done) {
+  auto body = codec::lease_request(life_s);
+  send(leases_, "POST", codec::kLeasePath, &body, c::kStateTimeout, true, std::move(done));
 }
-void StateClient::renew(std::uint64_t grant, Callback done) {
+void StateClient::renew_lease(std::uint64_t lease, Callback done) {
   auto body = codec::Json::object();
-  send(grants_, "POST", codec::renew_path(grant), &body, c::kGrantRenew, true, std::move(done));
+  send(leases_, "POST", codec::renew_path(lease), &body, c::kLeaderLeaseRenewInterval, true, std::move(done));
 }
-void StateClient::end_grant(std::uint64_t grant, Callback done) {
-  send(grants_, "DELETE", codec::grant_path(grant), nullptr, c::kStateTimeout, true, std::move(done));
+void StateClient::revoke_lease(std::uint64_t lease, Callback done) {
+  send(leases_, "DELETE", codec::lease_path(lease), nullptr, c::kStateTimeout, true, std::move(done));
 }
 void StateClient::watch(const std::string& prefix, std::uint64_t after, double wait_s, Callback done) {
   send(watches_, "GET", codec::watch_path(prefix, after, wait_s), nullptr, wait_s + c::kWatchSlack, false,
--- a/src/store/state_client.h
+++ b/src/state_store/state_client.h
@@ -11,9 +11,9 @@
 
 namespace corkmux {
 
-/// The controller that says, in a record under kForms, that it reads the records this version writes;
+/// The controller that says, in a record under kRecordFormats, that it reads the records this version writes;
 /// nullopt: it does not.
-std::optional<std::string> reader_of_our_form(const codec::KeyValue& record);
+std::optional<std::string> reader_of_our_format(const codec::KeyValue& record);
 
 enum class StateStatus {
   Ok,
@@ -53,9 +53,9 @@
            Callback done);
   /// A transaction that only compares, and may take so long, s.
   void compare(const std::vector<codec::Condition>& conditions, double timeout_s, Callback done);
-  void grant(double life_s, Callback done);
-  void renew(std::uint64_t grant, Callback done);
-  void end_grant(std::uint64_t grant, Callback done);
+  void create_lease(double life_s, Callback done);
+  void renew_lease(std::uint64_t lease, Callback done);
+  void revoke_lease(std::uint64_t lease, Callback done);
   void watch(const std::string& prefix, std::uint64_t after, double wait_s, Callback done);
   /// Steady time of the last answer that showed the service serving us.
   double last_contact() const { return last_contact_; }
@@ -65,7 +65,7 @@
             double timeout_s, bool counts, Callback done);
   void read_page(const std::string& prefix, std::shared_ptr<ReadEnd> so_far,
                  std::function<void(codec::KeyValue&)> each, std::function<void(const ReadEnd&)> done);
-  http::Client requests_, watches_, grants_;
+  http::Client requests_, watches_, leases_;
   double last_contact_ = -1e9;
   OutageLog outage_;
 };
--- a/src/wire/codec.cc
+++ b/src/wire/codec.cc
@@ -18,11 +18,11 @@
                                   {"high", Priority::High},
                                   {"normal", Priority::Normal},
                                   {"low", Priority::Low}};
-const Names<TaskReportState> kStates{{"fetching", TaskReportState::Fetching},
-                                     {"waiting", TaskReportState::Waiting},
-                                     {"running", TaskReportState::Running},
-                                     {"flushing", TaskReportState::Saving},
-                                     {"ended", TaskReportState::Exited}};
+const Names<TaskState> kStates{{"fetching", TaskState::Fetching},
+                               {"waiting", TaskState::Waiting},
+                               {"running", TaskState::Running},
+                               {"flushing", TaskState::Saving},
+                               {"ended", TaskState::Exited}};
 const Names<ExitReason> kReasons{
     {"done", ExitReason::Done},   {"halted", ExitReason::Stopped}, {"mates_gone", ExitReason::PeersGone},
     {"alone", ExitReason::Alone}, {"error", ExitReason::Error},    {"no_room", ExitReason::NoRoom},
@@ -196,13 +196,13 @@
     job.checkpoint_s = need_amount(body, "bookmarkS");
     job.save_s = need_amount(body, "stashS");
     if (field(body, "dueS")) job.deadline_s = need_amount(body, "dueS");
-    if (const Json* awaits = field(body, "awaits")) {
-      if (!awaits->is_array()) throw FieldError{"awaits: not a list"};
+    if (const Json* dependencies = field(body, "awaits")) {
+      if (!dependencies->is_array()) throw FieldError{"awaits: not a list"};
       std::unordered_set<std::string> seen;
-      for (const auto& a : *awaits) {
+      for (const auto& a : *dependencies) {
         if (!a.is_string() || !valid_job_id(a.get_ref<const std::string&>()))
           throw FieldError{"awaits: not a list of job ids"};
-        if (auto id = a.get<std::string>(); seen.insert(id).second) job.awaits.push_back(std::move(id));
+        if (auto id = a.get<std::string>(); seen.insert(id).second) job.dependencies.push_back(std::move(id));
       }
     }
     return {std::move(job), ""};
@@ -232,7 +232,7 @@
   if (j.types) out["builds"] = *j.types;
   if (j.zone) out["room"] = *j.zone;
   if (j.deadline_s) out["dueS"] = *j.deadline_s;
-  if (!j.awaits.empty()) out["awaits"] = j.awaits;
+  if (!j.dependencies.empty()) out["awaits"] = j.dependencies;
   return out;
 }
 
@@ -248,7 +248,7 @@
 Routed route(std::string_view method, std::string_view target) {
   auto path = target.substr(0, target.find('?'));
   if (path == "/ready") return {method == "GET" ? Route::Ready : Route::WrongMethod, ""};
-  if (path == "/v1/report") return {method == "POST" ? Route::Report : Route::WrongMethod, ""};
+  if (path == "/v1/report") return {method == "POST" ? Route::Heartbeat : Route::WrongMethod, ""};
   if (path == "/work") return {method == "POST" ? Route::Submit : Route::WrongMethod, ""};
   constexpr std::string_view kWork = "/work/", kWithdraw = "/withdraw";
   if (path.substr(0, kWork.size()) != kWork) return {};
@@ -260,8 +260,8 @@
   return {method == "GET" ? Route::Query : Route::WrongMethod, std::string(rest)};
 }
 
-std::optional<Report> parse_report(const Json& body) {
-  Report r;
+std::optional<Heartbeat> parse_heartbeat(const Json& body) {
+  Heartbeat r;
   r.machine = text(body, "host");
   r.address = text(body, "address");
   r.type = text(body, "build");
@@ -269,14 +269,14 @@
   if (!good_text(r.machine) || !good_text(r.type) || !good_text(r.zone) || r.address.size() > 64)
     return std::nullopt;
   r.spot = flag(body, "lendable");
-  r.session = integer(body, "watch");
+  r.worker_epoch = integer(body, "watch");
   r.seq = integer(body, "tick");
-  r.token = integer(body, "baton");
+  r.fencing_token = integer(body, "baton");
   if (field(body, "warningS")) r.notice_s = number(body, "warningS");
   if (const Json* parts = field(body, "parts"); parts && parts->is_array()) {
     r.tasks.reserve(parts->size());
     for (const auto& p : *parts) {
-      TaskReport t;
+      TaskStatus t;
       if (!split_task(text(p, "part"), t.job, t.index)) continue;
       t.attempt = integer(p, "try");
       auto state = from_name(kStates, text(p, "phase"));
@@ -290,26 +290,26 @@
   return r;
 }
 
-Json commands_to_wire(std::uint64_t token, const std::vector<Command>& commands,
-                      std::optional<std::uint64_t> session) {
+Json commands_to_wire(std::uint64_t fencing_token, const std::vector<TaskCommand>& commands,
+                      std::optional<std::uint64_t> worker_epoch) {
   Json orders = Json::array();
   for (const auto& c : commands) {
     Json o = {{"part", task_name(c.job, c.index)}, {"try", c.attempt}};
     switch (c.op) {
-      case Command::Op::Start:
+      case TaskCommand::Op::Start:
         o["verb"] = "launch";
         break;
-      case Command::Op::Stop:
+      case TaskCommand::Op::Stop:
         o["verb"] = "halt", o["mercyS"] = c.grace_s;
         break;
-      case Command::Op::Forget:
+      case TaskCommand::Op::Forget:
         o["verb"] = "clear";
         break;
     }
     orders.push_back(std::move(o));
   }
-  Json out = {{"baton", token}, {"orders", std::move(orders)}};
-  if (session) out["watch"] = *session;
+  Json out = {{"baton", fencing_token}, {"orders", std::move(orders)}};
+  if (worker_epoch) out["watch"] = *worker_epoch;
   return out;
 }
 
@@ -336,7 +336,7 @@
 // [machine, address, type, zone, spot, session, sequence, token, notice,
 //  {job: [index, attempt, state(, reason, saved)]...}]: tasks stand under their job, whose name is the long
 //  part.
-Json brief_report(const Json& body) {
+Json compact_heartbeat(const Json& body) {
   if (!body.is_object()) return nullptr;
   Json tasks = Json::object();
   if (const Json* parts = field(body, "parts"); parts && parts->is_array())
@@ -356,7 +356,7 @@
           std::move(tasks)};
 }
 
-Json full_report(const Json& b) {
+Json expand_heartbeat(const Json& b) {
   if (!b.is_array() || b.size() != 10 || !b[9].is_object()) return nullptr;
   Json parts = Json::array();
   for (const auto& [job, tasks] : b[9].items())
@@ -375,7 +375,7 @@
 }
 
 // [token, [verb, task, attempt(, grace)]...]
-Json brief_answer(const Json& body) {
+Json compact_answer(const Json& body) {
   if (!body.is_object()) return nullptr;
   Json out = {integer(body, "baton")};
   if (const Json* orders = field(body, "orders"); orders && orders->is_array())
@@ -387,7 +387,7 @@
   return out;
 }
 
-Json full_answer(const Json& b) {
+Json expand_answer(const Json& b) {
   if (!b.is_array() || b.empty()) return nullptr;
   Json orders = Json::array();
   for (std::size_t i = 1; i < b.size(); ++i) {
@@ -403,7 +403,7 @@
   return {{"baton", b[0]}, {"orders", std::move(orders)}};
 }
 
-Json report_to_other(std::string_view label) { return {{"herald", std::string(label)}}; }
+Json redirect_to_wire(std::string_view label) { return {{"herald", std::string(label)}}; }
 
 std::vector<MachineType> parse_catalog(const Json& body) {
   std::vector<MachineType> out;
@@ -492,25 +492,25 @@
   return "/watch?under=" + prefix + "&after=" + std::to_string(after) +
          "&waitMs=" + std::to_string(static_cast<long>(wait_s * 1000));
 }
-std::string grant_path(std::uint64_t grant) { return "/grants/" + std::to_string(grant); }
-std::string renew_path(std::uint64_t grant) { return grant_path(grant) + "/renew"; }
+std::string lease_path(std::uint64_t lease) { return "/grants/" + std::to_string(lease); }
+std::string renew_path(std::uint64_t lease) { return lease_path(lease) + "/renew"; }
 
 Json txn_to_wire(const std::vector<Condition>& conditions, const std::vector<Write>& writes) {
   Json ifs = Json::array(), ops = Json::array();
-  for (const auto& c : conditions) ifs.push_back({{"k", c.key}, {"stamp", c.version}});
+  for (const auto& c : conditions) ifs.push_back({{"k", c.key}, {"stamp", c.revision}});
   for (const auto& w : writes) {
     if (!w.value) {
       ops.push_back({{"remove", w.key}});
       continue;
     }
     Json op = {{"write", w.key}, {"value", *w.value}};
-    if (w.grant) op["tenure"] = w.grant;
+    if (w.lease) op["tenure"] = w.lease;
     ops.push_back(std::move(op));
   }
   return {{"if", std::move(ifs)}, {"writes", std::move(ops)}};
 }
-Json grant_request(double life_s) { return {{"lifeMs", static_cast<std::uint64_t>(life_s * 1000)}}; }
-std::uint64_t parse_grant(const Json& body) { return integer(body, "tenure"); }
+Json lease_request(double life_s) { return {{"lifeMs", static_cast<std::uint64_t>(life_s * 1000)}}; }
+std::uint64_t parse_lease(const Json& body) { return integer(body, "tenure"); }
 std::uint64_t parse_revision(const Json& body) { return integer(body, "epoch"); }
 
 std::optional<KeyValue> parse_value(const Json& body) {
--- a/src/wire/codec.h
+++ b/src/wire/codec.h
@@ -7,7 +7,7 @@
 #include <utility>
 #include <vector>
 
-#include "types.h"
+#include "model.h"
 
 namespace corkmux::codec {
 
@@ -33,7 +33,7 @@
 Json error_to_wire(std::string_view text);
 bool valid_job_id(std::string_view id);
 
-enum class Route { None, Submit, Query, Cancel, Ready, Report, WrongMethod };
+enum class Route { None, Submit, Query, Cancel, Ready, Heartbeat, WrongMethod };
 struct Routed {
   Route route = Route::None;
   std::string job;
@@ -41,17 +41,17 @@
 Routed route(std::string_view method, std::string_view path);
 
 // --- workers ---
-std::optional<Report> parse_report(const Json& body);
-Json commands_to_wire(std::uint64_t token, const std::vector<Command>& commands,
-                      std::optional<std::uint64_t> session);
-Json report_to_other(std::string_view label);
+std::optional<Heartbeat> parse_heartbeat(const Json& body);
+Json commands_to_wire(std::uint64_t fencing_token, const std::vector<TaskCommand>& commands,
+                      std::optional<std::uint64_t> worker_epoch);
+Json redirect_to_wire(std::string_view label);
 /// The same bodies in few bytes, for mail between controllers that read the second form. Null: not such a
 /// body.
-Json brief_report(const Json& body);
-Json full_report(const Json& brief);
-Json brief_answer(const Json& body);
-Json full_answer(const Json& brief);
-inline constexpr const char* kOrdersPath = "/orders";
+Json compact_heartbeat(const Json& body);
+Json expand_heartbeat(const Json& brief);
+Json compact_answer(const Json& body);
+Json expand_answer(const Json& brief);
+inline constexpr const char* kCommandsPath = "/orders";
 
 // --- cloud ---
 inline constexpr const char* kCatalogPath = "/catalog";
@@ -75,27 +75,27 @@
 struct KeyValue {
   std::string key;
   Json value;
-  std::uint64_t version = 0;
+  std::uint64_t revision = 0;
 };
 struct Condition {
   std::string key;
-  std::uint64_t version = 0;
+  std::uint64_t revision = 0;
 };
 struct Write {
   std::string key;
   std::optional<Json> value;  // absent: remove the key
-  std::uint64_t grant = 0;
+  std::uint64_t lease = 0;
 };
 inline constexpr const char* kTxnPath = "/multi";
-inline constexpr const char* kGrantPath = "/grants";
+inline constexpr const char* kLeasePath = "/grants";
 std::string key_path(const std::string& key);
 std::string prefix_path(const std::string& prefix, const std::string& after, int most);
 std::string watch_path(const std::string& prefix, std::uint64_t after, double wait_s);
-std::string grant_path(std::uint64_t grant);
-std::string renew_path(std::uint64_t grant);
+std::string lease_path(std::uint64_t lease);
+std::string renew_path(std::uint64_t lease);
 Json txn_to_wire(const std::vector<Condition>& conditions, const std::vector<Write>& writes);
-Json grant_request(double life_s);
-std::uint64_t parse_grant(const Json& body);
+Json lease_request(double life_s);
+std::uint64_t parse_lease(const Json& body);
 std::uint64_t parse_revision(const Json& body);
 std::optional<KeyValue> parse_value(const Json& body);
 struct Page {
@@ -107,7 +107,7 @@
 struct Event {
   std::string key;
   std::optional<Json> value;
-  std::uint64_t version = 0;
+  std::uint64_t revision = 0;
 };
 struct Events {
   std::vector<Event> events;
--- a/tests/kube_test.cc
+++ b/tests/kube_test.cc
@@ -10,9 +10,9 @@
 #include <sstream>
 
 #include "api.h"
+#include "loopback_cluster.h"
 #include "quantity.h"
 #include "selector.h"
-#include "site.h"
 
 extern char** environ;
 
