--- a/src/cmd/scale_test_main.cc
+++ b/src/cmd/scale_test_main.cc
@@ -106,7 +106,7 @@
     std::cerr << "interrupted: every process of the run is ended\n";
     return 128 + interrupted;
   }
-  std::cout << run.account_text();
+  std::cout << run.report_text();
   if (!a.json.empty()) {
     std::ofstream out(a.json);
     out << run.account().dump(2) << "\n";
--- a/src/cmd/simulator_main.cc
+++ b/src/cmd/simulator_main.cc
@@ -12,10 +12,10 @@
 
 int main(int argc, char** argv) {
   CLI::App app{"corkmux-simulator: plays a whole cluster, simulated, from one seed"};
-  std::string file, day, json;
+  std::string file, scenario, json;
   std::uint64_t seed = 1;
   app.add_option("file", file, "the world (TOML; docs/simulation.md)")->required();
-  app.add_option("--day", day, "which of its days; the first if not given");
+  app.add_option("--day", scenario, "which of its days; the first if not given");
   app.add_option("--seed", seed, "where chance begins");
   app.add_option("--json", json, "also write the account there as JSON");
   CLI11_PARSE(app, argc, argv);
@@ -26,12 +26,12 @@
   spdlog::set_level(level ? spdlog::level::from_str(level) : spdlog::level::off);
   spdlog::set_formatter(corkmux::simulation::log_formatter());
   try {
-    corkmux::simulation::ClusterSimulation simulation(corkmux::simulation::load_plan(file, day), seed);
+    corkmux::simulation::ClusterSimulation simulation(corkmux::simulation::load_plan(file, scenario), seed);
     simulation.run();
-    std::cout << simulation.account_text();
+    std::cout << simulation.report_text();
     if (!json.empty()) {
       std::ofstream out(json);
-      out << simulation.account().dump(2) << "\n";
+      out << simulation.report().dump(2) << "\n";
       if (!out.flush()) throw std::runtime_error(json + ": cannot be written");
     }
     return simulation.good() ? 0 : 1;
--- a/src/scale_test/event_merger.cc
+++ b/src/scale_test/event_merger.cc
@@ -6,10 +6,10 @@
 
 EventMerger::EventMerger(std::vector<Team> teams, double cancel_s, std::size_t hosts, Listener& listener)
     : listener_(listener), checker_(std::move(teams), cancel_s, [this] { return now_; }) {
-  for (std::size_t i = 0; i < hosts; ++i) told_until_[static_cast<int>(i)] = 0;
+  for (std::size_t i = 0; i < hosts; ++i) complete_until_[static_cast<int>(i)] = 0;
 }
 
-void EventMerger::add(const HostReport& report,
+void EventMerger::add(const HostStatus& report,
                       const std::map<std::string, simulation::MachineFacts>& machines,
                       simulation::JobRegistry& jobs) {
   for (const auto& event : report.events) {
@@ -21,8 +21,8 @@
       machine_event(event, facts, *work);
     });
   }
-  auto host = told_until_.find(report.host);
-  if (host != told_until_.end()) host->second = std::max(host->second, report.until);
+  auto host = complete_until_.find(report.host);
+  if (host != complete_until_.end()) host->second = std::max(host->second, report.until);
 }
 
 void EventMerger::machine_event(const MachineEvent& event, const simulation::MachineFacts* machine,
@@ -52,11 +52,11 @@
   }
 }
 
-void EventMerger::forget_host(int host) { told_until_.erase(host); }
+void EventMerger::forget_host(int host) { complete_until_.erase(host); }
 
 void EventMerger::apply() {
   double until = run_time();
-  for (const auto& [host, told] : told_until_) until = std::min(until, told);
+  for (const auto& [host, told] : complete_until_) until = std::min(until, told);
   while (!events_.empty() && events_.begin()->first <= until) {
     auto event = events_.extract(events_.begin());
     now_ = std::max(now_, event.key());
@@ -93,9 +93,9 @@
                                 double asked_at) {
   now([=, this] { checker_.answered_poll(job, status, phase, asked_at); });
 }
-void EventMerger::answered_look(const std::string& job, int status, const std::string& phase,
-                                double asked_at) {
-  now([=, this] { checker_.answered_look(job, status, phase, asked_at); });
+void EventMerger::answered_concurrent_read(const std::string& job, int status, const std::string& phase,
+                                           double asked_at) {
+  now([=, this] { checker_.answered_concurrent_read(job, status, phase, asked_at); });
 }
 void EventMerger::answered_invalid(const std::string& job, int status, int wanted) {
   now([=, this] { checker_.answered_invalid(job, status, wanted); });
--- a/src/scale_test/event_merger.h
+++ b/src/scale_test/event_merger.h
@@ -26,7 +26,7 @@
   EventMerger(std::vector<Team> teams, double cancel_s, std::size_t hosts, Listener& listener);
 
   /// A host's report: its events, and that it has told everything up to a moment.
-  void add(const HostReport& report, const std::map<std::string, simulation::MachineFacts>& machines,
+  void add(const HostStatus& report, const std::map<std::string, simulation::MachineFacts>& machines,
            simulation::JobRegistry& jobs);
   /// A host that has ended is not waited for any more.
   void forget_host(int host);
@@ -43,7 +43,8 @@
   void answered_cancel(const std::string& job, int status, const std::string& phase,
                        double asked_at) override;
   void answered_poll(const std::string& job, int status, const std::string& phase, double asked_at) override;
-  void answered_look(const std::string& job, int status, const std::string& phase, double asked_at) override;
+  void answered_concurrent_read(const std::string& job, int status, const std::string& phase,
+                                double asked_at) override;
   void answered_invalid(const std::string& job, int status, int wanted) override;
 
  private:
@@ -54,7 +55,7 @@
   Listener& listener_;
   double now_ = 0;
   simulation::InvariantChecker checker_;
-  std::map<int, double> told_until_;                     // by host
+  std::map<int, double> complete_until_;                 // by host
   std::multimap<double, std::function<void()>> events_;  // equal times in the order of their arrival
   std::map<std::string, bool> accepted_;
 };
--- a/src/scale_test/hollow_worker_host.cc
+++ b/src/scale_test/hollow_worker_host.cc
@@ -62,7 +62,7 @@
 
 /// One batch of events, then the next after a pause; what is not taken is sent again.
 void HollowWorkerHost::report() {
-  auto batch = std::make_shared<HostReport>();
+  auto batch = std::make_shared<HostStatus>();
   batch->host = host_;
   std::size_t count = std::min(events_.size(), kEventsAtOnce);
   batch->events.assign(events_.begin(), events_.begin() + static_cast<std::ptrdiff_t>(count));
@@ -81,14 +81,14 @@
                        }
                        failures_ = 0;
                        events_.erase(events_.begin(), events_.begin() + static_cast<std::ptrdiff_t>(count));
-                       obey(parse_host_orders(*body, types_));
+                       obey(parse_host_instructions(*body, types_));
                        loop_.call_later(more ? 0 : kEventsEvery, [this] { report(); });
                      });
 }
 
-void HollowWorkerHost::obey(const HostOrders& orders) {
-  for (const auto& facts : orders.boot) boot(facts);
-  for (const auto& name : orders.lose) lose(name, orders.why_lost);
+void HollowWorkerHost::obey(const HostInstructions& instructions) {
+  for (const auto& facts : instructions.boot) boot(facts);
+  for (const auto& name : instructions.lose) lose(name, instructions.why_lost);
 }
 
 void HollowWorkerHost::boot(const simulation::MachineFacts& facts) {
--- a/src/scale_test/hollow_worker_host.h
+++ b/src/scale_test/hollow_worker_host.h
@@ -32,7 +32,7 @@
 
  private:
   void report();
-  void obey(const HostOrders& orders);
+  void obey(const HostInstructions& instructions);
   void boot(const simulation::MachineFacts& facts);
   void lose(const std::string& machine, const std::string& why);
   void add(MachineEvent event);
--- a/src/scale_test/machine_events.cc
+++ b/src/scale_test/machine_events.cc
@@ -8,7 +8,7 @@
 
 double run_time() { return steady_now(); }
 
-Json to_wire(const HostReport& report) {
+Json to_wire(const HostStatus& report) {
   Json events = Json::array();
   for (const auto& e : report.events)
     events.push_back(
@@ -17,9 +17,9 @@
           {"traffic", report.traffic}, {"workers", report.workers}, {"tasks", report.tasks}};
 }
 
-std::optional<HostReport> parse_host_report(const Json& body) {
+std::optional<HostStatus> parse_host_status(const Json& body) {
   try {
-    HostReport out;
+    HostStatus out;
     out.host = body.at("host").get<int>();
     out.until = body.at("until").get<double>();
     out.traffic = body.at("traffic");
@@ -35,14 +35,14 @@
   }
 }
 
-Json to_wire(const HostOrders& orders) {
+Json to_wire(const HostInstructions& instructions) {
   Json boot = Json::array();
-  for (const auto& m : orders.boot) boot.push_back({m.name, m.type.name, m.zone});
-  return {{"boot", std::move(boot)}, {"lose", orders.lose}, {"why", orders.why_lost}};
+  for (const auto& m : instructions.boot) boot.push_back({m.name, m.type.name, m.zone});
+  return {{"boot", std::move(boot)}, {"lose", instructions.lose}, {"why", instructions.why_lost}};
 }
 
-HostOrders parse_host_orders(const Json& body, const std::vector<MachineType>& types) {
-  HostOrders out;
+HostInstructions parse_host_instructions(const Json& body, const std::vector<MachineType>& types) {
+  HostInstructions out;
   for (const auto& m : body.value("boot", Json::array())) {
     auto type = std::find_if(types.begin(), types.end(),
                              [&](const auto& t) { return t.name == m.at(1).get<std::string>(); });
--- a/src/scale_test/machine_events.h
+++ b/src/scale_test/machine_events.h
@@ -28,24 +28,24 @@
 };
 
 /// One message of a host.
-struct HostReport {
+struct HostStatus {
   int host = 0;
   double until = 0;  // everything up to here has been told with this message
   std::vector<MachineEvent> events;
   Json traffic = Json::object();  // http::Traffic of the process
   int workers = 0, tasks = 0;
 };
-Json to_wire(const HostReport& report);
-std::optional<HostReport> parse_host_report(const Json& body);
+Json to_wire(const HostStatus& report);
+std::optional<HostStatus> parse_host_status(const Json& body);
 
 /// What the collector answers.
-struct HostOrders {
+struct HostInstructions {
   std::vector<simulation::MachineFacts> boot;
   std::vector<std::string> lose;  // these machines end with all that is on them
   std::string why_lost;
 };
-Json to_wire(const HostOrders& orders);
-HostOrders parse_host_orders(const Json& body, const std::vector<MachineType>& types);
+Json to_wire(const HostInstructions& instructions);
+HostInstructions parse_host_instructions(const Json& body, const std::vector<MachineType>& types);
 
 /// Traffic of this process, for a report.
 Json traffic_to_wire();
--- a/src/scale_test/run_report.cc
+++ b/src/scale_test/run_report.cc
@@ -128,7 +128,7 @@
           {"problems", problems()}};
 }
 
-std::string ScaleTestRun::account_text() const {
+std::string ScaleTestRun::report_text() const {
   auto a = account();
   std::string out =
       fmt::format("{}: {} hollow workers, {} controllers, {} teams; window of {:.0f} s\n", plan_.name,
--- a/src/scale_test/scale_test_run.cc
+++ b/src/scale_test/scale_test_run.cc
@@ -175,12 +175,12 @@
 void ScaleTestRun::serve(http::Server::ConnectionId id, const http::Request& request) {
   auto body = codec::unpack(request.body);
   if (request.target == "/host" && body)
-    if (auto report = parse_host_report(*body)) return host_report(id, *report);
-  if (request.target == "/state" && body) return state_report(id, parse_state_counts(*body));
+    if (auto report = parse_host_status(*body)) return host_status(id, *report);
+  if (request.target == "/state" && body) return state_counts_received(id, parse_state_counts(*body));
   collector_.respond(id, {400, "", 0, false});
 }
 
-void ScaleTestRun::host_report(http::Server::ConnectionId id, const HostReport& report) {
+void ScaleTestRun::host_status(http::Server::ConnectionId id, const HostStatus& report) {
   if (report.host < 0 || static_cast<std::size_t>(report.host) >= hosts_.size())
     return collector_.respond(id, {400, "", 0, false});
   Host& host = *hosts_[static_cast<std::size_t>(report.host)];
@@ -191,15 +191,15 @@
     if (event.kind == MachineEvent::Kind::Up) machine_addresses_[event.machine] = event.why;
   record_.add(report, machines_, registry_);
   record_.apply();
-  HostOrders orders = std::exchange(host.orders, {});
+  HostInstructions instructions = std::exchange(host.instructions, {});
   std::size_t boots = std::min(host.to_boot.size(), kBootsAtOnce);
   auto end = host.to_boot.begin() + static_cast<std::ptrdiff_t>(boots);
-  orders.boot.assign(host.to_boot.begin(), end);
+  instructions.boot.assign(host.to_boot.begin(), end);
   host.to_boot.erase(host.to_boot.begin(), end);
-  collector_.respond(id, {200, codec::pack(to_wire(orders)), 0, false});
+  collector_.respond(id, {200, codec::pack(to_wire(instructions)), 0, false});
 }
 
-void ScaleTestRun::state_report(http::Server::ConnectionId id, StateCounts counts) {
+void ScaleTestRun::state_counts_received(http::Server::ConnectionId id, StateCounts counts) {
   state_.traffic = counts.traffic;
   state_counts_ = std::move(counts);
   collector_.respond(id, {200, "", 0, false});
@@ -346,8 +346,8 @@
       if (static_cast<int>(lost.size()) == count) break;
       if (machines_.at(name).zone != zones[zone]) continue;
       lost.push_back(machines_.at(name));
-      host.orders.lose.push_back(name);
-      host.orders.why_lost = why;
+      host.instructions.lose.push_back(name);
+      host.instructions.why_lost = why;
     }
   }
   for (const auto& facts : lost) {
--- a/src/scale_test/scale_test_run.h
+++ b/src/scale_test/scale_test_run.h
@@ -37,7 +37,7 @@
   std::vector<std::string> problems() const;
   codec::Json account() const;
   /// The account for a reader.
-  std::string account_text() const;
+  std::string report_text() const;
 
  private:
   struct Role {
@@ -50,12 +50,12 @@
   };
   struct Host : Role {
     std::vector<simulation::MachineFacts> to_boot;
-    HostOrders orders;
+    HostInstructions instructions;
     int workers = 0, tasks = 0;
   };
   void serve(http::Server::ConnectionId id, const http::Request& request);
-  void host_report(http::Server::ConnectionId id, const HostReport& report);
-  void state_report(http::Server::ConnectionId id, StateCounts counts);
+  void host_status(http::Server::ConnectionId id, const HostStatus& report);
+  void state_counts_received(http::Server::ConnectionId id, StateCounts counts);
   void begin_outside();
   void start_controllers();
   void start_controller(std::size_t number);
--- a/src/simulation/cloud.h
+++ b/src/simulation/cloud.h
@@ -33,7 +33,7 @@
   std::string address() const { return "127.0.0.1:" + std::to_string(server_.port()); }
   int port() const { return server_.port(); }
   bool down = false;
-  Allowance requests;
+  RateLimiter requests;
   int deletions = 0;  // requests
   /// A machine that is there at the start.
   MachineFacts add(const std::string& type, const std::string& zone, bool spot);
--- a/src/simulation/state_service.h
+++ b/src/simulation/state_service.h
@@ -20,7 +20,7 @@
 using Id = http::Server::ConnectionId;
 
 /// A rate with bursts of so many seconds' worth; 0: none.
-class Allowance {
+class RateLimiter {
  public:
   void set(double rate, double burst_s = 1) {
     rate_ = rate, burst_ = rate * burst_s, left_ = burst_, at_ = steady_now();
@@ -54,7 +54,7 @@
   bool swallow_next_txn = false;
   /// Limits; they may fall at any moment.
   std::size_t value_bytes = 1 << 20, txn_ops = 1000;
-  Allowance requests, changes;
+  RateLimiter requests, changes;
   int refused = 0;           // transactions beyond the limits
   int over_rate = 0;         // requests answered 429
   std::uint64_t served = 0;  // requests
@@ -100,7 +100,7 @@
     std::uint64_t after;
     double until;
   };
-  struct Grant {
+  struct Lease {
     double life = 0, until = 0;
   };
   struct Change {
@@ -120,9 +120,9 @@
   /// Answers the watches for which there is something, or whose time is over.
   void wake();
   Loop& loop_;
-  std::uint64_t epoch_ = 0, grants_made_ = 0, history_from_ = 0, woken_for_ = 0;
+  std::uint64_t epoch_ = 0, leases_created_ = 0, history_from_ = 0, woken_for_ = 0;
   std::map<std::string, Entry> data_;
-  std::map<std::uint64_t, Grant> grants_;
+  std::map<std::uint64_t, Lease> leases_;
   std::deque<Change> log_;
   std::vector<Watcher> watchers_;
   std::vector<Json> held_;
