--- a/src/scale_test/event_merger.cc
+++ b/src/scale_test/event_merger.cc
@@ -14,7 +14,7 @@
                       simulation::JobRegistry& jobs) {
   for (const auto& event : report.events) {
     if (event.kind == MachineEvent::Kind::Up) continue;
-    simulation::Work* work = jobs.find(event.job);
+    simulation::SimulatedJob* work = jobs.find(event.job);
     if (!work) continue;  // a machine was told to start what nobody submitted: the worker refuses that itself
     auto machine = machines.find(event.machine);
     at(event.at, [this, event, facts = machine == machines.end() ? nullptr : &machine->second, work] {
@@ -26,29 +26,27 @@
 }
 
 void EventMerger::machine_event(const MachineEvent& event, const simulation::MachineFacts* machine,
-                                simulation::Work& work) {
+                                simulation::SimulatedJob& work) {
   switch (event.kind) {
     case MachineEvent::Kind::Up:
       return;
     case MachineEvent::Kind::On:
       listener_.started(work, event.index, event.at);
-      if (machine)
-        checker_.on(event.machine, machine->type.name, machine->zone, machine->spot, work, event.index,
-                    event.attempt);
+      if (machine) checker_.task_placed(*machine, work, event.index, event.attempt);
       return;
     case MachineEvent::Kind::Off:
       listener_.left(work, event.why, event.at);
-      return checker_.off(event.machine, work, event.index, event.attempt, event.why);
+      return checker_.task_removed(event.machine, work, event.index, event.attempt, event.why);
     case MachineEvent::Kind::Lost:
-      return checker_.lost(work, event.why, event.seconds);
+      return checker_.progress_lost(work, event.why, event.seconds);
     case MachineEvent::Kind::Running:
       listener_.running(work, event.at);
-      return checker_.running(work, event.index);
+      return checker_.task_running(work, event.index);
     case MachineEvent::Kind::Done:
       // A task that ran again elsewhere, unknown to the first machine's process, is done once.
       if (work.done[static_cast<std::size_t>(event.index)]) return;
       work.done[static_cast<std::size_t>(event.index)] = true;
-      return checker_.done(work, event.index);
+      return checker_.task_done(work, event.index);
   }
 }
 
--- a/src/scale_test/event_merger.h
+++ b/src/scale_test/event_merger.h
@@ -19,9 +19,9 @@
     virtual void submitted(const JobSpec& /*job*/, double /*at*/) {}
     virtual void accepted(const std::string& /*job*/, double /*at*/) {}
     virtual void refused(int /*status*/, double /*at*/) {}
-    virtual void started(const simulation::Work& /*work*/, int /*index*/, double /*at*/) {}
-    virtual void running(const simulation::Work& /*work*/, double /*at*/) {}
-    virtual void left(const simulation::Work& /*work*/, const std::string& /*why*/, double /*at*/) {}
+    virtual void started(const simulation::SimulatedJob& /*work*/, int /*index*/, double /*at*/) {}
+    virtual void running(const simulation::SimulatedJob& /*work*/, double /*at*/) {}
+    virtual void left(const simulation::SimulatedJob& /*work*/, const std::string& /*why*/, double /*at*/) {}
   };
   EventMerger(std::vector<Team> teams, double cancel_s, std::size_t hosts, Listener& listener);
 
@@ -51,7 +51,7 @@
   void at(double time, std::function<void()> event) { events_.emplace(time, std::move(event)); }
   void now(std::function<void()> event) { at(run_time(), std::move(event)); }
   void machine_event(const MachineEvent& event, const simulation::MachineFacts* machine,
-                     simulation::Work& work);
+                     simulation::SimulatedJob& work);
   Listener& listener_;
   double now_ = 0;
   simulation::InvariantChecker checker_;
--- a/src/scale_test/hollow_worker_host.cc
+++ b/src/scale_test/hollow_worker_host.cc
@@ -28,7 +28,7 @@
       registry_(loop, plan.times.gang_peer_s, *this, run_time),
       collector_(loop, collector, 1, 4),
       types_(plan.types()) {
-  registry_.invent = [this](const std::string& job) {
+  registry_.make_unknown_job = [this](const std::string& job) {
     auto number = JobSource::number(job);
     if (!number) throw std::runtime_error("a launch names no job of this run: " + job);
     return jobs_.job(*number);
@@ -42,21 +42,22 @@
   events_.push_back(std::move(event));
 }
 
-void HollowWorkerHost::on(const std::string& machine, const std::string&, const std::string&, bool,
-                          const simulation::Work& work, int index, std::uint64_t attempt) {
-  add({MachineEvent::Kind::On, 0, machine, work.spec.id, index, attempt, "", 0});
+void HollowWorkerHost::task_placed(const simulation::MachineFacts& machine,
+                                   const simulation::SimulatedJob& work, int index, std::uint64_t attempt) {
+  add({MachineEvent::Kind::On, 0, machine.name, work.spec.id, index, attempt, "", 0});
 }
-void HollowWorkerHost::off(const std::string& machine, const simulation::Work& work, int index,
-                           std::uint64_t attempt, const std::string& why) {
+void HollowWorkerHost::task_removed(const std::string& machine, const simulation::SimulatedJob& work,
+                                    int index, std::uint64_t attempt, const std::string& why) {
   add({MachineEvent::Kind::Off, 0, machine, work.spec.id, index, attempt, why, 0});
 }
-void HollowWorkerHost::lost(const simulation::Work& work, const std::string& why, double seconds) {
+void HollowWorkerHost::progress_lost(const simulation::SimulatedJob& work, const std::string& why,
+                                     double seconds) {
   add({MachineEvent::Kind::Lost, 0, "", work.spec.id, 0, 0, why, seconds});
 }
-void HollowWorkerHost::running(const simulation::Work& work, int index) {
+void HollowWorkerHost::task_running(const simulation::SimulatedJob& work, int index) {
   add({MachineEvent::Kind::Running, 0, "", work.spec.id, index, 0, "", 0});
 }
-void HollowWorkerHost::done(const simulation::Work& work, int index) {
+void HollowWorkerHost::task_done(const simulation::SimulatedJob& work, int index) {
   add({MachineEvent::Kind::Done, 0, "", work.spec.id, index, 0, "", 0});
 }
 
@@ -104,7 +105,7 @@
 void HollowWorkerHost::lose(const std::string& machine, const std::string& why) {
   auto worker = workers_.extract(machine);
   if (!worker) return;
-  worker.mapped()->die(why);
+  worker.mapped()->terminate(why);
   // Messages that name it may still wait on the loop; it is freed after them.
   std::shared_ptr<simulation::Worker> dead(std::move(worker.mapped()));
   loop_.call_later(2 * kEventsEvery, [dead] {});
--- a/src/scale_test/hollow_worker_host.h
+++ b/src/scale_test/hollow_worker_host.h
@@ -22,13 +22,13 @@
                    std::map<std::string, std::string> controllers, const std::string& collector);
   ~HollowWorkerHost() override;
 
-  void on(const std::string& machine, const std::string& type, const std::string& zone, bool spot,
-          const simulation::Work& work, int index, std::uint64_t attempt) override;
-  void off(const std::string& machine, const simulation::Work& work, int index, std::uint64_t attempt,
-           const std::string& why) override;
-  void lost(const simulation::Work& work, const std::string& why, double seconds) override;
-  void running(const simulation::Work& work, int index) override;
-  void done(const simulation::Work& work, int index) override;
+  void task_placed(const simulation::MachineFacts& machine, const simulation::SimulatedJob& work, int index,
+                   std::uint64_t attempt) override;
+  void task_removed(const std::string& machine, const simulation::SimulatedJob& work, int index,
+                    std::uint64_t attempt, const std::string& why) override;
+  void progress_lost(const simulation::SimulatedJob& work, const std::string& why, double seconds) override;
+  void task_running(const simulation::SimulatedJob& work, int index) override;
+  void task_done(const simulation::SimulatedJob& work, int index) override;
 
  private:
   void report();
--- a/src/scale_test/job_source.cc
+++ b/src/scale_test/job_source.cc
@@ -34,10 +34,10 @@
   return out;
 }
 
-simulation::Work JobSource::job(int number) const {
+simulation::SimulatedJob JobSource::job(int number) const {
   auto random = generator(plan_, number, 1);
   const JobClass& c = draw_class(plan_, random);
-  simulation::Work work;
+  simulation::SimulatedJob work;
   JobSpec& spec = work.spec;
   spec.id = name(number);
   spec.job_class = c.name;
--- a/src/scale_test/job_source.h
+++ b/src/scale_test/job_source.h
@@ -15,7 +15,7 @@
   static std::string name(int number);
   /// No value: not a name that name() gives.
   static std::optional<int> number(const std::string& name);
-  simulation::Work job(int number) const;
+  simulation::SimulatedJob job(int number) const;
   /// Whether its user cancels it some time after the submission.
   bool cancelled(int number) const;
 
--- a/src/scale_test/run_metrics.cc
+++ b/src/scale_test/run_metrics.cc
@@ -37,7 +37,7 @@
 
 void RunMetrics::refused(int status, double at) { refusals_[status] += counts(at); }
 
-void RunMetrics::started(const simulation::Work&, int, double at) {
+void RunMetrics::started(const simulation::SimulatedJob&, int, double at) {
   most_running_ = std::max(most_running_, ++running_now_);
   double gap = last_start_ > 0 ? at - last_start_ : 0;
   if (counts(at)) {
@@ -52,13 +52,13 @@
 }
 
 /// Of a gang all tasks run from the same moment on; of an array the first counts.
-void RunMetrics::running(const simulation::Work& work, double at) {
+void RunMetrics::running(const simulation::SimulatedJob& work, double at) {
   auto waiting = waiting_for_start_.extract(work.spec.id);
   if (!waiting) return;
   (waiting.mapped().urgent ? urgent_running_in_ : other_running_in_).add(at - waiting.mapped().since);
 }
 
-void RunMetrics::left(const simulation::Work&, const std::string& why, double) {
+void RunMetrics::left(const simulation::SimulatedJob&, const std::string& why, double) {
   --running_now_;
   ++exits_by_why_[why];
 }
--- a/src/scale_test/run_metrics.h
+++ b/src/scale_test/run_metrics.h
@@ -41,9 +41,9 @@
   void submitted(const JobSpec& job, double at) override;
   void accepted(const std::string& job, double at) override;
   void refused(int status, double at) override;
-  void started(const simulation::Work& work, int index, double at) override;
-  void running(const simulation::Work& work, double at) override;
-  void left(const simulation::Work& work, const std::string& why, double at) override;
+  void started(const simulation::SimulatedJob& work, int index, double at) override;
+  void running(const simulation::SimulatedJob& work, double at) override;
+  void left(const simulation::SimulatedJob& work, const std::string& why, double at) override;
   codec::Json to_json() const;
   int starts() const { return starts_; }
 
--- a/src/scale_test/run_report.cc
+++ b/src/scale_test/run_report.cc
@@ -36,8 +36,9 @@
 
 std::vector<std::string> ScaleTestRun::problems() const {
   if (!failure_.empty()) return {"run: " + failure_};
-  auto out = record_.checker().broken();
-  auto shares = [&](const char* what, const std::map<std::string, simulation::InvariantChecker::Share>& all) {
+  auto out = record_.checker().violations();
+  auto shares = [&](const char* what,
+                    const std::map<std::string, simulation::InvariantChecker::JobStatistics>& all) {
     for (const auto& [name, s] : all)
       if (s.served() < kServed)
         out.push_back(
--- a/src/scale_test/scale_test_run.cc
+++ b/src/scale_test/scale_test_run.cc
@@ -95,12 +95,12 @@
   simulation::Cloud::Callbacks hooks;
   hooks.address = [this](const std::string& name) { return machine_addresses_[name]; };
   cloud_ = std::make_unique<simulation::Cloud>(loop_, plan_.types(), capacity, plan_.site.list_lag_s, hooks);
-  cloud_->requests.set(plan_.site.cloud_rps, 2);
+  cloud_->request_rate.set(plan_.site.cloud_rps, 2);
   for (std::size_t z = 0; z < zones.size(); ++z) {
     hosts_.push_back(std::make_unique<Host>());
     for (const auto& type : plan_.types())
       for (int i = 0; i < plan_.machines_in(z, type.name); ++i) {
-        auto facts = cloud_->add(type.name, zones[z], false);
+        auto facts = cloud_->add_machine(type.name, zones[z], false);
         machines_[facts.name] = facts;
         hosts_.back()->to_boot.push_back(facts);
       }
@@ -231,9 +231,10 @@
 void ScaleTestRun::submit_next() {
   if (!submitting_ || over_) return;
   int number = ++next_job_;
-  double cancel_after = -1;
-  if (jobs_.cancelled(number)) cancel_after = std::uniform_real_distribution<double>(0, plan_.run_s)(random_);
-  users_->submit(jobs_.job(number), cancel_after);
+  std::optional<double> cancel_after_s;
+  if (jobs_.cancelled(number))
+    cancel_after_s = std::uniform_real_distribution<double>(0, plan_.run_s)(random_);
+  users_->submit(jobs_.job(number), cancel_after_s);
   std::exponential_distribution<double> gap(plan_.jobs_per_s());
   loop_.call_later(gap(random_), [this] { submit_next(); });
 }
@@ -275,16 +276,16 @@
   if (over_) return;
   int tasks =
       std::accumulate(hosts_.begin(), hosts_.end(), 0, [](int n, const auto& h) { return n + h->tasks; });
-  bool idle = tasks == 0 && record_.checker().open(registry_).empty();
+  bool idle = tasks == 0 && record_.checker().waiting_jobs(registry_).empty();
   if (idle || seconds() > plan_.for_s + plan_.drain_s) return finish();
   loop_.call_later(kProgressEvery / 5, [this] { drain(); });
 }
 
 void ScaleTestRun::finish() {
   if (std::exchange(over_, true)) return;
-  for (const auto& open : record_.checker().open(registry_))
-    std::cerr << fmt::format("at the end {} ({}, {} tasks) still waits for {} starts\n", open.work->spec.id,
-                             open.work->spec.job_class, open.work->spec.tasks, open.waiting);
+  for (const auto& open : record_.checker().waiting_jobs(registry_))
+    std::cerr << fmt::format("at the end {} ({}, {} tasks) still waits for {} starts\n", open.job->spec.id,
+                             open.job->spec.job_class, open.job->spec.tasks, open.waiting_tasks);
   record_.apply();
   record_.checker().finish();
   done_();
@@ -352,12 +353,12 @@
   }
   for (const auto& facts : lost) {
     machine_addresses_.erase(facts.name);
-    cloud_->died(facts.name);
+    cloud_->machine_died(facts.name);
   }
   if (!come_back) return;
   loop_.call_later(kRackBack, [this, lost, zones] {
     for (const auto& old : lost) {
-      auto facts = cloud_->add(old.type.name, old.zone, false);
+      auto facts = cloud_->add_machine(old.type.name, old.zone, false);
       machines_[facts.name] = facts;
       auto at = std::find(zones.begin(), zones.end(), old.zone) - zones.begin();
       hosts_[static_cast<std::size_t>(at)]->to_boot.push_back(facts);
--- a/src/scale_test/state_host.cc
+++ b/src/scale_test/state_host.cc
@@ -29,10 +29,10 @@
 
 StateHost::StateHost(Loop& loop, const ScaleTestPlan& plan, const std::string& collector)
     : loop_(loop), state_(loop, "127.0.0.1:0"), collector_(loop, collector, 1, 4) {
-  state_.value_bytes = static_cast<std::size_t>(plan.site.value_kb * 1024);
-  state_.txn_ops = static_cast<std::size_t>(plan.site.txn_ops);
-  state_.requests.set(plan.site.state_rps);
-  state_.changes.set(plan.site.state_write_rps);
+  state_.limits.value_bytes = static_cast<std::size_t>(plan.site.value_kb * 1024);
+  state_.limits.transaction_writes = static_cast<std::size_t>(plan.site.txn_ops);
+  state_.request_rate.set(plan.site.state_rps);
+  state_.change_rate.set(plan.site.state_write_rps);
   report();
 }
 
@@ -40,10 +40,10 @@
   StateCounts out;
   out.port = state_.port();
   out.leader = state_.value(kLeaderKey).value("label", "");
-  out.served = state_.served;
-  out.over_rate = static_cast<std::uint64_t>(state_.over_rate);
+  out.served = state_.counters().requests;
+  out.over_rate = static_cast<std::uint64_t>(state_.counters().rate_limited);
   out.keys = state_.size();
-  out.changes_by_kind = state_.changes_by_kind;
+  out.changes_by_kind = state_.counters().changes_by_kind;
   out.traffic = traffic_to_wire();
   return out;
 }
--- a/src/scale_test/state_host.h
+++ b/src/scale_test/state_host.h
@@ -27,7 +27,7 @@
   void report();
   StateCounts counts() const;
   Loop& loop_;
-  simulation::State state_;
+  simulation::StateService state_;
   http::Client collector_;
   int failures_ = 0;
 };
--- a/src/simulation/cloud.h
+++ b/src/simulation/cloud.h
@@ -7,15 +7,15 @@
 #include <string>
 #include <vector>
 
+#include "machine_facts.h"
 #include "state_service.h"
-#include "worker.h"
 
 namespace corkmux::simulation {
 
 struct Capacity {
   std::string type, zone;
   bool spot = false;
-  int most = 0;
+  int max_machines = 0;
 };
 
 class Cloud {
@@ -32,16 +32,16 @@
   explicit Cloud(Loop& loop);
   std::string address() const { return "127.0.0.1:" + std::to_string(server_.port()); }
   int port() const { return server_.port(); }
-  bool down = false;
-  RateLimiter requests;
-  int deletions = 0;  // requests
+  bool unavailable = false;
+  RateLimiter request_rate;
+  int deletion_requests() const { return deletion_requests_; }
   /// A machine that is there at the start.
-  MachineFacts add(const std::string& type, const std::string& zone, bool spot);
+  MachineFacts add_machine(const std::string& type, const std::string& zone, bool spot);
   /// It has stopped on its own; listed as running for a while.
-  void died(const std::string& name);
+  void machine_died(const std::string& name);
   /// The cloud has taken it back.
-  void taken(const std::string& name);
-  double money() const;  // spent so far, in the catalog's unit
+  void machine_reclaimed(const std::string& name);
+  double cost() const;  // spent so far, in the catalog's unit
 
  private:
   struct Machine {
@@ -60,6 +60,7 @@
   Callbacks callbacks_;
   std::mt19937_64 rng_;
   int named_ = 0;
+  int deletion_requests_ = 0;
   std::map<std::string, Machine> machines_;
   std::map<std::string, Json> asked_;
   std::vector<std::unique_ptr<Timer>> boots_;
--- a/src/simulation/invariant_checker.h
+++ b/src/simulation/invariant_checker.h
@@ -19,16 +19,16 @@
       : teams_(std::move(teams)), cancel_s_(cancel_s), now_(std::move(now)) {}
 
   /// From then on, s of simulated time, nothing is wrong any more.
-  void calm_from(double at) { calm_from_ = at; }
+  void set_faults_end(double at) { calm_from_ = at; }
 
   // --- machines ---
-  void on(const std::string& machine, const std::string& type, const std::string& zone, bool spot,
-          const Work& work, int index, std::uint64_t attempt) override;
-  void off(const std::string& machine, const Work& work, int index, std::uint64_t attempt,
-           const std::string& why) override;
-  void lost(const Work& work, const std::string& why, double seconds) override;
-  void running(const Work& work, int index) override;
-  void done(const Work& work, int index) override;
+  void task_placed(const MachineFacts& machine, const SimulatedJob& work, int index,
+                   std::uint64_t attempt) override;
+  void task_removed(const std::string& machine, const SimulatedJob& work, int index, std::uint64_t attempt,
+                    const std::string& why) override;
+  void progress_lost(const SimulatedJob& work, const std::string& why, double seconds) override;
+  void task_running(const SimulatedJob& work, int index) override;
+  void task_done(const SimulatedJob& work, int index) override;
 
   // --- users ---
   void submitted(const JobSpec& spec) override;
@@ -50,9 +50,9 @@
   void finish();
 
   /// "rule: what happened at what time", in order.
-  const std::vector<std::string>& broken() const { return broken_; }
-  bool breaks(const std::string& rule) const;
-  struct Share {
+  const std::vector<std::string>& violations() const { return broken_; }
+  bool violates(const std::string& rule) const;
+  struct JobStatistics {
     int submitted = 0, accepted = 0, refused = 0, given_up = 0, started = 0, cancelled = 0, done = 0;
     std::vector<double> waits;  // s from the first try to submit to the first running task
     /// Of its largest jobs that were accepted and not cancelled: how many there are, begun in time, done.
@@ -60,8 +60,8 @@
     /// Of the jobs that were not cancelled.
     double served() const { return submitted > cancelled ? double(done) / (submitted - cancelled) : 1; }
   };
-  std::map<std::string, Share> by_class() const { return shares(&JobSpec::job_class); }
-  std::map<std::string, Share> by_team() const { return shares(&JobSpec::team); }
+  std::map<std::string, JobStatistics> by_class() const { return shares(&JobSpec::job_class); }
+  std::map<std::string, JobStatistics> by_team() const { return shares(&JobSpec::team); }
   const std::map<std::string, double>& lost_seconds() const { return lost_; }
   double longest_pause() const { return longest_pause_; }
   int starts() const { return starts_; }
@@ -70,7 +70,7 @@
   int polls_answered() const { return polls_answered_; }
   /// Users told of a cancel between these moments, s of simulated time, while tasks of their jobs were on
   /// machines.
-  int cancels_told(double from, double to) const;
+  int confirmed_cancellations(double from, double to) const;
   /// Answers to close questions, and refusals of what has to be refused.
   int concurrent_reads() const { return concurrent_reads_; }
   int invalid_refused() const { return invalid_refused_; }
@@ -80,12 +80,12 @@
   /// Jobs with tasks on machines that run and that nobody has called off, and where those are.
   std::map<std::string, std::vector<std::string>> running_jobs() const;
   /// For finding work that waits: accepted, not told to be over, and not all of it on machines.
-  struct Open {
-    const Work* work;
-    int waiting;
+  struct WaitingJob {
+    const SimulatedJob* job;
+    int waiting_tasks;
   };
-  std::vector<Open> open(JobRegistry& registry) const;
-  const Resources& in_use(const std::string& team) const;
+  std::vector<WaitingJob> waiting_jobs(JobRegistry& registry) const;
+  const Resources& team_usage(const std::string& team) const;
 
  private:
   struct Place {
@@ -106,7 +106,7 @@
   std::vector<double> cancels_of_running_;  // when users were told
   void broke(const char* rule, const std::string& what);
   void record_answer(Job& job, const std::string& id, int status, const std::string& phase, double asked_at);
-  std::map<std::string, Share> shares(std::string JobSpec::*name) const;
+  std::map<std::string, JobStatistics> shares(std::string JobSpec::*name) const;
   std::vector<Team> teams_;
   double cancel_s_;
   std::function<double()> now_;
--- /dev/null
+++ b/src/simulation/machine_facts.h
@@ -0,0 +1,16 @@
+// A machine as the cloud provided it.
+#pragma once
+#include <string>
+
+#include "model.h"
+
+namespace corkmux::simulation {
+
+struct MachineFacts {
+  std::string name;
+  MachineType type;
+  std::string zone;
+  bool spot = false;
+};
+
+}  // namespace corkmux::simulation
--- a/src/simulation/users.h
+++ b/src/simulation/users.h
@@ -4,6 +4,7 @@
 #include <functional>
 #include <map>
 #include <memory>
+#include <optional>
 #include <string>
 #include <vector>
 
@@ -46,11 +47,11 @@
   /// `now`: the clock of the observer, s.
   Users(Loop& loop, const std::map<std::string, std::string>& controllers, UserObserver& observer,
         JobRegistry& registry, std::function<double()> now = steady_now);
-  /// Submits it now; `cancel_after_s` from then: negative: never.
-  void submit(Work work, double cancel_after_s);
-  void ask_about(const std::string& job);
+  /// Submits it now; `cancel_after_s` from then: none: never.
+  void submit(SimulatedJob work, std::optional<double> cancel_after_s);
+  void poll_once(const std::string& job);
   /// Polls come so many times as often from now on.
-  void ask_more(double factor);
+  void scale_poll_rate(double factor);
   /// Until then, s of the steady clock: questions at every controller within milliseconds, and repeats, right
   /// after a job was accepted, ended or confirmed as cancelled; some cancel at once.
   void read_concurrently_until(double time) { concurrent_reads_until_ = time; }
@@ -59,9 +60,9 @@
   /// Until then: that share of the jobs that end is called off at that moment.
   void cancel_at_end_until(double time, double share) { cancel_end_until_ = time, cancel_end_share_ = share; }
   /// The last task of the job has ended just now.
-  void ended(const std::string& id);
+  void job_ended(const std::string& id);
   /// Their users call these off within a moment.
-  void cancel_now(const std::vector<std::string>& jobs);
+  void cancel_soon(const std::vector<std::string>& jobs);
 
  private:
   void try_submit(const std::string& id, double until);
