--- a/src/controller/worker_endpoint.cc
+++ b/src/controller/worker_endpoint.cc
@@ -144,8 +144,7 @@
   routes_.leader.tell(
       [heartbeat = std::move(heartbeat), reply = std::move(reply), route](Leader& leader) mutable {
         leader.heartbeat(std::move(heartbeat), route, [reply = std::move(reply)](HeartbeatReply answer) {
-          bool answered = answer.status == HeartbeatReply::Status::Answered;
-          reply(answered ? LeaderReply::answered(std::move(answer.commands)) : LeaderReply::unavailable());
+          reply(to_leader_reply(std::move(answer)));
         });
       });
 }
--- a/src/heartbeat_fanin/command_delivery.cc
+++ b/src/heartbeat_fanin/command_delivery.cc
@@ -17,7 +17,7 @@
         .request("POST", codec::kCommandsPath, commands.body, constants::kCommandTimeout,
                  [this, id = commands.id](http::Result result) {
                    --in_flight_;
-                   outcome_({id, result.status, result.sent, std::move(result.body)});
+                   outcome_({id, WorkerReply::from_http(std::move(result))});
                  });
   }
   return true;
--- a/src/heartbeat_fanin/fanin_messages.cc
+++ b/src/heartbeat_fanin/fanin_messages.cc
@@ -12,6 +12,7 @@
 struct MalformedEntry {};
 
 constexpr std::uint64_t kHighestStatus = 599;  // of HTTP
+constexpr int kFullHeartbeatRequired = 428;    // the status that stands for FullHeartbeatRequired
 
 std::uint64_t number(const Json& entry, std::size_t at) {
   if (!entry.at(at).is_number_unsigned()) throw MalformedEntry();
@@ -36,33 +37,39 @@
 }
 
 Json heartbeat_to_json(const ForwardedHeartbeat& heartbeat) {
-  if (!heartbeat.body.empty()) return {heartbeat.id, heartbeat.body};
-  return {heartbeat.id, heartbeat.machine, heartbeat.worker_epoch, heartbeat.same_as, heartbeat.number};
+  if (const auto* full = std::get_if<FullHeartbeat>(&heartbeat.heartbeat)) return {heartbeat.id, full->body};
+  const auto& delta = std::get<HeartbeatDelta>(heartbeat.heartbeat);
+  return {heartbeat.id, delta.machine, delta.worker_epoch, delta.same_as, delta.number};
 }
 
 ForwardedHeartbeat heartbeat_from(const Json& entry) {
-  ForwardedHeartbeat out;
-  out.id = number(entry, 0);
-  if (entry.size() == 2) {
-    out.body = text(entry, 1);
-    if (out.body.empty()) throw MalformedEntry();
-    return out;
-  }
-  out.machine = name(entry, 1);
-  out.worker_epoch = number(entry, 2);
-  out.same_as = number(entry, 3);
-  out.number = number(entry, 4);
-  return out;
+  auto id = number(entry, 0);
+  bool is_full = entry.size() == 2;
+  if (!is_full)
+    return {id, HeartbeatDelta{name(entry, 1), number(entry, 2), number(entry, 3), number(entry, 4)}};
+  const auto& body = text(entry, 1);
+  if (body.empty()) throw MalformedEntry();
+  return {id, FullHeartbeat{body}};
 }
 
 CommandOutcome outcome_from(const Json& entry) {
-  CommandOutcome out;
-  out.id = number(entry, 0);
-  out.status = status(entry, 1);
   if (!entry.at(2).is_boolean()) throw MalformedEntry();
-  out.sent = entry.at(2).get<bool>();
-  out.body = text(entry, 3);
-  return out;
+  bool sent = entry.at(2).get<bool>();
+  return {number(entry, 0), WorkerReply::from_wire(status(entry, 1), sent, text(entry, 3))};
+}
+
+Json answer_to_json(const HeartbeatAnswer& answer) {
+  if (const auto* reply = std::get_if<LeaderReply>(&answer.content))
+    return {answer.id, reply->wire_status(), reply->body()};
+  return {answer.id, kFullHeartbeatRequired, ""};
+}
+
+HeartbeatAnswer answer_from(const Json& entry) {
+  auto id = number(entry, 0);
+  int said = status(entry, 1);
+  const auto& body = text(entry, 2);
+  if (said == kFullHeartbeatRequired) return {id, FullHeartbeatRequired()};
+  return {id, LeaderReply::from_wire(said, body)};
 }
 
 ForwardedCommands commands_from(const Json& entry) {
@@ -105,14 +112,15 @@
   for (const auto& heartbeat : batch.heartbeats) heartbeats.push_back(heartbeat_to_json(heartbeat));
   Json outcomes = Json::array();
   for (const auto& outcome : batch.outcomes)
-    outcomes.push_back({outcome.id, outcome.status, outcome.sent, outcome.body});
+    outcomes.push_back(
+        {outcome.id, outcome.reply.wire_status(), outcome.reply.wire_sent(), outcome.reply.body()});
   return codec::pack(
       {{"from", batch.from}, {"reports", std::move(heartbeats)}, {"outcomes", std::move(outcomes)}});
 }
 
 std::string pack(const std::vector<HeartbeatAnswer>& answers) {
   Json out = Json::array();
-  for (const auto& answer : answers) out.push_back({answer.id, answer.status, answer.body});
+  for (const auto& answer : answers) out.push_back(answer_to_json(answer));
   return codec::pack(out);
 }
 
@@ -147,7 +155,7 @@
   if (!message || !message->is_array()) return std::nullopt;
   std::vector<HeartbeatAnswer> out;
   for (const auto& entry : *message) try {
-      out.push_back({number(entry, 0), status(entry, 1), text(entry, 2)});
+      out.push_back(answer_from(entry));
     } catch (const MalformedEntry&) {
     } catch (const Json::exception&) {
     }
@@ -155,9 +163,11 @@
 }
 
 std::size_t size_of(const ForwardedHeartbeat& heartbeat) {
-  return kEntryFrame + heartbeat.body.size() + heartbeat.machine.size();
+  if (const auto* full = std::get_if<FullHeartbeat>(&heartbeat.heartbeat))
+    return kEntryFrame + full->body.size();
+  return kEntryFrame + std::get<HeartbeatDelta>(heartbeat.heartbeat).machine.size();
 }
-std::size_t size_of(const CommandOutcome& outcome) { return kEntryFrame + outcome.body.size(); }
+std::size_t size_of(const CommandOutcome& outcome) { return kEntryFrame + outcome.reply.body().size(); }
 std::size_t size_of(const ForwardedCommands& commands) {
   return kEntryFrame + commands.machine.size() + commands.address.size() + commands.body.size();
 }
--- a/src/heartbeat_fanin/fanin_messages.h
+++ b/src/heartbeat_fanin/fanin_messages.h
@@ -6,30 +6,38 @@
 #include <optional>
 #include <string>
 #include <string_view>
+#include <variant>
 #include <vector>
 
 #include "codec.h"
+#include "leader_reply.h"
+#include "worker_reply.h"
 
 namespace corkmux::fanin {
 
-/// A worker's heartbeat: full, with its body as the worker sent it; or a delta, if nothing but its number has
-/// changed since the heartbeat `same_as`, which the leader has answered.
-struct ForwardedHeartbeat {
-  std::uint64_t id = 0;  // names it in the answer
-  std::string body;      // of a full one; empty: a delta
-  // Of a delta:
+/// A heartbeat as the worker sent it.
+struct FullHeartbeat {
+  std::string body;
+};
+
+/// A heartbeat that repeats but for its number the heartbeat `same_as`, which the leader has answered.
+struct HeartbeatDelta {
   std::string machine;
   std::uint64_t worker_epoch = 0;
   std::uint64_t same_as = 0;
   std::uint64_t number = 0;
 };
 
+/// A worker's heartbeat on its way to the leader.
+struct ForwardedHeartbeat {
+  std::uint64_t id = 0;  // names it in the answer
+  std::variant<FullHeartbeat, HeartbeatDelta> heartbeat;
+};
+
 /// What became of commands that the leader sent through a fan-in member.
 struct CommandOutcome {
-  std::uint64_t id = 0;  // the leader's name for them
-  int status = 0;        // HTTP status of the worker's answer; 0: none
-  bool sent = true;      // false: they surely never left the fan-in member
-  std::string body;      // the worker's heartbeat
+  std::uint64_t id;  // the leader's name for them
+  WorkerReply reply;
 };
 
 struct HeartbeatBatch {
@@ -38,14 +46,13 @@
   std::vector<CommandOutcome> outcomes;
 };
 
-/// The status of an answer to a delta that the leader cannot complete: the heartbeat is sent in full then.
-inline constexpr int kFullHeartbeatRequired = 428;
+/// The leader cannot complete the delta: the heartbeat is sent in full then.
+struct FullHeartbeatRequired {};
 
 /// The leader's answer to one heartbeat of a batch.
 struct HeartbeatAnswer {
-  std::uint64_t id = 0;
-  int status = 0;  // HTTP status, or kFullHeartbeatRequired
-  std::string body;
+  std::uint64_t id;
+  std::variant<LeaderReply, FullHeartbeatRequired> content;
 };
 
 /// Commands to one worker.
--- a/src/heartbeat_fanin/heartbeat_forwarder.cc
+++ b/src/heartbeat_fanin/heartbeat_forwarder.cc
@@ -2,6 +2,7 @@
 
 #include <iterator>
 #include <memory>
+#include <ranges>
 
 #include "constants.h"
 #include "heartbeat_fanin_constants.h"
@@ -76,17 +77,9 @@
 
 ForwardedHeartbeat HeartbeatForwarder::next_entry(const Waiting& waiting) const {
   const Heartbeat& heartbeat = waiting.heartbeat;
-  ForwardedHeartbeat entry;
-  entry.id = next_id_;
-  if (waiting.needs_full || !repeats_confirmed(heartbeat)) {
-    entry.body = waiting.body;
-    return entry;
-  }
-  entry.machine = heartbeat.machine;
-  entry.worker_epoch = heartbeat.worker_epoch;
-  entry.same_as = confirmed_.at(heartbeat.machine).heartbeat.seq;
-  entry.number = heartbeat.seq;
-  return entry;
+  if (waiting.needs_full || !repeats_confirmed(heartbeat)) return {next_id_, FullHeartbeat{waiting.body}};
+  auto same_as = confirmed_.at(heartbeat.machine).heartbeat.seq;
+  return {next_id_, HeartbeatDelta{heartbeat.machine, heartbeat.worker_epoch, same_as, heartbeat.seq}};
 }
 
 HeartbeatBatch HeartbeatForwarder::next_batch(Sent& sent) {
@@ -141,19 +134,19 @@
 }
 
 void HeartbeatForwarder::take_answer(Waiting waiting, const HeartbeatAnswer& answer) {
-  if (answer.status == kFullHeartbeatRequired) {
+  const auto* reply = std::get_if<LeaderReply>(&answer.content);
+  if (!reply) {
     waiting.needs_full = true;
     confirmed_.erase(waiting.heartbeat.machine);
     put_back(std::move(waiting));
     return schedule(0);
   }
-  auto reply = LeaderReply::from_wire(answer.status, answer.body);
-  if (reply.is_answered() && waiting.needs_full) confirm(waiting.heartbeat);
-  waiting.reply(std::move(reply));
+  if (reply->is_answered() && waiting.needs_full) confirm(waiting.heartbeat);
+  waiting.reply(*reply);
 }
 
 void HeartbeatForwarder::try_again(Sent sent) {
-  for (auto entry = sent.rbegin(); entry != sent.rend(); ++entry) put_back(std::move(entry->second));
+  for (auto& [id, waiting] : std::views::reverse(sent)) put_back(std::move(waiting));
   schedule(constants::kRetryPause);
 }
 
--- a/src/leader/command_dispatcher.cc
+++ b/src/leader/command_dispatcher.cc
@@ -15,11 +15,18 @@
   return parsed ? codec::parse_heartbeat(*parsed) : std::nullopt;
 }
 
-/// What a worker's HTTP status says; `sent`: whether the request may have left this process.
-Outcome outcome_of(int status, bool sent) {
-  if (status == 200) return Outcome::Executed;
-  if (status == 409) return Outcome::Refused;
-  return sent ? Outcome::Unanswered : Outcome::Unsent;
+Outcome outcome_of(const WorkerReply& reply) {
+  switch (reply.kind()) {
+    case WorkerReply::Kind::Executed:
+      return Outcome::Executed;
+    case WorkerReply::Kind::Refused:
+      return Outcome::Refused;
+    case WorkerReply::Kind::Unsent:
+      return Outcome::Unsent;
+    case WorkerReply::Kind::Unanswered:
+      break;
+  }
+  return Outcome::Unanswered;
 }
 
 }  // namespace
@@ -55,7 +62,8 @@
   ++in_flight_;
   auto answered = [this, machine, commands = std::move(commands)](const http::Result& result) {
     --in_flight_;
-    settle(machine, commands, outcome_of(result.status, result.sent), result.body);
+    auto reply = WorkerReply::from_http(result);
+    settle(machine, commands, outcome_of(reply), reply.body());
   };
   connections_.to(machine, scheduler_.machine(machine)->address)
       .request("POST", codec::kCommandsPath, std::move(body), c::kCommandTimeout,
@@ -126,7 +134,7 @@
 }
 
 void CommandDispatcher::outcome(const fanin::CommandOutcome& outcome) {
-  settle_relayed(outcome.id, outcome_of(outcome.status, outcome.sent), outcome.body);
+  settle_relayed(outcome.id, outcome_of(outcome.reply), outcome.reply.body());
 }
 
 /// Guards against an outcome that comes twice, late, or for a former term: its commands are settled already.
--- a/src/leader/heartbeat_delta_cache.cc
+++ b/src/leader/heartbeat_delta_cache.cc
@@ -4,8 +4,9 @@
 
 namespace corkmux {
 
-std::variant<Heartbeat, HeartbeatDeltaCache::Error> HeartbeatDeltaCache::remember(const std::string& body) {
-  auto parsed = codec::unpack(body);
+std::variant<Heartbeat, HeartbeatDeltaCache::Error> HeartbeatDeltaCache::remember(
+    const fanin::FullHeartbeat& full) {
+  auto parsed = codec::unpack(full.body);
   auto heartbeat = parsed ? codec::parse_heartbeat(*parsed) : std::nullopt;
   if (!heartbeat) return Error::Malformed;
   last_full_[heartbeat->machine] = *heartbeat;
@@ -14,20 +15,25 @@
 
 std::variant<Heartbeat, HeartbeatDeltaCache::Error> HeartbeatDeltaCache::complete(
     const fanin::ForwardedHeartbeat& forwarded) {
-  if (!forwarded.body.empty()) return remember(forwarded.body);
-  auto last = last_full_.find(forwarded.machine);
+  if (const auto* full = std::get_if<fanin::FullHeartbeat>(&forwarded.heartbeat)) return remember(*full);
+  return apply(std::get<fanin::HeartbeatDelta>(forwarded.heartbeat));
+}
+
+std::variant<Heartbeat, HeartbeatDeltaCache::Error> HeartbeatDeltaCache::apply(
+    const fanin::HeartbeatDelta& delta) const {
+  auto last = last_full_.find(delta.machine);
   if (last == last_full_.end()) return Error::FullHeartbeatRequired;
   const Heartbeat& full = last->second;
-  bool repeats = full.worker_epoch == forwarded.worker_epoch && full.seq == forwarded.same_as &&
-                 forwarded.number > forwarded.same_as;
+  bool repeats =
+      full.worker_epoch == delta.worker_epoch && full.seq == delta.same_as && delta.number > delta.same_as;
   if (!repeats) return Error::FullHeartbeatRequired;
   Heartbeat heartbeat = full;
-  heartbeat.seq = forwarded.number;
+  heartbeat.seq = delta.number;
   return heartbeat;
 }
 
 void HeartbeatDeltaCache::forget_unknown_machines(const Scheduler& scheduler) {
-  std::erase_if(last_full_, [&](const auto& known) { return !scheduler.machines().count(known.first); });
+  std::erase_if(last_full_, [&](const auto& known) { return !scheduler.machines().contains(known.first); });
 }
 
 }  // namespace corkmux
--- a/src/leader/heartbeat_delta_cache.h
+++ b/src/leader/heartbeat_delta_cache.h
@@ -28,7 +28,8 @@
   void forget_unknown_machines(const Scheduler& scheduler);
 
  private:
-  std::variant<Heartbeat, Error> remember(const std::string& body);
+  std::variant<Heartbeat, Error> remember(const fanin::FullHeartbeat& full);
+  std::variant<Heartbeat, Error> apply(const fanin::HeartbeatDelta& delta) const;
 
   std::unordered_map<std::string, Heartbeat> last_full_;  // by machine
 };
--- a/src/leader/incoming_heartbeat.h
+++ b/src/leader/incoming_heartbeat.h
@@ -5,7 +5,9 @@
 #pragma once
 #include <functional>
 #include <string>
+#include <utility>
 
+#include "leader_reply.h"
 #include "model.h"
 
 namespace corkmux {
@@ -20,6 +22,12 @@
   std::string commands;  // of an answered heartbeat: fencing token and task commands, in their wire form
 };
 
+/// The reply in the form that passes between controllers.
+inline LeaderReply to_leader_reply(HeartbeatReply reply) {
+  bool answered = reply.status == HeartbeatReply::Status::Answered;
+  return answered ? LeaderReply::answered(std::move(reply.commands)) : LeaderReply::unavailable();
+}
+
 /// Takes the reply to one heartbeat; called once.
 using HeartbeatCallback = std::function<void(HeartbeatReply)>;
 
--- a/src/leader/leader_heartbeats.cc
+++ b/src/leader/leader_heartbeats.cc
@@ -4,13 +4,6 @@
 #include "leader.h"
 
 namespace corkmux {
-namespace {
-
-constexpr int kAnswered = 200;  // the statuses of answers in a batch are HTTP's
-constexpr int kMalformed = 400;
-constexpr int kUnavailable = 503;
-
-}  // namespace
 
 /// While one exists, react() does nothing: what follows from many heartbeats is done once, at their end.
 class Leader::DeferredReaction {
@@ -90,8 +83,8 @@
   std::size_t open = 1;
   std::vector<fanin::HeartbeatAnswer> answers;
 
-  void answer(std::uint64_t id, int status, std::string body) {
-    answers.push_back({id, status, std::move(body)});
+  void answer(fanin::HeartbeatAnswer answer) {
+    answers.push_back(std::move(answer));
     close_one();
   }
   void close_one() {
@@ -118,15 +111,15 @@
 
 void Leader::take_forwarded(const fanin::ForwardedHeartbeat& forwarded, const std::string& server,
                             const std::shared_ptr<OpenBatch>& open) {
-  if (!leadership_) return open->answer(forwarded.id, kUnavailable, "");
+  if (!leadership_) return open->answer({forwarded.id, LeaderReply::unavailable()});
   auto completed = leadership_->heartbeat_deltas.complete(forwarded);
   if (auto* error = std::get_if<HeartbeatDeltaCache::Error>(&completed)) {
-    bool malformed = *error == HeartbeatDeltaCache::Error::Malformed;
-    return open->answer(forwarded.id, malformed ? kMalformed : fanin::kFullHeartbeatRequired, "");
+    if (*error == HeartbeatDeltaCache::Error::Malformed)
+      return open->answer({forwarded.id, LeaderReply::malformed()});
+    return open->answer({forwarded.id, fanin::FullHeartbeatRequired()});
   }
   auto answer = [open, id = forwarded.id](HeartbeatReply reply) {
-    bool answered = reply.status == HeartbeatReply::Status::Answered;
-    open->answer(id, answered ? kAnswered : kUnavailable, std::move(reply.commands));
+    open->answer({id, to_leader_reply(std::move(reply))});
   };
   take({std::get<Heartbeat>(std::move(completed)), HeartbeatRoute::Direct, server, std::move(answer)});
 }
