--- a/src/common/store_keys.h
+++ b/src/common/store_keys.h
@@ -1,5 +1,6 @@
 // The keys under which controllers keep their state in the state store. The spelling is stored data and never
-// changes.
+// changes. Stands below src/state_store since the scheduler, which knows nothing of the store's client,
+// encodes its task records under these keys.
 #pragma once
 #include <string>
 
--- a/src/controller/cancel_gossip.cc
+++ b/src/controller/cancel_gossip.cc
@@ -73,7 +73,7 @@
   for (const auto& job : jobs) {
     if (heard_.size() < limit_)
       heard_.emplace(job, steady_now());
-    else if (!heard_.count(job))
+    else if (!heard_.contains(job))
       all = false;
   }
   return all;
--- a/src/controller/dependency_barrier_reader.cc
+++ b/src/controller/dependency_barrier_reader.cc
@@ -1,8 +1,8 @@
 #include "dependency_barrier_reader.h"
 
+#include "dependency_barrier_record.h"
 #include "scheduler_constants.h"
 #include "store_keys.h"
-#include "stored_job_record.h"
 
 namespace corkmux {
 
--- a/src/controller/fanin_membership.cc
+++ b/src/controller/fanin_membership.cc
@@ -22,7 +22,7 @@
   if (std::tie(heard.term, heard.number) <= std::tie(newest_.term, newest_.number)) return;
   newest_ = {heard.term, heard.number, {}};
   std::copy_if(heard.labels.begin(), heard.labels.end(), std::back_inserter(newest_.labels),
-               [this](const std::string& label) { return controllers_.count(label) > 0; });
+               [this](const std::string& label) { return controllers_.contains(label); });
   changed_(newest_.labels);
 }
 
--- a/src/controller/job_admission.cc
+++ b/src/controller/job_admission.cc
@@ -5,15 +5,24 @@
 #include "controller_constants.h"
 
 namespace corkmux {
+namespace {
+
+/// Whether machines of the type may be in the zone; a type that names no zones may be in all.
+bool offered_in(const MachineType& type, const std::string& zone) {
+  return type.zones.empty() || std::find(type.zones.begin(), type.zones.end(), zone) != type.zones.end();
+}
+
+bool fits(const JobSpec& job, const MachineType& type) {
+  if (!job.allows_type(type.name)) return false;
+  if (job.zone && !offered_in(type, *job.zone)) return false;
+  return job.need.fits(type.size);
+}
+
+}  // namespace
 
 bool JobAdmission::fits_some_type(const JobSpec& job) const {
-  for (const auto& type : catalog_.types()) {
-    if (!job.allows_type(type.name)) continue;
-    bool other_zones = job.zone && !type.zones.empty() &&
-                       std::find(type.zones.begin(), type.zones.end(), *job.zone) == type.zones.end();
-    if (!other_zones && job.need.fits(type.size)) return true;
-  }
-  return false;
+  const auto& types = catalog_.types();
+  return std::any_of(types.begin(), types.end(), [&](const MachineType& type) { return fits(job, type); });
 }
 
 std::optional<AdmissionError> JobAdmission::check(const JobSpec& job) const {
--- a/src/controller/job_reader.h
+++ b/src/controller/job_reader.h
@@ -7,9 +7,9 @@
 #include <string>
 
 #include "job_admission.h"
+#include "job_record.h"
 #include "job_status_cache.h"
 #include "state_client.h"
-#include "stored_job_record.h"
 
 namespace corkmux {
 
--- a/src/controller/job_status_cache.h
+++ b/src/controller/job_status_cache.h
@@ -10,7 +10,7 @@
 #include <unordered_set>
 
 #include "codec.h"
-#include "stored_job_record.h"
+#include "job_record.h"
 
 namespace corkmux {
 
@@ -37,9 +37,9 @@
   /// Its acceptance stands in the state store, for good.
   void note_accepted(const std::string& job);
 
-  bool ended(const std::string& job) const { return ends_.count(job) > 0; }
+  bool ended(const std::string& job) const { return ends_.contains(job); }
   /// Whether it is known without a look into the state store that the job was accepted.
-  bool known_accepted(const std::string& job) const { return accepted_.count(job) > 0 || ended(job); }
+  bool known_accepted(const std::string& job) const { return accepted_.contains(job) || ended(job); }
   /// A job that the store says is in this phase, with what is known of its tasks.
   codec::JobView display(const std::string& job, const std::string& phase) const;
   /// A job whose end is known; not called for others.
--- a/src/controller/job_writer.cc
+++ b/src/controller/job_writer.cc
@@ -1,7 +1,7 @@
 #include "job_writer.h"
 
+#include "job_record.h"
 #include "store_keys.h"
-#include "stored_job_record.h"
 
 namespace corkmux {
 namespace {
@@ -64,7 +64,8 @@
   for (std::size_t at = 0; at < text.size(); at += piece_size) {
     std::string key = kJobs + job->id + "/" + std::to_string(pieces++);
     bool has_room = static_cast<int>(writes.size()) < settings_.next.txn_ops;
-    if (has_room && !stored.count(key)) writes.push_back({key, piece_record(text.substr(at, piece_size)), 0});
+    if (has_room && !stored.contains(key))
+      writes.push_back({key, job_piece_to_json(text.substr(at, piece_size)), 0});
   }
   bool last = writes.empty();
   if (last) writes.push_back({kJobs + job->id, StoredJobRecord::for_new_job_in_pieces(pieces).json(), 0});
--- a/src/controller/lease_proxy.cc
+++ b/src/controller/lease_proxy.cc
@@ -20,14 +20,14 @@
 
 bool LeaseProxy::entitled(const std::string& machine) const {
   if (mutation_enabled("a keeper answers before its record is stored")) return true;
-  return written_.count(machine) && steady_now() - written_at_ < span_ - constants::kProofMargin;
+  return written_.contains(machine) && steady_now() - written_at_ < span_ - constants::kProofMargin;
 }
 
 // ---------------------------------------------------------------- messages
 
 void LeaseProxy::renew(Heartbeat heartbeat, ReplyCallback reply) {
   const std::string& machine = heartbeat.machine;
-  if (!seen_.count(machine)) {
+  if (!seen_.contains(machine)) {
     // Guards against a record beyond the store's limit; what counts is the names' own length, so that one
     // controller holds a whole zone.
     auto bytes = LeaseProxyRecords::bytes_of(machine);
--- a/src/controller/lease_proxy_records.cc
+++ b/src/controller/lease_proxy_records.cc
@@ -31,7 +31,8 @@
         bool ours = record.key == key_ || record.key.rfind(key_ + "/", 0) == 0;
         if (!ours) return;  // another's, whose name begins as ours
         found->revisions[record.key] = record.revision;
-        for (auto& machine : machines_in(record.value)) found->machines.insert(std::move(machine));
+        for (auto& machine : parse_lease_proxy_record(record.value).machines)
+          found->machines.insert(std::move(machine));
       },
       [this, found, done = std::move(done)](const ReadEnd& end) {
         if (!end.ok()) return done(std::nullopt);
--- a/src/controller/peer_exchange.cc
+++ b/src/controller/peer_exchange.cc
@@ -221,7 +221,7 @@
   auto parsed = fanin::parse_heartbeats(body);
   if (!parsed) return refuse(caller, "not a heartbeat batch");
   auto& batch = parsed->message;
-  if (!peers_.count(batch.from)) return refuse(caller, "heartbeat batch of an unknown controller");
+  if (!peers_.contains(batch.from)) return refuse(caller, "heartbeat batch of an unknown controller");
   if (parsed->malformed)
     spdlog::warn("heartbeat batch of {} has malformed entries: ignored={}", batch.from, parsed->malformed);
   if (leader_ != label_) return respond(caller, 503);
@@ -235,7 +235,7 @@
   auto parsed = fanin::parse_commands(body);
   if (!parsed) return refuse(caller, "not a command batch");
   const auto& batch = parsed->message;
-  if (!peers_.count(batch.from)) return refuse(caller, "command batch of an unknown controller");
+  if (!peers_.contains(batch.from)) return refuse(caller, "command batch of an unknown controller");
   if (parsed->malformed)
     spdlog::warn("command batch of {} has malformed entries: ignored={}", batch.from, parsed->malformed);
   respond(caller, callbacks_.commands(batch) ? 200 : 503);
--- a/src/controller/relay_record.cc
+++ b/src/controller/relay_record.cc
@@ -5,41 +5,40 @@
 
 using codec::Json;
 
+constexpr std::size_t kSeparator = 1;  // bytes between items of a record
+
 std::optional<std::uint64_t> id_in(const Json& item, const char* field) {
   auto id = item.find(field);
   if (id == item.end() || !id->is_number_unsigned()) return std::nullopt;
   return id->get<std::uint64_t>();
 }
 
-std::optional<ReceivedRelayItem> item_from(const Json& item) {
+RelayedRequest request_from(std::uint64_t id, const Json& item) {
+  auto compact = item.find("r");
+  if (compact != item.end()) return {id, RelayForm::Compact, codec::pack(codec::expand_heartbeat(*compact))};
+  return {id, RelayForm::Full, codec::pack(item.value("b", Json()))};
+}
+
+RelayedAnswer answer_from(std::uint64_t id, const Json& item) {
+  int status = item.value("s", 0);
+  auto compact = item.find("r");
+  Json body = compact != item.end() ? codec::expand_answer(*compact) : item.value("b", Json());
+  return {id, LeaderReply::from_wire(status, body.is_null() ? "" : codec::pack(body))};
+}
+
+std::optional<std::variant<RelayedRequest, RelayedAnswer>> item_from(const Json& item) {
   if (!item.is_object()) return std::nullopt;
-  ReceivedRelayItem out;
-  if (auto request = id_in(item, "q")) {
-    out.kind = ReceivedRelayItem::Kind::Request;
-    out.id = *request;
-  } else if (auto answer = id_in(item, "a")) {
-    out.kind = ReceivedRelayItem::Kind::Answer;
-    out.id = *answer;
-    out.status = item.value("s", 0);
-  } else {
-    return std::nullopt;
-  }
-  bool is_request = out.kind == ReceivedRelayItem::Kind::Request;
-  Json body;
-  if (auto compact = item.find("r"); compact != item.end()) {
-    out.form = RelayForm::Compact;
-    body = is_request ? codec::expand_heartbeat(*compact) : codec::expand_answer(*compact);
-  } else {
-    body = item.value("b", Json());
-  }
-  if (is_request || !body.is_null()) out.body = codec::pack(body);
-  return out;
+  if (auto request = id_in(item, "q")) return request_from(*request, item);
+  if (auto answer = id_in(item, "a")) return answer_from(*answer, item);
+  return std::nullopt;
 }
 
 }  // namespace
 
-std::optional<RelayItem> encode_relay_request(std::uint64_t id, const std::string& heartbeat,
-                                              RelayForm form) {
+RelayItem::RelayItem(std::optional<std::uint64_t> request_id, Json encoded)
+    : request_id_(request_id), encoded_(std::move(encoded)), size_(encoded_.dump().size() + kSeparator) {}
+
+std::optional<RelayItem> RelayItem::request(std::uint64_t id, const std::string& heartbeat, RelayForm form) {
   auto body = codec::unpack(heartbeat);
   if (!body) return std::nullopt;
   if (form == RelayForm::Compact) {
@@ -49,7 +48,7 @@
   return RelayItem{id, Json{{"q", id}, {"b", std::move(*body)}}};
 }
 
-RelayItem encode_relay_answer(std::uint64_t id, const LeaderReply& reply, RelayForm form) {
+RelayItem RelayItem::answer(std::uint64_t id, const LeaderReply& reply, RelayForm form) {
   auto body = codec::unpack(reply.body());
   Json item = {{"a", id}, {"s", reply.wire_status()}};
   if (form == RelayForm::Compact && reply.is_answered() && body)
@@ -59,9 +58,9 @@
   return {std::nullopt, std::move(item)};
 }
 
-Json encode_relay_record(const std::string& from, const std::vector<RelayItem>& items) {
+Json relay_record_to_json(const std::string& from, const std::vector<RelayItem>& items) {
   Json list = Json::array();
-  for (const auto& item : items) list.push_back(item.encoded);
+  for (const auto& item : items) list.push_back(item.encoded_);
   return {{"f", from}, {"i", std::move(list)}};
 }
 
--- a/src/controller/relay_record.h
+++ b/src/controller/relay_record.h
@@ -1,9 +1,11 @@
 // The records by which StoreRelay passes heartbeats and their answers through the state store. The only file
 // that knows their fields.
 #pragma once
+#include <cstddef>
 #include <cstdint>
 #include <optional>
 #include <string>
+#include <variant>
 #include <vector>
 
 #include "codec.h"
@@ -14,29 +16,45 @@
 /// The short form of a heartbeat or answer, which a former version does not read.
 enum class RelayForm { Full, Compact };
 
-/// A request or an answer as it stands in a record.
-struct RelayItem {
-  std::optional<std::uint64_t> request;  // id, where it is a request
-  codec::Json encoded;
+/// A request or an answer, encoded for a record.
+class RelayItem {
+ public:
+  /// A heartbeat to the leader. No value: it is not MessagePack.
+  static std::optional<RelayItem> request(std::uint64_t id, const std::string& heartbeat, RelayForm form);
+  /// The answer to a request, in the form that the request came in.
+  static RelayItem answer(std::uint64_t id, const LeaderReply& reply, RelayForm form);
+
+  /// The id of a request; no value: it is an answer.
+  std::optional<std::uint64_t> request_id() const { return request_id_; }
+  /// Bytes that it takes in a record.
+  std::size_t size() const { return size_; }
+
+ private:
+  friend codec::Json relay_record_to_json(const std::string& from, const std::vector<RelayItem>& items);
+  RelayItem(std::optional<std::uint64_t> request_id, codec::Json encoded);
+
+  std::optional<std::uint64_t> request_id_;
+  codec::Json encoded_;
+  std::size_t size_;
 };
 
-/// No value: the heartbeat is not MessagePack.
-std::optional<RelayItem> encode_relay_request(std::uint64_t id, const std::string& heartbeat, RelayForm form);
-RelayItem encode_relay_answer(std::uint64_t id, const LeaderReply& reply, RelayForm form);
-codec::Json encode_relay_record(const std::string& from, const std::vector<RelayItem>& items);
+/// The stored form of the items that the controller `from` writes together.
+codec::Json relay_record_to_json(const std::string& from, const std::vector<RelayItem>& items);
 
-struct ReceivedRelayItem {
-  enum class Kind { Request, Answer };
-  Kind kind = Kind::Request;
+struct RelayedRequest {
   std::uint64_t id = 0;
-  RelayForm form = RelayForm::Full;  // a request is answered in the form that it came in
-  int status = 0;                    // of an answer
-  std::string body;                  // a heartbeat, or what the leader said to it, in its wire form
+  RelayForm form = RelayForm::Full;
+  std::string heartbeat;  // in its wire form
+};
+
+struct RelayedAnswer {
+  std::uint64_t id = 0;  // of the request
+  LeaderReply reply;
 };
 
 struct RelayRecord {
   std::string from;  // label of the controller that wrote it
-  std::vector<ReceivedRelayItem> items;
+  std::vector<std::variant<RelayedRequest, RelayedAnswer>> items;
 };
 /// No value: not such a record. Items that cannot be read are passed over.
 std::optional<RelayRecord> parse_relay_record(const codec::Json& record);
--- a/src/controller/store_relay.cc
+++ b/src/controller/store_relay.cc
@@ -27,8 +27,8 @@
 // ---------------------------------------------------------------- messages
 
 void StoreRelay::request(const std::string& to, const std::string& heartbeat, LeaderReplyCallback reply) {
-  auto form = compact_readers_.count(to) ? RelayForm::Compact : RelayForm::Full;
-  auto item = encode_relay_request(last_request_ + 1, heartbeat, form);
+  auto form = compact_readers_.contains(to) ? RelayForm::Compact : RelayForm::Full;
+  auto item = RelayItem::request(last_request_ + 1, heartbeat, form);
   if (!item || pending_.size() >= constants::kStoreRelayPendingLimit) return reply(LeaderReply::unanswered());
   ++last_request_;
   pending_[last_request_] = {steady_now() + constants::kStoreRelayTimeout, std::move(reply)};
@@ -72,7 +72,7 @@
   // What waits to be sent is given up at once: its workers still have time to try elsewhere.
   for (auto& [to, outbox] : outboxes_)
     for (const auto& entry : std::exchange(outbox.entries, {})) {
-      outbox.bytes -= entry.bytes;
+      outbox.bytes -= entry.item.size();
       give_up(entry.item);
     }
   if (wanted()) retry_timer_.once(constants::kRetryPause, [this] { listen(); });
@@ -99,17 +99,17 @@
   auto record = event.value ? parse_relay_record(*event.value) : std::nullopt;
   if (!record) return;
   for (const auto& item : record->items) {
-    if (item.kind == ReceivedRelayItem::Kind::Request)
-      receive_request(record->from, item);
-    else
-      finish(item.id, LeaderReply::from_wire(item.status, item.body));
+    if (const auto* request = std::get_if<RelayedRequest>(&item))
+      receive_request(record->from, *request);
+    else if (const auto* answer = std::get_if<RelayedAnswer>(&item))
+      finish(answer->id, answer->reply);
   }
 }
 
-void StoreRelay::receive_request(const std::string& from, const ReceivedRelayItem& item) {
+void StoreRelay::receive_request(const std::string& from, const RelayedRequest& request) {
   if (!accepting_ || mutation_enabled("mail for the leader is not read")) return;
-  deliver_(item.body, [this, from, id = item.id, form = item.form](const LeaderReply& reply) {
-    send(from, encode_relay_answer(id, reply, form));
+  deliver_(request.heartbeat, [this, from, id = request.id, form = request.form](const LeaderReply& reply) {
+    send(from, RelayItem::answer(id, reply, form));
   });
 }
 
@@ -117,14 +117,14 @@
 
 void StoreRelay::send(const std::string& to, RelayItem item) {
   Outbox& outbox = outboxes_[to];
-  auto bytes = item.encoded.dump().size() + 1;
+  auto bytes = item.size();
   // Bounded: an item that no record has room for would only be refused; one that would be late only holds up
   // those behind it. Either is given up at once, its worker tries elsewhere.
   std::size_t full_records_before = outbox.bytes / record_size_;
   double wait = write_interval_ * static_cast<double>(full_records_before);
   if (bytes > record_size_ || wait > constants::kStoreRelayTimeout / 2) return give_up(item);
   outbox.bytes += bytes;
-  outbox.entries.push_back({std::move(item), bytes, steady_now()});
+  outbox.entries.push_back({std::move(item), steady_now()});
   flush(to);
 }
 
@@ -147,10 +147,10 @@
     auto& entry = outbox.entries.front();
     // Nobody waits for a late one any more.
     bool late = outbox.written_at - entry.since > constants::kStoreRelayTimeout;
-    if (!late && !items.empty() && bytes + entry.bytes > record_size_) break;
-    outbox.bytes -= entry.bytes;
+    if (!late && !items.empty() && bytes + entry.item.size() > record_size_) break;
+    outbox.bytes -= entry.item.size();
     if (!late) {
-      bytes += entry.bytes;
+      bytes += entry.item.size();
       items.push_back(std::move(entry.item));
     }
     outbox.entries.pop_front();
@@ -167,7 +167,7 @@
   outbox.writing = true;
   outbox.slot = (outbox.slot + 1) % constants::kStoreRelaySlots;
   std::string key = kStoreRelayPrefix + to + "/" + label_ + "/" + std::to_string(outbox.slot);
-  state_.transaction({}, {{key, encode_relay_record(label_, items), 0}},
+  state_.transaction({}, {{key, relay_record_to_json(label_, items), 0}},
                      [this, to, items](const StateReply& reply) { written(to, items, reply); });
 }
 
@@ -184,7 +184,7 @@
 // ---------------------------------------------------------------- ends of requests
 
 void StoreRelay::give_up(const RelayItem& item) {
-  if (item.request) finish(*item.request, LeaderReply::unanswered());
+  if (auto id = item.request_id()) finish(*id, LeaderReply::unanswered());
 }
 
 void StoreRelay::finish(std::uint64_t request, LeaderReply reply) {
--- a/src/controller/store_relay.h
+++ b/src/controller/store_relay.h
@@ -53,11 +53,10 @@
   struct Outbox {
     struct Entry {
       RelayItem item;
-      std::size_t bytes;  // as JSON
-      double since;       // s of the steady clock
+      double since;  // s of the steady clock
     };
     std::deque<Entry> entries;
-    std::size_t bytes = 0;
+    std::size_t bytes = 0;  // of all entries
     bool writing = false;
     int slot = 0;
     double written_at = kLongAgo;
@@ -73,7 +72,7 @@
   void listening_failed();
   void watch(std::uint64_t after);
   void receive(const codec::Event& event);
-  void receive_request(const std::string& from, const ReceivedRelayItem& item);
+  void receive_request(const std::string& from, const RelayedRequest& request);
 
   void send(const std::string& to, RelayItem item);
   void flush(const std::string& to);
--- a/src/controller/unfinished_jobs.cc
+++ b/src/controller/unfinished_jobs.cc
@@ -4,6 +4,7 @@
 #include <utility>
 
 #include "constants.h"
+#include "job_record.h"
 #include "store_keys.h"
 
 namespace corkmux {
@@ -49,8 +50,7 @@
 void UnfinishedJobs::take(const codec::KeyValue& record) {
   auto job = record.key.substr(kJobs.size());
   job.resize(std::min(job.size(), job.find('/')));  // a piece or mark of a job's record counts for the job
-  bool cancelled = record.value.value("c", 0) != 0;
-  (cancelled ? cancelled_ : found_).insert(std::move(job));
+  (says_cancelled(record.value) ? cancelled_ : found_).insert(std::move(job));
 }
 
 void UnfinishedJobs::read_succeeded() {
--- a/src/controller/unfinished_jobs.h
+++ b/src/controller/unfinished_jobs.h
@@ -24,7 +24,7 @@
   /// Calls back, perhaps at once, as soon as contains() says of each of these jobs whether it is unfinished.
   void look_up(std::vector<std::string> jobs, Callback done);
   /// Whether the job was unfinished and not cancelled at the last read.
-  bool contains(const std::string& job) const { return jobs_.count(job) > 0; }
+  bool contains(const std::string& job) const { return jobs_.contains(job); }
 
  private:
   using Names = std::unordered_set<std::string>;
--- a/src/controller/user_api.cc
+++ b/src/controller/user_api.cc
@@ -158,7 +158,7 @@
     codec::Write mark{kJobs + job, found.record.json(), 0};
     // What the first version stored may be over a limit that has fallen since: then the cancel gets a key of
     // its own.
-    if (place == MarkPlace::BesideRecord) mark = {kJobs + job + "/c", cancel_mark_record(), 0};
+    if (place == MarkPlace::BesideRecord) mark = {kJobs + job + "/c", cancel_mark_to_json(), 0};
     state_.transaction({{kJobs + job, found.revision}, {kFinals + job, 0}},
                        {std::move(mark),
                         {kFinals + job, to_json(JobOutcomeRecord{job_phase::kCancelled, 0, wall_now()}), 0}},
--- a/src/kube/api_changes.cc
+++ b/src/kube/api_changes.cc
@@ -6,10 +6,10 @@
 
 #include "api.h"
 #include "codec.h"
+#include "job_record.h"
 #include "job_translation.h"
 #include "kube_constants.h"
 #include "store_keys.h"
-#include "stored_job_record.h"
 
 namespace corkmux::kube {
 namespace c = constants;
--- a/src/leader/dependency_barrier_publisher.cc
+++ b/src/leader/dependency_barrier_publisher.cc
@@ -1,5 +1,6 @@
 #include "dependency_barrier_publisher.h"
 
+#include "dependency_barrier_record.h"
 #include "store_keys.h"
 
 namespace corkmux {
@@ -27,9 +28,8 @@
   double now = steady_now();
   if (now - written_at_ < write_interval_s_) return;
   written_at_ = now;
-  codec::Json record{{"t", wall_now() - (now - barrier_at)}};
-  state_.transaction({{kLeaderKey, term_.revision}}, {{kDependencyBarrierKey, std::move(record), 0}},
-                     [](StateReply) {});
+  state_.transaction({{kLeaderKey, term_.revision}},
+                     {{kDependencyBarrierKey, dependency_barrier_to_json(barrier_at), 0}}, [](StateReply) {});
 }
 
 }  // namespace corkmux
--- a/src/leader/job_watcher.cc
+++ b/src/leader/job_watcher.cc
@@ -56,7 +56,7 @@
   if (!scheduler_.job(job)) return;  // a piece comes before its job, and is read with it
   auto& keys = side_keys_[job];
   if (std::find(keys.begin(), keys.end(), stored.key) == keys.end()) keys.push_back(stored.key);
-  if (stored.value.value("c", 0) != 0) cancel(job);
+  if (says_cancelled(stored.value)) cancel(job);
 }
 
 bool JobWatcher::put(const JobRecord& record, std::uint64_t revision) {
@@ -196,7 +196,7 @@
   seen_at_ = std::max(seen_at_, since);
   std::vector<std::string> missing;
   for (const auto& [id, job] : scheduler_.jobs())
-    if (job.revision <= end.revision && !seen.count(id)) missing.push_back(id);
+    if (job.revision <= end.revision && !seen.contains(id)) missing.push_back(id);
   for (const auto& id : missing) vanished_(id);
   join_new_pieces();
   revision_ = end.revision;
--- a/src/leader/machine_provisioner.cc
+++ b/src/leader/machine_provisioner.cc
@@ -47,7 +47,7 @@
   int sent = repeat_pending();
   if (sent >= kMaxRequestsAtOnce) return;
   for (const auto& request : plan.scale_out) {
-    if (pending_.count(request.key())) continue;
+    if (pending_.contains(request.key())) continue;
     provision(request);
     if (++sent >= kMaxRequestsAtOnce) break;
   }
@@ -61,7 +61,7 @@
 int MachineProvisioner::repeat_pending() {
   int sent = 0;
   for (const auto& [kind, pending] : pending_) {
-    if (in_flight_.count(kind)) continue;
+    if (in_flight_.contains(kind)) continue;
     provision(pending.request);
     if (++sent >= kMaxRequestsAtOnce) break;
   }
--- a/src/leader/store_writer.h
+++ b/src/leader/store_writer.h
@@ -30,7 +30,7 @@
   /// Removes these keys when changes are to spare.
   void remove_later(std::vector<std::string> keys);
   /// A job's record is not where the scheduler takes it to be.
-  void vanished(const std::string& job);
+  void vanished(const std::string& id);
   /// Whether no transaction is in flight.
   bool idle() const { return in_flight_ == 0; }
 
@@ -51,14 +51,14 @@
   void task_records_refused(const Batch& batch, StateStatus status);
   void read_back(const TaskRecordWrite& write);
   void read_back_done(const TaskRecordWrite& write, const StateReply& reply);
-  void has_end(const std::string& job);
+  void has_end(const std::string& id);
 
-  void finalize(const std::string& job);
-  void finalized(const std::string& job, bool done, const StateReply& reply);
-  void end_stored(const std::string& job, bool done);
-  void reread(const std::string& job);
-  void reread_done(const std::string& job, const StateReply& reply);
-  void remove_records_later(const std::string& job);
+  void finalize(const std::string& id);
+  void finalized(const std::string& id, bool done, const StateReply& reply);
+  void end_stored(const std::string& id, bool done);
+  void reread(const std::string& id);
+  void reread_done(const std::string& id, const StateReply& reply);
+  void remove_records_later(const std::string& id);
 
   void remove_garbage();
   /// A transaction was refused as malformed or too large. `largest`: bytes of its largest value.
--- a/src/linearizable_reads/read_batcher.cc
+++ b/src/linearizable_reads/read_batcher.cc
@@ -24,7 +24,7 @@
   }
   // Jobs forgotten meanwhile leave their names behind.
   if (known_order_.size() > 2 * max_known_)
-    std::erase_if(known_order_, [this](const auto& name) { return !known_.count(name); });
+    std::erase_if(known_order_, [this](const auto& name) { return !known_.contains(name); });
 }
 
 std::optional<std::uint64_t> ReadBatcher::revision(const std::string& job) const {
@@ -39,7 +39,7 @@
 void ReadBatcher::ask(RequestId request, const std::string& job, double now) {
   auto starved = starved_since_.find(job);
   PendingRead read{job, now, starved == starved_since_.end() ? now : starved->second, {request}, 0};
-  put(std::move(read), known_.count(job) ? compares_ : singles_);
+  put(std::move(read), known_.contains(job) ? compares_ : singles_);
 }
 
 /// The job that has gone without an answer for longest is first. Guards against a job that is last again and
@@ -181,7 +181,7 @@
 void ReadBatcher::changed(ReadBatch batch, const std::unordered_set<std::string>& jobs) {
   finished(batch);
   for (auto& read : batch.reads) {
-    bool has_changed = jobs.count(read.job) > 0;
+    bool has_changed = jobs.contains(read.job);
     if (has_changed) forget(read.job);
     // Guards against comparisons that fail for ever because of other jobs in them.
     bool single = has_changed || ++read.misses >= c::kBatchMissesBeforeRead;
--- a/src/net/http_server.h
+++ b/src/net/http_server.h
@@ -29,7 +29,7 @@
   /// false: the caller is gone.
   bool part(ConnectionId id, std::string_view bytes);
   void end(ConnectionId id);
-  bool connected(ConnectionId id) const { return connections_.count(id) > 0 || transported_.count(id) > 0; }
+  bool connected(ConnectionId id) const { return connections_.contains(id) || transported_.contains(id); }
   /// Bytes of its response that the caller has not taken yet.
   std::size_t unsent(ConnectionId id) const;
   /// Takes no new connections; open ones close with their next response.
--- a/src/state_store/job_record.cc
+++ b/src/state_store/job_record.cc
@@ -1,5 +1,7 @@
 #include "job_record.h"
 
+#include "event_loop.h"
+
 namespace corkmux {
 namespace {
 
@@ -16,11 +18,33 @@
     job.holds_spec = true;
     job.spec = codec::parse_job(*spec).job;
   }
-  job.cancelled = record.value("c", 0) != 0;
+  job.cancelled = says_cancelled(record);
   job.accepted_at = time_in(record);
   return job;
 }
 
+bool says_cancelled(const codec::Json& record) { return record.value("c", 0) != 0; }
+
+StoredJobRecord StoredJobRecord::for_new_job(const JobSpec& job) {
+  return StoredJobRecord(codec::Json{{"j", codec::job_to_wire(job)}, {"c", 0}, {"t", wall_now()}});
+}
+
+StoredJobRecord StoredJobRecord::for_new_job_in_pieces(int pieces) {
+  return StoredJobRecord(codec::Json{{"x", pieces}, {"c", 0}, {"t", wall_now()}});
+}
+
+bool StoredJobRecord::has_dependencies() const {
+  if (!stored_.is_object()) return false;
+  auto job = stored_.find("j");
+  return job == stored_.end() || !job->is_object() || job->contains("awaits");
+}
+
+void StoredJobRecord::mark_cancelled() { stored_["c"] = 1; }
+
+codec::Json cancel_mark_to_json() { return codec::Json{{"c", 1}}; }
+
+codec::Json job_piece_to_json(std::string text) { return codec::Json{{"x", std::move(text)}}; }
+
 std::string parse_job_piece(const codec::Json& piece) { return piece.value("x", ""); }
 
 std::optional<JobSpec> parse_joined_spec(const std::string& text) {
--- a/src/state_store/lease_proxy_record.h
+++ b/src/state_store/lease_proxy_record.h
@@ -23,9 +23,4 @@
 /// Reads the stored form; an unreadable record names no machine.
 LeaseProxyRecord parse_lease_proxy_record(const codec::Json& record);
 
-/// The machines that a record names.
-inline std::vector<std::string> machines_in(const codec::Json& record) {
-  return parse_lease_proxy_record(record).machines;
-}
-
 }  // namespace corkmux
