--- a/src/controller/cancel_gossip.h
+++ b/src/controller/cancel_gossip.h
@@ -1,6 +1,7 @@
-// Tells every controller of the cancels that any of them accepted, so that a leader misses none while the
-// state service is away. Owns the cancels of the last `cancel_s`, our own and the peers', and how much of
-// each peer's we have heard. Sends nothing itself: PeerExchange carries what it says.
+// Passes the cancels that any controller accepted to every other controller, so that a leader misses none
+// while the state store is unavailable. Owns the cancels of the last `cancel_s`, those of this controller and
+// of its peers, and the number up to which each peer's cancels were received. Sends nothing itself:
+// PeerExchange transports its messages.
 #pragma once
 #include <cstddef>
 #include <cstdint>
@@ -18,42 +19,44 @@
 namespace corkmux {
 
 namespace constants {
-inline constexpr std::size_t kUnnumberedCancels = 500;  // in one list to a peer of a former version
-inline constexpr double kCancelMemory = 0.02;  // of our memory for our own cancels, and for the peers'
-inline constexpr double kCancelBytes = 150;    // of memory for one of them
+/// Cancels in one list to a peer of a former version.
+inline constexpr std::size_t kUnnumberedCancelLimit = 500;
+/// Share of mem_mb for the cancels accepted by this controller, and as much for the peers'.
+inline constexpr double kCancelMemoryShare = 0.02;
+inline constexpr double kBytesPerCancel = 150;  // bytes of memory for one cancel
 }  // namespace constants
 
 class CancelGossip {
  public:
   struct Callbacks {
-    /// Jobs whose cancel was accepted somewhere; a job may be named again and again.
+    /// Jobs whose cancel some controller accepted; the same job may be passed many times.
     std::function<void(const std::vector<std::string>& jobs)> cancelled;
-    /// Every peer was asked at or after `asked_at` and told all its cancels; the youngest incarnation of a
-    /// peer was first seen at `youngest`.
-    std::function<void(double asked_at, double youngest)> all_acknowledged;
+    /// Every peer answered, with all its cancels, a request sent at or after `requested_at`; the newest
+    /// incarnation of any peer was first seen at `newest_incarnation_seen_at`.
+    std::function<void(double requested_at, double newest_incarnation_seen_at)> all_acknowledged;
   };
-  /// What a peer's answer to us says beside its cancels.
+  /// Facts about a peer's answer besides its cancels.
   struct AnswerContext {
-    double asked_at;        // s of the steady clock
-    bool knows_newer_term;  // than we do
+    double requested_at;  // when the request was sent, s of the steady clock
+    bool has_newer_term;  // whether the peer's term is newer than this controller's
   };
   CancelGossip(const Settings& settings, Callbacks callbacks);
 
-  /// A user was told by this controller that the job is cancelled.
+  /// Records that this controller confirmed the cancel of the job to a user.
   void accept(const std::string& job);
-  /// Forgets what is older than `cancel_s`.
+  /// Drops cancels older than `cancel_s`.
   void prune();
-  /// Names all cancels known once more.
+  /// Passes all stored cancels to Callbacks::cancelled again.
   void repeat_all() const;
 
-  /// Tells our life from the next; peers' acknowledgements name it.
+  /// Identifies this incarnation of the process; acknowledgements by peers carry it.
   std::uint64_t incarnation() const { return incarnation_; }
-  /// Up to where we have heard a peer's cancels.
+  /// Up to which number the peer's cancels were received, and from which incarnation.
   CancelAcknowledgement acknowledged(const std::string& peer) const;
-  /// Puts the cancels that an asker has not heard of yet into the answer to it.
+  /// Adds to `answer` the cancels that the sender of `request` has not received yet.
   void answer(const SyncRequest& request, SyncAnswer& answer);
-  /// A peer's answer to us.
-  void learn(const std::string& peer, const SyncAnswer& answer, const AnswerContext& context);
+  /// Takes in the cancels of a peer's answer to a request of this controller.
+  void receive_answer(const std::string& peer, const SyncAnswer& answer, const AnswerContext& context);
 
  private:
   struct Cancel {
@@ -63,24 +66,24 @@
   struct Peer {
     std::uint64_t incarnation = 0;
     double incarnation_seen_at = kLongAgo;
-    double acknowledged_at = kLongAgo;  // up to then we know all of its cancels
-    double lost_at = kLongAgo;          // when names of its cancels were last lost, there or here
-    std::uint64_t last_heard = 0;       // number of its last cancel that we have heard
+    double acknowledged_at = kLongAgo;  // all cancels it accepted until then were received
+    double lost_at = kLongAgo;          // when cancels of it were last lost, by either side
+    std::uint64_t last_received = 0;    // number of its last cancel that was received
     bool malformed_logged = false;
   };
-  /// Whether there was room for all.
+  /// Returns whether all jobs could be stored within the limit.
   bool remember(const std::vector<std::string>& jobs);
-  void report_acknowledged(double asked_at) const;
+  void report_acknowledged(double requested_at) const;
 
   double cancel_s_;
   std::uint64_t incarnation_;
-  std::size_t limit_;
+  std::size_t cancel_limit_;  // cancels stored at most, for accepted_ and for peer_cancels_ each
   Callbacks callbacks_;
-  std::deque<Cancel> accepted_;                    // here, numbered in their order
-  std::uint64_t first_number_ = 1;                 // of the front
-  std::uint64_t last_lost_ = 0;                    // number of the last that there was no room for
-  double last_lost_at_ = kLongAgo;                 // when that one was accepted
-  std::unordered_map<std::string, double> heard_;  // accepted elsewhere -> when we first heard of it
+  std::deque<Cancel> accepted_;     // by this controller, numbered in their order
+  std::uint64_t first_number_ = 1;  // of the front of accepted_
+  std::uint64_t last_lost_ = 0;     // number of the last one dropped for lack of capacity
+  double last_lost_at_ = kLongAgo;  // when the cancel last_lost_ was accepted
+  std::unordered_map<std::string, double> peer_cancels_;  // accepted by a peer -> when first received
   std::map<std::string, Peer> peers_;
 };
 
--- a/src/controller/dependency_barrier_reader.cc
+++ b/src/controller/dependency_barrier_reader.cc
@@ -26,7 +26,7 @@
     reading_ = false;
     auto stored = reply.ok() ? codec::parse_value(reply.body) : std::nullopt;
     if (stored) {
-      peer_exchange_.learn_dependency_barrier(parse_dependency_barrier(stored->value));
+      peer_exchange_.update_dependency_barrier(parse_dependency_barrier(stored->value));
       record_ = RecordState::Present;
     } else if (reply.status == StateStatus::Missing) {
       record_ = RecordState::Absent;
--- a/src/controller/fanin_coordinator.cc
+++ b/src/controller/fanin_coordinator.cc
@@ -18,18 +18,18 @@
       settle_timer_(loop) {}
 
 void FanInCoordinator::start() {
-  decision_timer_.every(constants::kFanInInterval, [this] { decide(); });
+  decision_timer_.every(constants::kFanInDecisionInterval, [this] { decide(); });
 }
 
 void FanInCoordinator::decide() {
-  bool leads = leader_.leading();
-  bool begins = leads && !led_;
-  led_ = leads;
-  if (!leads) return;
-  // A new leader goes on as the one before did, until it knows its machines better.
-  if (begins) policy_.start_from(!peer_exchange_.fanin_members().empty());
-  bool shared = policy_.update(leader_.machines_up());
-  auto members = shared ? peer_exchange_.eligible_fanin_members() : std::vector<std::string>();
+  bool leading = leader_.leading();
+  bool became_leader = leading && !was_leading_;
+  was_leading_ = leading;
+  if (!leading) return;
+  // A new leader continues as its predecessor did, until heartbeats show how many machines are up.
+  if (became_leader) policy_.start_from(!peer_exchange_.fanin_members().empty());
+  bool use_fanin_members = policy_.update(leader_.machines_up());
+  auto members = use_fanin_members ? peer_exchange_.eligible_fanin_members() : std::vector<std::string>();
   if (members == peer_exchange_.fanin_members()) return;
   if (members.empty())
     spdlog::info("fan-in ended: the leader takes all heartbeats");
@@ -42,8 +42,8 @@
   auto sharding = sharding_of(labels);
   settle_timer_.stop();
   if (!leader_.leading()) return sharding_changed_(std::move(sharding));
-  // Guards against workers that are redirected to a controller which has not heard yet that it owns a shard,
-  // and would send them back.
+  // Guards against redirecting workers to a controller that has not received the announcement yet: it would
+  // send them back.
   settle_timer_.once(constants::kFanInSettleTime,
                      [this, sharding = std::move(sharding)] { sharding_changed_(sharding); });
 }
--- a/src/controller/fanin_coordinator.h
+++ b/src/controller/fanin_coordinator.h
@@ -1,6 +1,7 @@
-// Decides, while this controller leads, which controllers take workers' heartbeats, and announces it. A
-// leader with few workers takes them itself; with more than its sockets should carry, all others that can do
-// so. Owns the policy and the delay until an announcement counts here; moves no worker itself.
+// Decides, while this controller leads, which controllers take workers' heartbeats, and announces them. A
+// leader with few workers takes the heartbeats itself; with more workers than its sockets should carry, all
+// other eligible controllers take them. Owns the policy and the delay until an announcement takes effect on
+// this controller; redirects no worker itself.
 #pragma once
 #include <functional>
 #include <string>
@@ -14,19 +15,19 @@
 namespace corkmux {
 
 namespace constants {
-inline constexpr double kFanInInterval = 0.5;  // s between decisions
-/// s until all controllers have heard an announcement; they synchronize each kPeerTick.
+inline constexpr double kFanInDecisionInterval = 0.5;  // s between decisions
+/// s until all controllers have received an announcement; they synchronize every kPeerTick.
 inline constexpr double kFanInSettleTime = 2.5;
 }  // namespace constants
 
 class FanInCoordinator {
  public:
-  /// Which controllers take heartbeats from now on.
+  /// Receives the controllers that take heartbeats from now on.
   using ShardingCallback = std::function<void(fanin::WorkerSharding)>;
   FanInCoordinator(Loop& loop, const Settings& settings, Leader& leader, PeerExchange& peers,
                    ShardingCallback sharding_changed);
   void start();
-  /// The newest word of a leader, our own among them.
+  /// Takes in the newest announcement of any leader, this controller included.
   void fanin_changed(const std::vector<std::string>& labels);
 
  private:
@@ -37,7 +38,7 @@
   PeerExchange& peer_exchange_;
   ShardingCallback sharding_changed_;
   fanin::FanInPolicy policy_;
-  bool led_ = false;  // at the last decision
+  bool was_leading_ = false;  // whether this controller led at the last decision
   Timer decision_timer_;
   Timer settle_timer_;
 };
--- a/src/controller/fanin_membership.cc
+++ b/src/controller/fanin_membership.cc
@@ -18,10 +18,10 @@
   changed_(newest_.labels);
 }
 
-void FanInMembership::learn(const FanInAnnouncement& heard) {
-  if (std::tie(heard.term, heard.number) <= std::tie(newest_.term, newest_.number)) return;
-  newest_ = {heard.term, heard.number, {}};
-  std::copy_if(heard.labels.begin(), heard.labels.end(), std::back_inserter(newest_.labels),
+void FanInMembership::receive_announcement(const FanInAnnouncement& announcement) {
+  if (std::tie(announcement.term, announcement.number) <= std::tie(newest_.term, newest_.number)) return;
+  newest_ = {announcement.term, announcement.number, {}};
+  std::copy_if(announcement.labels.begin(), announcement.labels.end(), std::back_inserter(newest_.labels),
                [this](const std::string& label) { return controllers_.contains(label); });
   changed_(newest_.labels);
 }
--- a/src/controller/lease_proxy.h
+++ b/src/controller/lease_proxy.h
@@ -1,10 +1,10 @@
-// Renews by proxy the leases of workers that reach this controller but no way to the leader: the leader leads
-// on the other side of a cut between zones, and the tasks here need not die for it.
+// Renews by proxy the leases of workers that reach this controller but not the leader, so that their tasks
+// keep running while the leader is on the other side of a network partition between zones.
 //
-// Owns who is named in this controller's records. A worker is answered with the fencing token it already
-// obeys, and gets no command but to stop tasks of jobs that are over; only while a record that names it has
-// been written within the last lease_proxy_span(). A leader counts a worker as dead only after its lease has
-// run out since that record could last have been used.
+// Owns the set of workers named in this controller's records. A worker is answered only while a record that
+// names it was written within the last lease_proxy_span(). The answer carries the fencing token that the
+// worker already has, and no commands except to stop tasks of jobs that are over. A leader counts a worker as
+// dead only when a whole lease has passed since the record could last have been used.
 #pragma once
 #include <cstddef>
 #include <functional>
@@ -24,19 +24,22 @@
 namespace corkmux {
 
 namespace constants {
-/// s that heartbeats wait for each other: workers beyond a cut come in a burst, a write names many.
+/// s that heartbeats wait for a shared write: workers of a partitioned zone arrive in a burst, and one write
+/// names many.
 inline constexpr double kLeaseProxyBatchDelay = 0.25;
 }  // namespace constants
 
 class LeaseProxy : public Actor<LeaseProxy> {
  public:
-  /// The worker's commands in their wire form; no value: its lease is not renewed, it tries elsewhere.
+  /// The worker's command batch, encoded for the wire; no value: its lease is not renewed, and it tries
+  /// another controller.
   using ReplyCallback = std::function<void(std::optional<std::string> commands)>;
   LeaseProxy(Loop& loop, const Settings& settings, StateClient& state);
 
   // Messages.
+  /// Renews the lease of the heartbeat's worker, once a record names the worker.
   void renew(Heartbeat heartbeat, ReplyCallback reply);
-  /// The worker has found the leader again.
+  /// Stops naming the worker, which reaches the leader again.
   void release(const std::string& machine);
 
  private:
@@ -44,29 +47,29 @@
     Heartbeat heartbeat;
     ReplyCallback reply;
   };
-  bool entitled(const std::string& machine) const;
-  /// Whoever waits is answered, or waits for the next write.
+  bool has_valid_record(const std::string& machine) const;
+  /// Writes the records if no write is under way; then answers the heartbeats that wait for it.
   void write();
   void read_then_write();
   void write_names();
   std::set<std::string> names_to_write(double now);
-  void names_written(std::set<std::string> names, double asked_at, StateStatus status);
+  void names_written(std::set<std::string> names, double requested_at, StateStatus status);
   void finish_write(bool ok);
-  /// Answers once it is known whether the jobs of the heartbeat's tasks are unfinished.
+  /// Answers after a read showed which jobs of the heartbeat's tasks are unfinished.
   void check_jobs(Waiting waiting);
   void answer(const Waiting& waiting) const;
 
-  double span_;          // s for which a record entitles
-  double forget_after_;  // s until a worker that is silent is named no more
+  double record_validity_;  // s after its write for which a record allows renewals
+  double forget_after_;     // s without a heartbeat until a worker is no longer named
   LeaseProxyRecords records_;
   UnfinishedJobs unfinished_jobs_;
-  std::map<std::string, double> seen_;  // machine -> when its last heartbeat came
-  std::size_t seen_bytes_ = 0;          // of their names
-  std::set<std::string> written_;       // whom the records name
-  double written_at_ = kLongAgo;
+  std::map<std::string, double> last_heartbeat_at_;  // machine -> when its last heartbeat arrived
+  std::size_t name_bytes_ = 0;               // of the names in last_heartbeat_at_, as bytes_of() counts them
+  std::set<std::string> recorded_machines_;  // machines that the records name
+  double written_at_ = kLongAgo;             // when the request of the last successful write was sent
   bool writing_ = false;
-  int conflicts_ = 0;             // in a row
-  std::vector<Waiting> waiting_;  // for a record that names them
+  int consecutive_conflicts_ = 0;  // writes in a row that conflicted
+  std::vector<Waiting> waiting_;   // for a record that names their machine
   Timer write_timer_;
 };
 
--- a/src/controller/lease_proxy_records.cc
+++ b/src/controller/lease_proxy_records.cc
@@ -13,12 +13,13 @@
     : state_(state),
       key_(kLeaseProxyPrefix + settings.label),
       record_size_(static_cast<std::size_t>(settings.next.value_kb * 1024 * constants::kRecordShare)),
-      most_records_(settings.next.txn_ops) {}
+      max_records_(settings.next.txn_ops) {}
 
-/// Guards against a worker that no record names though it was answered. A process may be back within a
-/// fraction of a second, sooner than the leader looks at records again: whom its former life answered stays
-/// in them for as long as that answer may count. And a write of the former life, or one of ours that was
-/// given up on, may be applied late: it is conditioned on revisions that are gone by then.
+/// Guards against a worker whose lease was renewed while no record names it. A process may restart within a
+/// fraction of a second, sooner than the leader reads the records again: the workers that its former
+/// incarnation answered stay in the records for as long as those answers may count. A write of the former
+/// incarnation, or a write of this one that timed out, may be applied late: it then fails, since its
+/// conditions name revisions that were replaced meanwhile.
 void LeaseProxyRecords::read(ReadCallback done) {
   struct Found {
     std::map<std::string, std::uint64_t> revisions;
@@ -28,8 +29,8 @@
   state_.read_all(
       key_, "",
       [this, found](const codec::KeyValue& record) {
-        bool ours = record.key == key_ || record.key.rfind(key_ + "/", 0) == 0;
-        if (!ours) return;  // another's, whose name begins as ours
+        bool own_record = record.key == key_ || record.key.rfind(key_ + "/", 0) == 0;
+        if (!own_record) return;  // of a controller whose label begins with this one's
         found->revisions[record.key] = record.revision;
         for (auto& machine : parse_lease_proxy_record(record.value).machines)
           found->machines.insert(std::move(machine));
@@ -61,7 +62,7 @@
   std::vector<codec::Write> writes;
   for (std::size_t i = 0; i < std::max(lists.size(), revisions_->size()); ++i) {
     std::optional<codec::Json> value;
-    if (i < lists.size()) value = to_json(LeaseProxyRecord{std::move(lists[i]), ++writes_});
+    if (i < lists.size()) value = to_json(LeaseProxyRecord{std::move(lists[i]), ++write_count_});
     std::string key = i ? key_ + "/" + std::to_string(i) : key_;
     auto revision = revisions_->find(key);
     conditions.push_back({key, revision == revisions_->end() ? 0 : revision->second});
@@ -74,7 +75,8 @@
 }
 
 void LeaseProxyRecords::written(const std::vector<codec::Write>& writes, const StateReply& reply) {
-  // Refused: nothing was written. Else changed by a late write, or it may be there: read before the next.
+  // Refused: nothing was written. Otherwise a late write changed the records, or this write may still be
+  // applied: the revisions have to be read before the next write.
   if (!reply.ok()) {
     if (reply.status != StateStatus::Refused) revisions_.reset();
     return;
--- a/src/controller/peer_exchange.cc
+++ b/src/controller/peer_exchange.cc
@@ -57,7 +57,7 @@
 void PeerExchange::publish(const std::vector<codec::JobView>& views) {
   for (auto& [label, peer] : peers_)
     for (const auto& view : views) {
-      // Bounded: displays are a courtesy, a peer that is away simply shows older counts.
+      // Bounded: job displays are best effort; an unreachable peer only shows older counts.
       if (peer.views.size() >= constants::kSummaryCache) peer.views.clear();
       peer.views[view.id] = view;
     }
@@ -85,35 +85,38 @@
   SyncRequest request;
   request.status = own_status();
   request.acknowledged = cancel_gossip_.acknowledged(label);
-  int room = constants::kViewsPerSync;
-  for (auto view = peer.views.begin(); view != peer.views.end() && room > 0; view = peer.views.erase(view)) {
+  int remaining_views = constants::kViewsPerSync;
+  for (auto view = peer.views.begin(); view != peer.views.end() && remaining_views > 0;
+       view = peer.views.erase(view)) {
     request.views.push_back(view->second);
-    --room;
+    --remaining_views;
   }
-  double asked_at = steady_now();
-  peer.syncs->request(
-      "POST", kSyncPath, pack(request), constants::kPeerTimeout,
-      [this, label, &peer, asked_at](const http::Result& result) { synced(label, peer, asked_at, result); });
+  double requested_at = steady_now();
+  peer.syncs->request("POST", kSyncPath, pack(request), constants::kPeerTimeout,
+                      [this, label, &peer, requested_at](const http::Result& result) {
+                        synced(label, peer, requested_at, result);
+                      });
 }
 
-void PeerExchange::synced(const std::string& label, Peer& peer, double asked_at, const http::Result& result) {
+void PeerExchange::synced(const std::string& label, Peer& peer, double requested_at,
+                          const http::Result& result) {
   peer.syncing = false;
   auto answer = result.ok() ? parse_sync_answer(result.body) : std::nullopt;
   if (!answer) return;
-  peer.heard_at = steady_now();
-  heard(answer->status);
-  if (auto age = answer->status.dependency_barrier_age) learn_dependency_barrier(asked_at - *age);
-  cancel_gossip_.learn(label, *answer, {asked_at, answer->status.term > term_});
+  peer.answered_at = steady_now();
+  receive_status(answer->status);
+  if (auto age = answer->status.dependency_barrier_age) update_dependency_barrier(requested_at - *age);
+  cancel_gossip_.receive_answer(label, *answer, {requested_at, answer->status.term > term_});
 }
 
-void PeerExchange::heard(const PeerStatus& status) {
+void PeerExchange::receive_status(const PeerStatus& status) {
   if (auto entry = peers_.find(status.label); entry != peers_.end()) {
     Peer& peer = entry->second;
     double now = steady_now();
-    any_heard_at_ = now;
+    last_message_at_ = now;
     peer.state_at = std::max(peer.state_at, now - std::max(0.0, status.state_age.value_or(-kLongAgo)));
     peer.takes_batches = status.takes_batches;
-    if (status.fanin) membership_.learn(*status.fanin);
+    if (status.fanin) membership_.receive_announcement(*status.fanin);
   }
   if (status.term > term_) callbacks_.newer_term(status.term);
 }
@@ -144,7 +147,7 @@
   post(label, kCommandsPath, std::move(body), constants::kPeerTimeout, std::move(done));
 }
 
-// ---------------------------------------------------------------- what is known of peers
+// ---------------------------------------------------------------- state of the peers
 
 bool PeerExchange::takes_batches(const std::string& label) const {
   auto peer = peers_.find(label);
@@ -153,22 +156,22 @@
 
 bool PeerExchange::reachable(const std::string& label) const {
   auto peer = peers_.find(label);
-  return peer == peers_.end() || steady_now() - peer->second.heard_at < constants::kPeerLost;
+  return peer == peers_.end() || steady_now() - peer->second.answered_at < constants::kPeerUnreachableAfter;
 }
 
 std::vector<std::string> PeerExchange::eligible_fanin_members() const {
   std::vector<std::string> out;
   double now = steady_now();
   for (const auto& [label, peer] : peers_) {
-    bool heard_lately = now - peer.heard_at < constants::kPeerLost;
+    bool answered_recently = now - peer.answered_at < constants::kPeerUnreachableAfter;
     bool has_state_service = now - peer.state_at < constants::kStateSilent;
-    if (peer.takes_batches && heard_lately && has_state_service) out.push_back(label);
+    if (peer.takes_batches && answered_recently && has_state_service) out.push_back(label);
   }
   return out;
 }
 
 double PeerExchange::dependency_barrier_at() const {
-  return std::max(barrier_heard_, callbacks_.dependency_barrier_at());
+  return std::max(received_barrier_at_, callbacks_.dependency_barrier_at());
 }
 
 double PeerExchange::peers_state_at() const {
@@ -177,9 +180,11 @@
   return latest;
 }
 
-double PeerExchange::silent_for() const { return peers_.empty() ? 0 : steady_now() - any_heard_at_; }
+double PeerExchange::time_since_message() const {
+  return peers_.empty() ? 0 : steady_now() - last_message_at_;
+}
 
-// ---------------------------------------------------------------- what peers ask
+// ---------------------------------------------------------------- requests of peers
 
 void PeerExchange::respond(http::Server::ConnectionId caller, int status, std::string body) {
   server_.respond(caller, {status, std::move(body), 0, false});
@@ -200,7 +205,7 @@
 void PeerExchange::serve_sync(http::Server::ConnectionId caller, const std::string& body) {
   auto request = parse_sync_request(body);
   if (!request) return respond(caller, 400);
-  heard(request->status);
+  receive_status(request->status);
   for (const auto& view : request->views) callbacks_.view(view);
   SyncAnswer answer;
   answer.status = own_status();
@@ -208,11 +213,11 @@
   respond(caller, 200, pack(answer));
 }
 
-/// A line now and then, whoever sends what should not come.
-void PeerExchange::refuse(http::Server::ConnectionId caller, const char* why) {
+/// Logs at most one line every kRefusedLogInterval, whatever number of messages is refused.
+void PeerExchange::refuse(http::Server::ConnectionId caller, const char* reason) {
   if (steady_now() - refusal_logged_at_ > constants::kRefusedLogInterval) {
     refusal_logged_at_ = steady_now();
-    spdlog::warn("peer message is refused: {}", why);
+    spdlog::warn("peer message is refused: {}", reason);
   }
   respond(caller, 400);
 }
--- a/src/controller/readiness_probe.cc
+++ b/src/controller/readiness_probe.cc
@@ -26,7 +26,7 @@
   if (silence > constants::kStateLost && peers_have_it) return true;
   // Nor can one that has lost the others as well tell the two apart. Guards against users that keep to it:
   // for them their jobs would be forgotten.
-  return silence > constants::kStateSilent && peer_exchange_.silent_for() > constants::kStateSilent;
+  return silence > constants::kStateSilent && peer_exchange_.time_since_message() > constants::kStateSilent;
 }
 
 }  // namespace corkmux
--- a/src/controller/relay_record.cc
+++ b/src/controller/relay_record.cc
@@ -15,8 +15,9 @@
 
 RelayedRequest request_from(std::uint64_t id, const Json& item) {
   auto compact = item.find("r");
-  if (compact != item.end()) return {id, RelayForm::Compact, codec::pack(codec::expand_heartbeat(*compact))};
-  return {id, RelayForm::Full, codec::pack(item.value("b", Json()))};
+  if (compact != item.end())
+    return {id, RelayEncoding::Compact, codec::pack(codec::expand_heartbeat(*compact))};
+  return {id, RelayEncoding::Full, codec::pack(item.value("b", Json()))};
 }
 
 RelayedAnswer answer_from(std::uint64_t id, const Json& item) {
@@ -38,20 +39,21 @@
 RelayItem::RelayItem(std::optional<std::uint64_t> request_id, Json encoded)
     : request_id_(request_id), encoded_(std::move(encoded)), size_(encoded_.dump().size() + kSeparator) {}
 
-std::optional<RelayItem> RelayItem::request(std::uint64_t id, const std::string& heartbeat, RelayForm form) {
+std::optional<RelayItem> RelayItem::request(std::uint64_t id, const std::string& heartbeat,
+                                            RelayEncoding encoding) {
   auto body = codec::unpack(heartbeat);
   if (!body) return std::nullopt;
-  if (form == RelayForm::Compact) {
+  if (encoding == RelayEncoding::Compact) {
     Json compact = codec::compact_heartbeat(*body);
     if (!compact.is_null()) return RelayItem{id, Json{{"q", id}, {"r", std::move(compact)}}};
   }
   return RelayItem{id, Json{{"q", id}, {"b", std::move(*body)}}};
 }
 
-RelayItem RelayItem::answer(std::uint64_t id, const LeaderReply& reply, RelayForm form) {
+RelayItem RelayItem::answer(std::uint64_t id, const LeaderReply& reply, RelayEncoding encoding) {
   auto body = codec::unpack(reply.body());
   Json item = {{"a", id}, {"s", reply.wire_status()}};
-  if (form == RelayForm::Compact && reply.is_answered() && body)
+  if (encoding == RelayEncoding::Compact && reply.is_answered() && body)
     item["r"] = codec::compact_answer(*body);
   else
     item["b"] = body ? std::move(*body) : Json();
--- a/src/controller/relay_record.h
+++ b/src/controller/relay_record.h
@@ -1,5 +1,5 @@
-// The records by which StoreRelay passes heartbeats and their answers through the state store. The only file
-// that knows their fields.
+// The records by which StoreRelay passes heartbeats and their answers through the state store. No other file
+// refers to their fields.
 #pragma once
 #include <cstddef>
 #include <cstdint>
@@ -13,20 +13,21 @@
 
 namespace corkmux {
 
-/// The short form of a heartbeat or answer, which a former version does not read.
-enum class RelayForm { Full, Compact };
+/// How a heartbeat or an answer is encoded; former versions read only the full encoding.
+enum class RelayEncoding { Full, Compact };
 
 /// A request or an answer, encoded for a record.
 class RelayItem {
  public:
-  /// A heartbeat to the leader. No value: it is not MessagePack.
-  static std::optional<RelayItem> request(std::uint64_t id, const std::string& heartbeat, RelayForm form);
-  /// The answer to a request, in the form that the request came in.
-  static RelayItem answer(std::uint64_t id, const LeaderReply& reply, RelayForm form);
+  /// Encodes a heartbeat to the leader. No value: `heartbeat` is not MessagePack.
+  static std::optional<RelayItem> request(std::uint64_t id, const std::string& heartbeat,
+                                          RelayEncoding encoding);
+  /// Encodes the answer to a request; `encoding` is that of the request.
+  static RelayItem answer(std::uint64_t id, const LeaderReply& reply, RelayEncoding encoding);
 
   /// The id of a request; no value: it is an answer.
   std::optional<std::uint64_t> request_id() const { return request_id_; }
-  /// Bytes that it takes in a record.
+  /// Bytes that the item takes in a record, with a separator.
   std::size_t size() const { return size_; }
 
  private:
@@ -38,17 +39,17 @@
   std::size_t size_;
 };
 
-/// The stored form of the items that the controller `from` writes together.
+/// Encodes the items that the controller `from` writes in one record.
 codec::Json relay_record_to_json(const std::string& from, const std::vector<RelayItem>& items);
 
 struct RelayedRequest {
   std::uint64_t id = 0;
-  RelayForm form = RelayForm::Full;
-  std::string heartbeat;  // in its wire form
+  RelayEncoding encoding = RelayEncoding::Full;
+  std::string heartbeat;  // encoded for the wire
 };
 
 struct RelayedAnswer {
-  std::uint64_t id = 0;  // of the request
+  std::uint64_t id = 0;  // of the request that it answers
   LeaderReply reply;
 };
 
@@ -56,7 +57,7 @@
   std::string from;  // label of the controller that wrote it
   std::vector<std::variant<RelayedRequest, RelayedAnswer>> items;
 };
-/// No value: not such a record. Items that cannot be read are passed over.
+/// Parses a stored record. No value: not a relay record. Malformed items are skipped.
 std::optional<RelayRecord> parse_relay_record(const codec::Json& record);
 
 }  // namespace corkmux
--- a/src/controller/store_relay.cc
+++ b/src/controller/store_relay.cc
@@ -17,7 +17,7 @@
       record_size_(static_cast<std::size_t>(settings.next.value_kb * 1024 * constants::kRecordShare)),
       write_interval_(1 / std::max(1.0, settings.next.write_rps * constants::kRelayWriteShare)),
       batch_delay_(std::min(constants::kRelayBatchDelay, 2 * write_interval_)),
-      // Guards against an answer meant for a former life of ours: numbers do not start over.
+      // Guards against an answer to a former incarnation of this controller: request ids do not start over.
       last_request_(fresh_seed() << 20),
       sweep_timer_(loop),
       retry_timer_(loop) {
@@ -27,24 +27,25 @@
 // ---------------------------------------------------------------- messages
 
 void StoreRelay::request(const std::string& to, const std::string& heartbeat, LeaderReplyCallback reply) {
-  auto form = compact_readers_.contains(to) ? RelayForm::Compact : RelayForm::Full;
-  auto item = RelayItem::request(last_request_ + 1, heartbeat, form);
+  auto encoding = compact_readers_.contains(to) ? RelayEncoding::Compact : RelayEncoding::Full;
+  auto item = RelayItem::request(last_request_ + 1, heartbeat, encoding);
   if (!item || pending_.size() >= constants::kStoreRelayPendingLimit) return reply(LeaderReply::unanswered());
   ++last_request_;
   pending_[last_request_] = {steady_now() + constants::kStoreRelayTimeout, std::move(reply)};
-  listen();
+  start_watching();
   send(to, std::move(*item));
 }
 
 void StoreRelay::accept_requests(bool accept) {
   accepting_ = accept;
-  if (accept) listen();
+  if (accept) start_watching();
 }
 
 // ---------------------------------------------------------------- receiving
 
-/// Who reads the compact form: what a controller has once said of itself stays true.
-void StoreRelay::learn_forms() {
+/// Reads which controllers read the compact encoding. Declarations are only added: a controller that once
+/// declared that it reads the encoding keeps reading it.
+void StoreRelay::find_compact_readers() {
   state_.read_all(
       kRecordFormats, "",
       [this](const codec::KeyValue& record) {
@@ -53,44 +54,45 @@
       [](const ReadEnd&) {});
 }
 
-void StoreRelay::listen() {
-  if (listening_) return;
-  listening_ = true;
+void StoreRelay::start_watching() {
+  if (watching_) return;
+  watching_ = true;
   ready_ = false;
-  learn_forms();
-  // The revision from which on we watch comes first; what we send waits for it, so that no answer is missed.
+  find_compact_readers();
+  // The revision to watch from is read first and items are sent only after it, so that no answer is missed.
   state_.list(kStoreRelayPrefix + label_ + "/", "", 1, [this](const StateReply& reply) {
-    if (!reply.ok()) return listening_failed();
+    if (!reply.ok()) return start_watching_failed();
     ready_ = true;
     for (auto& [to, outbox] : outboxes_) flush(to);
     watch(codec::parse_page(reply.body).revision);
   });
 }
 
-void StoreRelay::listening_failed() {
-  listening_ = false;
-  // What waits to be sent is given up at once: its workers still have time to try elsewhere.
+void StoreRelay::start_watching_failed() {
+  watching_ = false;
+  // Queued items are given up at once, while their workers still have time to try another controller.
   for (auto& [to, outbox] : outboxes_)
     for (const auto& entry : std::exchange(outbox.entries, {})) {
       outbox.bytes -= entry.item.size();
       give_up(entry.item);
     }
-  if (wanted()) retry_timer_.once(constants::kRetryPause, [this] { listen(); });
+  if (should_watch()) retry_timer_.once(constants::kRetryPause, [this] { start_watching(); });
 }
 
 void StoreRelay::watch(std::uint64_t after) {
   state_.watch(kStoreRelayPrefix + label_ + "/", after, constants::kWatchWait,
                [this, after](const StateReply& reply) {
                  if (!reply.ok()) {
-                   listening_ = false;
+                   watching_ = false;
                    ready_ = false;
-                   if (wanted()) retry_timer_.once(constants::kRetryPause, [this] { listen(); });
+                   if (should_watch())
+                     retry_timer_.once(constants::kRetryPause, [this] { start_watching(); });
                    return;
                  }
                  auto events = codec::parse_events(reply.body);
                  for (const auto& event : events.events) receive(event);
-                 if (wanted()) return watch(std::max(after, events.revision));
-                 listening_ = false;
+                 if (should_watch()) return watch(std::max(after, events.revision));
+                 watching_ = false;
                  ready_ = false;
                });
 }
@@ -107,10 +109,11 @@
 }
 
 void StoreRelay::receive_request(const std::string& from, const RelayedRequest& request) {
-  if (!accepting_ || mutation_enabled("mail for the leader is not read")) return;
-  deliver_(request.heartbeat, [this, from, id = request.id, form = request.form](const LeaderReply& reply) {
-    send(from, RelayItem::answer(id, reply, form));
-  });
+  if (!accepting_ || mutation_enabled("relayed heartbeats for the leader are not read")) return;
+  deliver_(request.heartbeat,
+           [this, from, id = request.id, encoding = request.encoding](const LeaderReply& reply) {
+             send(from, RelayItem::answer(id, reply, encoding));
+           });
 }
 
 // ---------------------------------------------------------------- sending
@@ -118,8 +121,9 @@
 void StoreRelay::send(const std::string& to, RelayItem item) {
   Outbox& outbox = outboxes_[to];
   auto bytes = item.size();
-  // Bounded: an item that no record has room for would only be refused; one that would be late only holds up
-  // those behind it. Either is given up at once, its worker tries elsewhere.
+  // Bounds the outbox: an item too large for any record would be refused by the state store, and an item that
+  // would arrive late only delays the items behind it. Both are given up at once, so that the worker tries
+  // another controller.
   std::size_t full_records_before = outbox.bytes / record_size_;
   double wait = write_interval_ * static_cast<double>(full_records_before);
   if (bytes > record_size_ || wait > constants::kStoreRelayTimeout / 2) return give_up(item);
@@ -131,12 +135,13 @@
 void StoreRelay::flush(const std::string& to) {
   Outbox& outbox = outboxes_[to];
   if (outbox.writing || outbox.entries.empty() || !ready_) return;
-  // Writes are few: a record waits for more items, unless it is full.
+  // Writes are scarce: a record waits for more items unless it is full.
   bool full = outbox.bytes > record_size_;
   double due = outbox.written_at + (full ? write_interval_ : batch_delay_) - steady_now();
   if (!outbox.timer) outbox.timer = std::make_unique<Timer>(loop_);
   if (outbox.timer->active() && !full) return;
-  // One record at a time, and at most some a second: the relay waits first when writes run short.
+  // One record at a time and at a limited rate: when the write limit is short, the relay gives way to other
+  // writes.
   outbox.timer->once(std::max(0.0, due), [this, to] { write(to); });
 }
 
@@ -145,11 +150,11 @@
   std::size_t bytes = 0;
   while (!outbox.entries.empty()) {
     auto& entry = outbox.entries.front();
-    // Nobody waits for a late one any more.
-    bool late = outbox.written_at - entry.since > constants::kStoreRelayTimeout;
-    if (!late && !items.empty() && bytes + entry.item.size() > record_size_) break;
+    // An expired item is dropped: its request has timed out.
+    bool expired = outbox.written_at - entry.queued_at > constants::kStoreRelayTimeout;
+    if (!expired && !items.empty() && bytes + entry.item.size() > record_size_) break;
     outbox.bytes -= entry.item.size();
-    if (!late) {
+    if (!expired) {
       bytes += entry.item.size();
       items.push_back(std::move(entry.item));
     }
--- a/src/controller/sync_message.cc
+++ b/src/controller/sync_message.cc
@@ -8,7 +8,7 @@
 
 using codec::Json;
 
-/// A field where it has the type it should have. Guards against a message that ends this process.
+/// Returns the field if it has the expected type. Guards against a malformed message that ends this process.
 template <typename T>
 std::optional<T> field(const Json& body, const char* name) {
   auto entry = body.find(name);
--- a/src/controller/unfinished_jobs.cc
+++ b/src/controller/unfinished_jobs.cc
@@ -11,33 +11,33 @@
 
 void UnfinishedJobs::look_up(std::vector<std::string> jobs, Callback done) {
   Waiting waiting{std::move(jobs), std::move(done), steady_now()};
-  if (known(waiting)) return waiting.done(Result::Known);
+  if (has_answer_for(waiting)) return waiting.done(Result::Known);
   waiting_.push_back(std::move(waiting));
   if (!timer_.active() && !reading_) schedule_read();
 }
 
-bool UnfinishedJobs::known(const Waiting& waiting) const {
+bool UnfinishedJobs::has_answer_for(const Waiting& waiting) const {
   // Guards against stopping a task whose job was accepted after the jobs were read: only a read that began
-  // after the heartbeat came shows that a job is over.
-  if (read_at_ >= waiting.since) return true;
-  if (steady_now() - read_at_ > constants::kKnownJob) return false;
+  // after the heartbeat arrived shows that a job is over.
+  if (last_read_at_ >= waiting.started_at) return true;
+  if (steady_now() - last_read_at_ > constants::kKnownJob) return false;
   return std::all_of(waiting.jobs.begin(), waiting.jobs.end(),
                      [this](const std::string& job) { return contains(job); });
 }
 
 void UnfinishedJobs::schedule_read() {
-  timer_.once(reading_since_ + constants::kJobReads - steady_now(), [this] { read(); });
+  timer_.once(read_started_at_ + constants::kJobReadInterval - steady_now(), [this] { read(); });
 }
 
-/// All unfinished jobs in a few pages: a zone's workers run tasks of most of them, so that asking for each
-/// would take far more requests.
+/// Reads all unfinished jobs in a few pages: the workers of a zone run tasks of most of them, so that a
+/// request for each job would take far more requests.
 void UnfinishedJobs::read() {
   reading_ = true;
-  reading_since_ = steady_now();
-  found_.clear();
-  cancelled_.clear();
+  read_started_at_ = steady_now();
+  unfinished_found_.clear();
+  cancelled_found_.clear();
   state_.read_all(
-      kJobs, "", [this](const codec::KeyValue& record) { take(record); },
+      kJobs, "", [this](const codec::KeyValue& record) { add_record(record); },
       [this](const ReadEnd& end) {
         reading_ = false;
         if (end.ok())
@@ -47,18 +47,18 @@
       });
 }
 
-void UnfinishedJobs::take(const codec::KeyValue& record) {
+void UnfinishedJobs::add_record(const codec::KeyValue& record) {
   auto job = record.key.substr(kJobs.size());
-  job.resize(std::min(job.size(), job.find('/')));  // a piece or mark of a job's record counts for the job
-  (says_cancelled(record.value) ? cancelled_ : found_).insert(std::move(job));
+  job.resize(std::min(job.size(), job.find('/')));  // a piece or mark of a job's record counts as the job
+  (says_cancelled(record.value) ? cancelled_found_ : unfinished_found_).insert(std::move(job));
 }
 
 void UnfinishedJobs::read_succeeded() {
-  for (const auto& job : cancelled_) found_.erase(job);
-  jobs_ = std::move(found_);
-  read_at_ = reading_since_;
+  for (const auto& job : cancelled_found_) unfinished_found_.erase(job);
+  jobs_ = std::move(unfinished_found_);
+  last_read_at_ = read_started_at_;
   for (auto& waiting : std::exchange(waiting_, {})) {
-    if (known(waiting))
+    if (has_answer_for(waiting))
       waiting.done(Result::Known);
     else
       waiting_.push_back(std::move(waiting));
@@ -66,17 +66,19 @@
   if (!waiting_.empty()) schedule_read();
 }
 
-/// In time for the workers to try elsewhere; where the service is merely busy they hear of the next read.
+/// Fails the look-ups in time for their workers to try another controller. While the state store only refuses
+/// requests because it is busy, look-ups wait for the next read for at most kReadTimeout.
 void UnfinishedJobs::read_failed(StateStatus status) {
-  std::vector<Waiting> patient;
+  std::vector<Waiting> still_waiting;
   for (auto& waiting : std::exchange(waiting_, {})) {
-    bool may_wait = status == StateStatus::Refused && steady_now() - waiting.since <= constants::kReadTimeout;
+    bool may_wait =
+        status == StateStatus::Refused && steady_now() - waiting.started_at <= constants::kReadTimeout;
     if (may_wait)
-      patient.push_back(std::move(waiting));
+      still_waiting.push_back(std::move(waiting));
     else
       waiting.done(Result::Unreadable);
   }
-  waiting_ = std::move(patient);
+  waiting_ = std::move(still_waiting);
   if (!waiting_.empty()) timer_.once(constants::kRetryPause, [this] { read(); });
 }
 
--- a/tests/lease_proxy_test.cc
+++ b/tests/lease_proxy_test.cc
@@ -1,5 +1,5 @@
-// A lease proxy renews only under a record that names the worker, and gives no command but to stop what is
-// over.
+// Tests that a lease proxy renews a lease only while a stored record names the worker, and that it sends no
+// command except to stop tasks of jobs that are over.
 #include "lease_proxy.h"
 
 #include <gtest/gtest.h>
@@ -63,25 +63,24 @@
   EXPECT_EQ(body["orders"][0]["verb"], "halt");
 }
 
-// A zone of a grown site has some 300 machines; a proxy that holds only part of them lets the others' leases
-// run out.
-// A zone in records of 2 KiB, all written in one transaction.
-TEST_F(LeaseProxyTest, HoldsAsManyWorkersAsItsRecordsHaveRoomFor) {
+// A zone of a large cluster has about 300 machines; a proxy that holds only part of them lets the leases of
+// the others expire. The names go into records of 2 KiB, all written in one transaction.
+TEST_F(LeaseProxyTest, RenewsAsManyLeasesAsItsRecordsCanName) {
   put({{"j", 1}, {"c", 0}});
-  int kept = 0;
+  int renewed = 0;
   for (int i = 0; i < 700; ++i) {
     heartbeat.machine = "n-" + std::to_string(100000 + i);
-    kept += renew().first == 200;
+    renewed += renew().first == 200;
   }
-  EXPECT_GE(kept, 500);
-  EXPECT_LT(kept, 700);
+  EXPECT_GE(renewed, 500);
+  EXPECT_LT(renewed, 700);
   std::set<std::string> named;
   for (const auto& [key, value] : state.values()) {
     if (key.rfind("k/", 0) != 0) continue;
     EXPECT_LE(value.dump().size(), 2u * 1024) << key;
     for (const auto& name : parse_lease_proxy_record(value).machines) named.insert(name);
   }
-  EXPECT_EQ(static_cast<int>(named.size()), kept);
+  EXPECT_EQ(static_cast<int>(named.size()), renewed);
 }
 
 TEST_F(LeaseProxyTest, DoesNotAnswerWithoutARecord) {
@@ -91,9 +90,9 @@
   EXPECT_EQ(state.values().count("k/one"), 0u);
 }
 
-// Guards against sending workers on, into the cut: those that come while a record is being written wait for
-// the next one, however many come at once.
-TEST_F(LeaseProxyTest, AllOfAZoneThatComeAtOnceAreAnswered) {
+// Guards against turning away workers, which would then try controllers on the other side of the partition:
+// heartbeats that arrive during a write wait for the next write, however many arrive at once.
+TEST_F(LeaseProxyTest, AllWorkersOfAZoneThatArriveAtOnceAreAnswered) {
   put({{"j", 1}, {"c", 0}});
   int answered = 0, refused = 0;
   for (int i = 0; i < 300; ++i) {
@@ -107,8 +106,9 @@
   EXPECT_EQ(answered, 300);
 }
 
-// An answer of the leader that comes late after all releases a worker whose next report already waits here.
-TEST_F(LeaseProxyTest, AWorkerReleasedWhileItWaitsIsAnsweredAllTheSame) {
+// Guards against a heartbeat that is never answered: a late answer of the leader releases a worker whose next
+// heartbeat already waits here.
+TEST_F(LeaseProxyTest, AWorkerReleasedWhileItWaitsIsStillAnswered) {
   put({{"j", 1}, {"c", 0}});
   ASSERT_EQ(renew().first, 200);  // a record without the next machine is stored
   int first = 0, second = 0;
@@ -123,10 +123,10 @@
   EXPECT_EQ(second, 200);
 }
 
-// A process may be back within a fraction of a second. A worker that its former incarnation answered must
-// stay named until that answer no longer counts, or the leader may start its tasks a second time: it may look
-// too seldom to have seen the former incarnation's record.
-TEST_F(LeaseProxyTest, ANewIncarnationGoesOnNamingWhomTheFormerAnswered) {
+// Guards against tasks started a second time: a process may restart within a fraction of a second, before the
+// leader has read the record of its former incarnation. A worker that the former incarnation answered must
+// stay named until that answer no longer counts.
+TEST_F(LeaseProxyTest, ANewIncarnationStillNamesWorkersThatTheFormerOneAnswered) {
   put({{"j", 1}, {"c", 0}});
   heartbeat.machine = "n-1";
   ASSERT_EQ(renew().first, 200);
@@ -137,8 +137,9 @@
             (std::vector<std::string>{"n-1", "n-2"}));
 }
 
-// A write of a former incarnation, held up on the way, is applied after the new one has written and answered.
-TEST_F(LeaseProxyTest, ALateWriteOfAFormerIncarnationDoesNotReplaceWhatEntitlesThisOne) {
+// A delayed write of a former incarnation must not be applied after the new incarnation has written its
+// record and answered.
+TEST_F(LeaseProxyTest, ALateWriteOfAFormerIncarnationDoesNotReplaceTheRecordsOfThisOne) {
   put({{"j", 1}, {"c", 0}});
   state.faults.held_prefix = "k/";
   lease_proxy->renew(heartbeat, [](const std::optional<std::string>&) {});
@@ -146,7 +147,7 @@
   while (!state.holds_transactions() && steady_now() < until) loop.run_once();
   ASSERT_TRUE(state.holds_transactions());
   state.faults.held_prefix.clear();
-  auto former = std::move(lease_proxy);  // it ended; nobody hears the answer
+  auto former = std::move(lease_proxy);  // the former incarnation has ended and receives no answer
   SetUp();
   heartbeat.machine = "n-2";
   ASSERT_EQ(renew().first, 200);
--- a/tests/peer_exchange_test.cc
+++ b/tests/peer_exchange_test.cc
@@ -1,5 +1,5 @@
-// What controllers tell each other of cancels: every one once, all of them again to a new incarnation, and
-// nothing that a peer says can end a controller or be taken for what it is not.
+// Tests the exchange between controllers: every cancel is sent once, all of them again to a new incarnation,
+// and a malformed message neither ends a controller nor is accepted as valid.
 #include "peer_exchange.h"
 
 #include <gtest/gtest.h>
@@ -23,8 +23,8 @@
     std::unique_ptr<FanInMembership> membership;
     std::unique_ptr<PeerExchange> peers;
   };
-  Controller asks;
-  Controller tells;
+  Controller requester;
+  Controller responder;
   void SetUp() override { spdlog::set_level(spdlog::level::off); }
   void start(Controller& one, const std::string& label, std::vector<PeerAddress> others, double mem_mb = 56) {
     Settings settings;
@@ -41,7 +41,7 @@
     gossip.cancelled = [&one](const std::vector<std::string>& jobs) {
       one.cancelled.insert(jobs.begin(), jobs.end());
     };
-    gossip.all_acknowledged = [&one](double asked_at, double) { one.acknowledged_at = asked_at; };
+    gossip.all_acknowledged = [&one](double requested_at, double) { one.acknowledged_at = requested_at; };
     callbacks.dependency_barrier_at = [&one] { return one.barrier_at; };
     one.cancel_gossip = std::make_unique<CancelGossip>(settings, gossip);
     one.membership = std::make_unique<FanInMembership>(settings, [](const std::vector<std::string>&) {});
@@ -49,13 +49,14 @@
         std::make_unique<PeerExchange>(loop, settings, *one.cancel_gossip, *one.membership, callbacks);
   }
   void pair(double mem_mb = 56) {
-    start(tells, "tells", {}, mem_mb);
-    start(asks, "asks", {{"tells", "a", "127.0.0.1:" + std::to_string(tells.peers->port())}});
-    asks.peers->start();
+    start(responder, "responder", {}, mem_mb);
+    start(requester, "requester",
+          {{"responder", "a", "127.0.0.1:" + std::to_string(responder.peers->port())}});
+    requester.peers->start();
   }
   static std::string id(int n) { return "run-" + std::to_string(100000 + n); }
   http::Result sync(const Json& body) {
-    http::Client client(loop, "127.0.0.1:" + std::to_string(tells.peers->port()), 1, 4);
+    http::Client client(loop, "127.0.0.1:" + std::to_string(responder.peers->port()), 1, 4);
     http::Result result;
     bool done = false;
     client.request("POST", "/peer/sync", codec::pack(body), 5, [&](http::Result reply) {
@@ -67,100 +68,103 @@
   }
 };
 
-// 2,000 within a moment, as when the users of a fleet give up on an outage: each name is heard, sent once,
+// 2,000 cancels at once, as when many users cancel their jobs during an outage: each is received, sent once,
 // and the peer still acknowledges.
 TEST_F(PeerExchangeTest, ThousandsOfCancelsAreSentOnceEachAndStayAcknowledged) {
   pair();
-  for (int i = 0; i < 2000; ++i) tells.cancel_gossip->accept(id(i));
-  ASSERT_TRUE(wait_for([&] { return asks.cancelled.size() >= 2000; }));
+  for (int i = 0; i < 2000; ++i) responder.cancel_gossip->accept(id(i));
+  ASSERT_TRUE(wait_for([&] { return requester.cancelled.size() >= 2000; }));
   double since = steady_now();
-  ASSERT_TRUE(wait_for([&] { return asks.acknowledged_at > since; }));
-  EXPECT_EQ(asks.cancelled.size(), 2000u);
-  for (int i = 0; i < 2000; ++i) EXPECT_EQ(asks.cancelled.count(id(i)), 1u);
-  tells.cancel_gossip->accept(id(2000));
-  EXPECT_TRUE(wait_for([&] { return asks.cancelled.count(id(2000)) == 1; }));
+  ASSERT_TRUE(wait_for([&] { return requester.acknowledged_at > since; }));
+  EXPECT_EQ(requester.cancelled.size(), 2000u);
+  for (int i = 0; i < 2000; ++i) EXPECT_EQ(requester.cancelled.count(id(i)), 1u);
+  responder.cancel_gossip->accept(id(2000));
+  EXPECT_TRUE(wait_for([&] { return requester.cancelled.count(id(2000)) == 1; }));
 }
 
-TEST_F(PeerExchangeTest, APeerThatLostACancelForWantOfRoomDoesNotAcknowledge) {
-  pair(0);  // room for 500
-  ASSERT_TRUE(wait_for([&] { return asks.acknowledged_at > 0; }));
-  for (int i = 0; i < 700; ++i) tells.cancel_gossip->accept(id(i));
+TEST_F(PeerExchangeTest, APeerThatDroppedACancelForLackOfCapacityDoesNotAcknowledge) {
+  pair(0);  // capacity of 500 cancels
+  ASSERT_TRUE(wait_for([&] { return requester.acknowledged_at > 0; }));
+  for (int i = 0; i < 700; ++i) responder.cancel_gossip->accept(id(i));
   double since = steady_now();
-  EXPECT_FALSE(wait_for([&] { return asks.acknowledged_at > since; }, 3));
+  EXPECT_FALSE(wait_for([&] { return requester.acknowledged_at > since; }, 3));
 }
 
-// A former version asks without numbers: it gets as many as it used to take, and is told when there are more.
-TEST_F(PeerExchangeTest, AFormerVersionGetsTheListItKnows) {
+// A former version sends no acknowledgement: it gets at most as many cancels as it accepts, and a flag if
+// there are more.
+TEST_F(PeerExchangeTest, AFormerVersionGetsAnUnnumberedList) {
   pair();
-  for (int i = 0; i < 3; ++i) tells.cancel_gossip->accept(id(i));
+  for (int i = 0; i < 3; ++i) responder.cancel_gossip->accept(id(i));
   auto few = *codec::unpack(sync({{"label", "old"}, {"term", 0}}).body);
   EXPECT_EQ(few["cancels"].size(), 3u);
   EXPECT_FALSE(few.contains("overflow"));
-  for (int i = 3; i < 700; ++i) tells.cancel_gossip->accept(id(i));
+  for (int i = 3; i < 700; ++i) responder.cancel_gossip->accept(id(i));
   auto many = *codec::unpack(sync({{"label", "old"}, {"term", 0}}).body);
   EXPECT_EQ(many["cancels"].size(), 500u);
   EXPECT_TRUE(many["overflow"]);
 }
 
-TEST_F(PeerExchangeTest, ANewIncarnationIsAskedForAllItsCancels) {
+TEST_F(PeerExchangeTest, AllCancelsOfANewIncarnationAreRequested) {
   pair();
-  for (int i = 0; i < 5; ++i) tells.cancel_gossip->accept(id(i));
-  ASSERT_TRUE(wait_for([&] { return asks.cancelled.size() == 5; }));
+  for (int i = 0; i < 5; ++i) responder.cancel_gossip->accept(id(i));
+  ASSERT_TRUE(wait_for([&] { return requester.cancelled.size() == 5; }));
   auto numbered = [&](std::uint64_t told, std::uint64_t by) {
     return (*codec::unpack(sync({{"label", "x"}, {"told", told}, {"told_by", by}}).body))["cancels"].size();
   };
   auto boot = (*codec::unpack(sync({{"label", "x"}}).body))["boot"].get<std::uint64_t>();
   EXPECT_EQ(numbered(3, boot), 2u);
-  EXPECT_EQ(numbered(3, boot + 1), 5u);  // numbers of another life mean nothing
+  EXPECT_EQ(numbered(3, boot + 1), 5u);  // numbers of another incarnation are not valid
   EXPECT_EQ(numbered(1000, boot), 0u);
 }
 
-TEST_F(PeerExchangeTest, ADependencyBarrierIsNeverHeardLaterThanItStands) {
+TEST_F(PeerExchangeTest, AReceivedDependencyBarrierIsNeverLaterThanTheOriginal) {
   pair();
-  tells.barrier_at = steady_now() - 7;
-  ASSERT_TRUE(wait_for([&] { return asks.peers->dependency_barrier_at() > 0; }));
-  EXPECT_LE(asks.peers->dependency_barrier_at(), tells.barrier_at + 0.001);
-  EXPECT_GT(asks.peers->dependency_barrier_at(), tells.barrier_at - 3);
+  responder.barrier_at = steady_now() - 7;
+  ASSERT_TRUE(wait_for([&] { return requester.peers->dependency_barrier_at() > 0; }));
+  EXPECT_LE(requester.peers->dependency_barrier_at(), responder.barrier_at + 0.001);
+  EXPECT_GT(requester.peers->dependency_barrier_at(), responder.barrier_at - 3);
 }
 
 TEST_F(PeerExchangeTest, MalformedMessagesAreNeitherTrustedNorFatal) {
   pair();
-  const std::vector<Json> junk = {
+  const std::vector<Json> malformed = {
       Json::array({1, 2}),
       Json("text"),
       Json(nullptr),
       {{"label", 7}, {"term", "high"}, {"state_age", Json::array()}, {"told", -4}, {"told_by", "x"}},
-      {{"label", "tells"},
+      {{"label", "responder"},
        {"term", 1.5},
        {"state_age", nullptr},
        {"jobs", {{1, 2, 3, 4, 5}, "x", {"run-1", "done"}}}},
-      {{"label", "tells"}, {"jobs", {{"run-1", "queued", "a", 1, ""}, {"run-1", "queued", 1.5, 1, ""}}}}};
-  for (const auto& body : junk) {
+      {{"label", "responder"}, {"jobs", {{"run-1", "queued", "a", 1, ""}, {"run-1", "queued", 1.5, 1, ""}}}}};
+  for (const auto& body : malformed) {
     int status = sync(body).status;
     EXPECT_TRUE(status == 200 || status == 400) << body;
   }
-  // An answer with junk among its cancels: the names that can be are heard, and it acknowledges nothing.
-  http::Server liar(loop, "127.0.0.1:0", 8, [&liar](http::Server::ConnectionId c, http::Request) {
-    liar.respond(c, {200,
-                     codec::pack(Json{{"boot", 1},
-                                      {"label", "liar"},
-                                      {"told", "many"},
-                                      {"settled_age", -1},
-                                      {"overflow", "no"},
-                                      {"cancels", {3, "sheet 7", "run-000001", nullptr}}}),
-                     0, false});
-  });
-  Controller hears;
-  start(hears, "hears", {{"liar", "a", "127.0.0.1:" + std::to_string(liar.port())}});
-  hears.peers->start();
-  ASSERT_TRUE(wait_for([&] { return hears.cancelled.contains("run-000001"); }));
-  EXPECT_FALSE(wait_for([&] { return hears.acknowledged_at > 0; }, 2));
-  EXPECT_LT(hears.peers->dependency_barrier_at(), 0);
-  EXPECT_EQ(hears.cancelled.size(), hears.cancelled.count("run-000001"));
+  // An answer with malformed cancels: the valid ones are received, and the answer acknowledges nothing.
+  http::Server malformed_peer(
+      loop, "127.0.0.1:0", 8, [&malformed_peer](http::Server::ConnectionId c, http::Request) {
+        malformed_peer.respond(c, {200,
+                                   codec::pack(Json{{"boot", 1},
+                                                    {"label", "malformed_peer"},
+                                                    {"told", "many"},
+                                                    {"settled_age", -1},
+                                                    {"overflow", "no"},
+                                                    {"cancels", {3, "sheet 7", "run-000001", nullptr}}}),
+                                   0, false});
+      });
+  Controller receiver;
+  start(receiver, "receiver",
+        {{"malformed_peer", "a", "127.0.0.1:" + std::to_string(malformed_peer.port())}});
+  receiver.peers->start();
+  ASSERT_TRUE(wait_for([&] { return receiver.cancelled.contains("run-000001"); }));
+  EXPECT_FALSE(wait_for([&] { return receiver.acknowledged_at > 0; }, 2));
+  EXPECT_LT(receiver.peers->dependency_barrier_at(), 0);
+  EXPECT_EQ(receiver.cancelled.size(), receiver.cancelled.count("run-000001"));
 }
 
-// Former versions read these fields.
-TEST(SyncMessage, ARequestKeepsItsFormOnTheWire) {
+// Guards against renamed or missing fields, which former versions read.
+TEST(SyncMessage, ARequestKeepsItsWireFormat) {
   SyncRequest request;
   request.status = {"c1", 7, 0.5, "c2", 4, true, FanInAnnouncement{4, 2, {"c1", "c3"}}, 1.5};
   request.acknowledged = CancelAcknowledgement{9, 12};
@@ -179,7 +183,7 @@
   EXPECT_EQ(pack(request), codec::pack(expected));
 }
 
-TEST(SyncMessage, AnAnswerKeepsItsFormOnTheWire) {
+TEST(SyncMessage, AnAnswerKeepsItsWireFormat) {
   SyncAnswer answer;
   answer.status.label = "c1";
   answer.status.incarnation = 7;
--- a/tests/store_relay_test.cc
+++ b/tests/store_relay_test.cc
@@ -1,5 +1,5 @@
-// Messages between controllers that only the state service joins: everything arrives once, bounded in size
-// and rate, and what cannot be sent is given up at once.
+// Tests the relay between controllers that reach only the state store: every message arrives once, records
+// are bounded in size and rate, and a message that cannot be sent is given up at once.
 #include "store_relay.h"
 
 #include <gtest/gtest.h>
@@ -32,8 +32,10 @@
     settings.label = "far";
     far = std::make_unique<StoreRelay>(loop, settings, client, echo);
   }
-  static Json report(int i) { return {{"host", "n-" + std::to_string(i)}, {"parts", std::string(300, 'x')}}; }
-  /// What comes of a heartbeat that `near` sends to `far`; no value: nothing within run_until's time.
+  static Json heartbeat_of(int i) {
+    return {{"host", "n-" + std::to_string(i)}, {"parts", std::string(300, 'x')}};
+  }
+  /// Sends a heartbeat from `near` to `far` and returns the reply; no value: none within run_until's time.
   std::optional<LeaderReply> request(const Json& heartbeat) {
     std::optional<LeaderReply> replied;
     near->request("far", codec::pack(heartbeat), [&](const LeaderReply& reply) { replied = reply; });
@@ -50,10 +52,10 @@
   far->accept_requests(true);
   int answered = 0, wrong = 0;
   for (int i = 0; i < 200; ++i)
-    near->request("far", codec::pack(report(i)), [&, i](const LeaderReply& reply) {
+    near->request("far", codec::pack(heartbeat_of(i)), [&, i](const LeaderReply& reply) {
       ++answered;
       auto echo = codec::unpack(reply.body());
-      wrong += !reply.is_answered() || !echo || *echo != report(i);
+      wrong += !reply.is_answered() || !echo || *echo != heartbeat_of(i);
     });
   run_until([&] { return answered == 200; });
   EXPECT_EQ(answered, 200);
@@ -65,10 +67,11 @@
     ++records;
     EXPECT_LE(value.dump().size(), 8u * 1024) << key;
   }
-  EXPECT_LE(records, 16u);  // a few slots each way, however much was sent
+  EXPECT_LE(records, 16u);  // kStoreRelaySlots each way, however many messages were sent
 }
 
-// Between controllers that read the compact form a heartbeat takes a fraction of its size, and says the same.
+// Between controllers that read the compact encoding, a heartbeat takes a fraction of its size and loses
+// nothing.
 TEST_F(StoreRelayTest, IsCompactBetweenControllersThatReadIt) {
   state.put("v/far", {{"f", 2}});
   far->accept_requests(true);
@@ -88,15 +91,15 @@
                           {{"verb", "halt"}, {"part", "run-000412/1"}, {"try", 4194320}, {"mercyS", 10}},
                           {{"verb", "clear"}, {"part", "run-000399/7"}, {"try", 5}}}}};
   answer_with = codec::pack(command_batch);
-  // The first may be sent before it is known who reads the compact form.
+  // The first request may be sent before `near` has read that `far` reads the compact encoding.
   for (int n = 0; n < 3; ++n) {
     Json answer;
-    bool told = false;
+    bool answered = false;
     near->request("far", codec::pack(full), [&](const LeaderReply& reply) {
       answer = codec::unpack(reply.body()).value_or(Json());
-      told = true;
+      answered = true;
     });
-    run_until([&] { return told; });
+    run_until([&] { return answered; });
     EXPECT_EQ(answer, command_batch);
     ASSERT_EQ(delivered.size(), n + 1u);
     auto sent = codec::parse_heartbeat(full), got = codec::parse_heartbeat(delivered.back());
@@ -117,19 +120,21 @@
   EXPECT_LT(codec::compact_heartbeat(full).dump().size() * 2, full.dump().size());
 }
 
-// A controller that does not lead takes no heartbeats from others, whoever they thought it was.
+// A controller that does not lead takes no heartbeats from other controllers, also if these assume that it
+// leads.
 TEST_F(StoreRelayTest, OnlyALeaderIsDeliveredRequests) {
-  auto reply = request(report(1));
+  auto reply = request(heartbeat_of(1));
   ASSERT_TRUE(reply);
   EXPECT_TRUE(reply->is_unanswered());
   EXPECT_TRUE(delivered.empty());
 }
 
-// The worker behind a heartbeat waits 4 s: in an outage it must hear at once that nothing is sent.
+// The worker that sent a heartbeat waits 4 s: during an outage of the state store, the request must fail at
+// once.
 TEST_F(StoreRelayTest, GivesUpWhenTheStateServiceIsAway) {
   far->accept_requests(true);
   state.faults.unavailable = true;
-  auto reply = request(report(1));
+  auto reply = request(heartbeat_of(1));
   ASSERT_TRUE(reply);
   EXPECT_TRUE(reply->is_unanswered());
   EXPECT_TRUE(delivered.empty());
