--- a/src/leader/leader.cc
+++ b/src/leader/leader.cc
@@ -238,7 +238,7 @@
   if (resumed()) state.dispatcher->flush();
   state.writer->pump();
   if (auto barrier_at = state.dependency_barrier->update()) dependency_barrier_at_ = *barrier_at;
-  if (state.scheduler->wants_cycle()) schedule_cycle();
+  if (state.scheduler->cycle_requested()) schedule_cycle();
 }
 
 void Leader::schedule_cycle() {
--- a/src/scheduler/capacity_index.cc
+++ b/src/scheduler/capacity_index.cc
@@ -147,8 +147,8 @@
     take_out(machine);
     enter_bucket(machine, *buckets);
   }
-  entry.slack = drift(slack, machine.load.slack_slope, machine.worker.last_heard);
-  entry.heat = drift(machine.load.heat, machine.load.heat_slope, machine.worker.last_heard);
+  entry.slack = drift(slack, machine.load.slack_slope, machine.worker.last_heartbeat_at);
+  entry.heat = drift(machine.load.starting, machine.load.starting_slope, machine.worker.last_heartbeat_at);
   entry.bucket->slack.add(entry.slack);
   entry.bucket->heat.add(entry.heat);
 }
--- a/src/scheduler/cluster_state.cc
+++ b/src/scheduler/cluster_state.cc
@@ -9,12 +9,12 @@
 
 namespace {
 
-const Resources kNothing;
+const Resources kNoResources;
 
 template <class Uses>
 const Resources& find_use(const Uses& uses, const std::string& name) {
   auto found = uses.find(name);
-  return found == uses.end() ? kNothing : found->second;
+  return found == uses.end() ? kNoResources : found->second;
 }
 
 }  // namespace
@@ -121,8 +121,8 @@
 
 MachineCapacity ClusterState::machine_capacity(const Machine& machine, double now) const {
   using Use = MachineCapacity::Use;
-  const double silent_at = machine.worker.last_heard + c::kSilentAfterHeartbeats * config_.report_s;
-  if (!takes_work(machine) || now >= silent_at) return {};
+  const double silent_at = machine.worker.last_heartbeat_at + c::kSilentAfterHeartbeats * config_.report_s;
+  if (!accepts_tasks(machine) || now >= silent_at) return {};
   auto until = [&](Use use, double at) { return MachineCapacity{use, "", std::min(at, silent_at)}; };
   if (now < machine.no_capacity_until) return until(Use::Out, machine.no_capacity_until);
   if (now < machine.nomination.until) {
@@ -134,19 +134,19 @@
   return until(Use::Ready, silent_at);
 }
 
-bool ClusterState::takes_work(const Machine& machine) const {
-  return machine.is_up() && !machine.is_decommissioning() && !machine.is_faulty() && !machine.gone_at &&
-         machine.size.cpus > 0 && machine.worker.observed_token >= first_number() &&
+bool ClusterState::accepts_tasks(const Machine& machine) const {
+  return machine.is_up() && !machine.is_decommissioning() && !machine.is_faulty() && !machine.reclaim_at &&
+         machine.size.cpus > 0 && machine.worker.observed_token >= first_sequence_number() &&
          machine.worker.observed_token >= machine.worker.required_token;
 }
 
 bool ClusterState::usable(const Machine& machine, double now) const {
-  return takes_work(machine) && now >= machine.no_capacity_until &&
-         now < machine.worker.last_heard + c::kSilentAfterHeartbeats * config_.report_s;
+  return accepts_tasks(machine) && now >= machine.no_capacity_until &&
+         now < machine.worker.last_heartbeat_at + c::kSilentAfterHeartbeats * config_.report_s;
 }
 
 bool ClusterState::silent(const Machine& machine, double now) const {
-  return now - machine.worker.last_heard > c::kSilentAfterHeartbeats * config_.report_s;
+  return now - machine.worker.last_heartbeat_at > c::kSilentAfterHeartbeats * config_.report_s;
 }
 
 void ClusterState::clear_images(Machine& machine) {
@@ -154,9 +154,9 @@
   machine.images.clear();
 }
 
-void ClusterState::note_image(Machine& machine, const JobSpec& spec) {
+void ClusterState::record_image(Machine& machine, const JobSpec& spec) {
   if (!machine.images.empty() && machine.images.front() == spec.image) return;
-  if (std::erase(machine.images, spec.image)) {  // the same images, only in another order
+  if (std::erase(machine.images, spec.image)) {  // no image is added or evicted: only the order changes
     machine.images.push_front(spec.image);
     return;
   }
@@ -165,7 +165,7 @@
   machine.image_gb[spec.image] = spec.image_gb;
   const MachineType* type = this->type(machine.type);
   if (!type) return;
-  // The worker evicts the least recent ones once its cache is full.
+  // The worker evicts the least recently used images once its cache is full.
   double total_gb = 0;
   for (std::size_t i = 0; i < machine.images.size(); ++i) {
     total_gb += machine.image_gb[machine.images[i]];
@@ -218,7 +218,7 @@
 
 void ClusterState::release_quota(const Job& job) {
   team_use_[job.spec.team] -= job.spec.need;
-  // Classes are whatever users call them: of those that use nothing, nothing is kept.
+  // Users name classes freely, so the entry of a class without any use is erased to bound the map.
   auto use = class_use_.find(job.spec.job_class);
   if (use == class_use_.end()) return;
   constexpr double kRounding = 1e-6;
@@ -272,14 +272,14 @@
 
 // ---------------------------------------------------------------- fencing tokens
 
-std::uint64_t ClusterState::first_number() const { return term_ << c::kTermShift; }
+std::uint64_t ClusterState::first_sequence_number() const { return term_ << c::kTermShift; }
 
 bool ClusterState::superseded_by(std::uint64_t token) const { return (token >> c::kTermShift) > term_; }
 
-std::uint64_t ClusterState::next_number() { return first_number() | ++counter_; }
+std::uint64_t ClusterState::next_sequence_number() { return first_sequence_number() | ++counter_; }
 
 std::uint64_t ClusterState::raise_fencing_token(Machine& machine) {
-  machine.worker.fencing_token = next_number();
+  machine.worker.fencing_token = next_sequence_number();
   machine.worker.required_token = machine.worker.fencing_token;
   return machine.worker.fencing_token;
 }
--- a/src/scheduler/cluster_state.h
+++ b/src/scheduler/cluster_state.h
@@ -1,10 +1,11 @@
-// The scheduler's data: jobs, machines, teams, and everything that is derived from them.
+// The scheduler's data: jobs, machines, teams, and everything derived from them.
 //
-// Owns the configuration, jobs, machines, the catalog, teams and their use of quota, the indexes of jobs and
-// of free capacity, fencing tokens, and what others have yet to be told (changed jobs, notes, machines with
-// commands, the need of a scheduling cycle). It is the only code that changes quota use or an index. It
-// decides nothing and knows nothing of records: modules change a job's or a machine's own fields and then say
-// so by reindex(). Pointers and references to jobs and machines hold until these are removed.
+// Owns the configuration, jobs, machines, the catalog of machine types, teams and their quota use, the
+// indexes of jobs and of free capacity, fencing tokens, and pending notifications (jobs whose displayed state
+// changed, log events, machines that may need commands, the request for a scheduling cycle). Only this class
+// changes quota use or an index. It makes no scheduling decisions and does not handle records: modules change
+// the fields of a job or a machine and then call reindex(). Pointers and references to jobs and machines stay
+// valid until the job or machine is removed.
 #pragma once
 #include <cstdint>
 #include <map>
@@ -25,7 +26,7 @@
 namespace corkmux {
 namespace constants {
 
-inline constexpr double kSilentAfterHeartbeats = 2.6;  // heartbeats missed: nothing is placed there
+inline constexpr double kSilentAfterHeartbeats = 2.6;  // missed heartbeats, then no task is placed there
 
 }  // namespace constants
 
@@ -36,113 +37,116 @@
   ClusterState& operator=(const ClusterState&) = delete;
 
   const SchedulerConfig& config() const { return config_; }
-  /// When this term began here.
+  /// When this term began on this controller.
   double started_at() const { return started_at_; }
 
   // --- the catalog of machine types ---
   void set_catalog(const std::vector<MachineType>& types) { types_ = types; }
   const std::vector<MachineType>& catalog() const { return types_; }
-  /// None if the catalog does not have it.
+  /// Null if the catalog has no type of that name.
   const MachineType* type(const std::string& name) const;
 
   // --- jobs ---
   std::unordered_map<std::string, Job>& jobs() { return jobs_; }
   const std::unordered_map<std::string, Job>& jobs() const { return jobs_; }
-  /// None if there is no such job.
+  /// Null if there is no such job.
   Job* job(const std::string& id);
   const Job* job(const std::string& id) const;
   struct AddedJob {
     Job& job;
-    bool added;  // false: it was known
+    bool added;  // false: the job existed already
   };
-  /// The job gets this revision; a new one is added with all its tasks queued.
+  /// Sets the job's revision; a new job is added with all its tasks queued.
   AddedJob add_job(const JobSpec& spec, std::uint64_t revision, double accepted_at);
-  /// It must have no task on any machine.
+  /// The job must have no task on any machine.
   void remove_job(const std::string& id);
-  /// To be called after every change of what the index knows of a job.
+  /// Must be called after every change of a job field that the index depends on.
   void reindex(Job& job) { job_index_.update(job); }
   const JobIndex& job_index() const { return job_index_; }
-  /// Its tasks count under its new priority from now on.
+  /// Changes the job's priority and counts its active tasks under the new one.
   void set_priority(Job& job, Priority priority);
 
   // --- machines ---
   std::map<std::string, Machine>& machines() { return machines_; }
   const std::map<std::string, Machine>& machines() const { return machines_; }
-  /// None if there is no such machine.
+  /// Null if there is no such machine.
   Machine* machine(const std::string& name);
   const Machine* machine(const std::string& name) const;
   struct AddedMachine {
     Machine& machine;
-    bool added;  // false: it was known
+    bool added;  // false: the machine existed already
   };
-  /// The machine, which is added if it is not known.
+  /// Returns the machine of that name and adds it if there is none.
   AddedMachine add_machine(const std::string& name, double now);
   void remove_machine(const std::string& name);
-  /// Forgets machines known only from a record whose tasks are gone.
+  /// Removes machines that only task records name and that have no tasks left.
   void remove_unknown_machines();
-  /// To be called after every change of what the index knows of a machine.
+  /// Must be called after every change of a machine field that the index depends on.
   void reindex(Machine& machine, double now);
-  /// Where the index has it by its type, zone and kind, which are about to change.
+  /// Must be called before the machine's type, zone or spot flag changes: the index groups machines by these.
   void remove_from_index(Machine& machine) { capacity_index_.remove(machine); }
   const CapacityIndex& capacity_index() const { return capacity_index_; }
-  /// Machines whose indexed capacity holds only until now: each has to be reindexed.
+  /// Machines whose indexed capacity expires at or before `now`; the caller has to reindex each.
   std::vector<Machine*> due_for_reindex(double now) { return capacity_index_.due(now); }
-  /// What the index of free capacity is to say of a machine.
+  /// The machine's capacity as the index of free capacity has to hold it.
   MachineCapacity machine_capacity(const Machine& machine, double now) const;
-  /// It can be placed on, unless it is full or silent.
-  bool takes_work(const Machine& machine) const;
-  /// It can be placed on now.
+  /// Whether tasks can be placed on the machine, unless it is full or silent.
+  bool accepts_tasks(const Machine& machine) const;
+  /// Whether tasks can be placed on the machine now.
   bool usable(const Machine& machine, double now) const;
-  /// Its worker has been silent for longer than heartbeats explain.
+  /// Whether the worker has missed more heartbeats than kSilentAfterHeartbeats allows.
   bool silent(const Machine& machine, double now) const;
-  /// The machine's worker has begun another life: its images are gone.
+  /// Clears the machine's images: a worker starts a new epoch without any.
   void clear_images(Machine& machine);
-  /// The machine has the job's image now, as the most recent one.
-  void note_image(Machine& machine, const JobSpec& spec);
-  /// s until the job's image is there.
+  /// Records that the machine has the job's image, as the most recently used one.
+  void record_image(Machine& machine, const JobSpec& spec);
+  /// s that the machine needs to fetch the job's image; 0 if it has the image.
   double fetch_time(const JobSpec& spec, const Machine& machine) const;
 
   // --- tasks on machines, and what teams use ---
-  /// The queued task takes its place on the machine. The machine has to be reindexed afterwards.
+  /// Assigns the queued task to the machine. The caller has to reindex the machine afterwards.
   void occupy(Job& job, int index, ActiveTask task, Machine& machine);
-  /// The active task's place is empty; its phase stays.
+  /// Removes the active task from its machine and releases its quota; the task's phase stays.
   void vacate(Job& job, int index, double now);
-  /// Asks for a stop of the active task with so much time to save, unless it has to be over sooner already.
+  /// Requests a stop of the active task with `grace_s` to save, unless it already has to stop sooner.
   void request_stop(Job& job, int index, double grace_s);
   const std::map<std::string, Team>& teams() const { return teams_; }
   const Resources& team_use(const std::string& team) const;
-  /// Of that, what is on its way out.
+  /// The part of the team's use that belongs to stopping tasks.
   const Resources& team_stopping(const std::string& team) const;
   const Resources& class_use(const std::string& job_class) const;
-  /// Whether the team's limit lets it use so much more.
+  /// Whether the team stays within its limit if it uses `more` in addition.
   bool within_limit(const std::string& team, const Resources& more) const;
 
   // --- fencing tokens and attempts ---
-  /// The lowest number of this term: a token from there on is this leader's.
-  std::uint64_t first_number() const;
-  /// Whether the token is of a later term than this one.
+  /// The lowest number of this term: tokens from this number on were issued by this leader or a later one.
+  std::uint64_t first_sequence_number() const;
+  /// Whether the token was issued in a later term than this one.
   bool superseded_by(std::uint64_t token) const;
-  std::uint64_t next_number();
-  /// From now on only what the machine reports under this token says that a task is not there.
+  /// The next number of this term, for fencing tokens and attempts.
+  std::uint64_t next_sequence_number();
+  /// Gives the machine a higher fencing token: from now on, only a heartbeat that carries this token confirms
+  /// that a task is absent from the machine. Returns the token.
   std::uint64_t raise_fencing_token(Machine& machine);
 
-  // --- what others have yet to be told ---
-  /// A job's displayed state has changed.
+  // --- pending notifications ---
+  /// Marks the job as one whose displayed state has changed.
   void mark_changed(const std::string& job) { changed_.insert(job); }
   std::unordered_set<std::string> take_changed() { return std::exchange(changed_, {}); }
-  /// One line for the log per event worth an operator's attention.
+  /// Adds a log line for an event that an operator should see.
   void note(std::string line) { notes_.push_back(std::move(line)); }
   std::vector<std::string> take_notes() { return std::exchange(notes_, {}); }
-  /// Something of the machine has changed that can give it commands.
+  /// Marks the machine for CommandQueue, after a change that may leave commands for its worker.
   void mark_for_dispatch(const std::string& machine) { dispatch_candidates_.insert(machine); }
   std::set<std::string> take_dispatch_candidates() { return std::exchange(dispatch_candidates_, {}); }
-  /// Waiting work may find a place now.
-  void request_cycle() { wants_cycle_ = true; }
-  void cycle_begins() { wants_cycle_ = false; }
-  bool wants_cycle() const { return wants_cycle_; }
+  /// Requests a scheduling cycle, after a change that may let a waiting task be placed.
+  void request_cycle() { cycle_requested_ = true; }
+  void cycle_started() { cycle_requested_ = false; }
+  bool cycle_requested() const { return cycle_requested_; }
 
  private:
-  /// A task of a machine counts among what may be stopped there, or among what is stopping; or no longer.
+  /// Adds `by` (1 or -1) to the machine's count of stopping tasks if the task is stopping, else to its count
+  /// of stoppable tasks. Gang members are never counted as stoppable.
   void count_task(Machine& machine, const Job& job, const ActiveTask& task, int by);
   void release_quota(const Job& job);
 
@@ -162,7 +166,7 @@
   std::unordered_set<std::string> changed_;
   std::vector<std::string> notes_;
   std::set<std::string> dispatch_candidates_;
-  bool wants_cycle_ = true;
+  bool cycle_requested_ = true;
 };
 
 }  // namespace corkmux
--- a/src/scheduler/command_queue.cc
+++ b/src/scheduler/command_queue.cc
@@ -57,14 +57,15 @@
     }
     task->stage = Stage::Sent;
     task->minimum_token = kTokenOfNoWorker;
-    machine.worker.last_launch = now;
+    machine.worker.last_launch_at = now;
     out.launches.push_back(id);
     out.attempts.push_back(task->attempt);
     out.commands.push_back({TaskCommand::Op::Start, id.job, id.index, task->attempt, 0});
   }
 }
 
-std::vector<TaskCommand> CommandQueue::take_for_answer(Machine& machine, std::uint64_t seq, double now) {
+std::vector<TaskCommand> CommandQueue::take_launches_for_reply(Machine& machine, std::uint64_t seq,
+                                                               double now) {
   std::vector<TaskCommand> out;
   if (machine.takes_commands_directly() || machine.commands.dispatch_in_flight ||
       !state_.usable(machine, now))
@@ -80,14 +81,14 @@
     task->stage = Stage::Sent;
     task->minimum_token = 0;
     task->after_seq = seq;
-    machine.worker.last_launch = now;
+    machine.worker.last_launch_at = now;
     out.push_back({TaskCommand::Op::Start, id.job, id.index, task->attempt, 0});
   }
   return out;
 }
 
 void CommandQueue::set_unreachable(Machine& machine, double now) {
-  machine.commands.channel = CommandChannel::HeartbeatAnswers;
+  machine.commands.channel = CommandChannel::HeartbeatReplies;
   machine.commands.next_probe_at = now + 2 * state_.config().report_s;
 }
 
@@ -98,7 +99,8 @@
   machine->commands.dispatch_in_flight = false;
   state_.mark_for_dispatch(name);
   if (outcome == DispatchOutcome::Unanswered) {
-    // The launch may still arrive, minutes late: only a higher token that the worker has seen shuts it out.
+    // The launch may still arrive minutes later. The worker rejects it only once it has observed a higher
+    // token.
     state_.raise_fencing_token(*machine);
     state_.reindex(*machine, now);
   }
--- a/src/scheduler/command_queue.h
+++ b/src/scheduler/command_queue.h
@@ -1,8 +1,8 @@
-// Commands for workers: which machines need some, taking them, and what follows from their fate.
+// Collects the commands for each worker and applies the outcome of every batch that was sent.
 //
-// It owns nothing: launches whose assignment is stored stand in each machine's outbox, stops with the task.
-// It needs the cluster's state and TaskLifecycle, which takes back what cannot be sent. It never sends
-// anything itself, and it alone says under which fencing token a command goes.
+// Owns no data: launches whose assignment is stored are in each machine's outbox, and stops are marked on the
+// task. Depends on ClusterState and on TaskLifecycle, which withdraws launches that cannot be sent. It does
+// not send anything itself; it alone decides which fencing token a command carries.
 #pragma once
 #include <cstdint>
 #include <string>
@@ -13,21 +13,21 @@
 
 namespace corkmux {
 
-/// Commands that go to one worker together.
+/// Commands that are sent to one worker in one request.
 struct CommandBatch {
   std::uint64_t fencing_token = 0;
   std::uint64_t worker_epoch = 0;
   std::vector<TaskCommand> commands;
-  std::vector<TaskId> launches;         // those among the commands that start tasks
-  std::vector<std::uint64_t> attempts;  // of each launch
+  std::vector<TaskId> launches;         // tasks that the batch starts
+  std::vector<std::uint64_t> attempts;  // of each launch, in the same order
 };
 
-/// What became of a batch that was sent.
+/// The outcome of sending a batch.
 enum class DispatchOutcome {
   Executed,
-  Refused,     // the worker said so: nothing was done
-  Unsent,      // it was not reached: nothing was done
-  Unanswered,  // anything may have been done, or may yet be
+  Refused,     // the worker rejected the batch: no command was executed
+  Unsent,      // the worker was not reached: no command was executed
+  Unanswered,  // any command may have been executed, or may still be
 };
 
 class CommandQueue {
@@ -35,17 +35,18 @@
   CommandQueue(ClusterState& state, TaskLifecycle& lifecycle) : state_(state), lifecycle_(lifecycle) {}
 
   bool has_commands(const Machine& machine) const;
-  /// Machines that commands can be sent to now; only those that something has changed for are looked at.
+  /// Machines that commands can be sent to now. Checks only machines marked for dispatch since the last call.
   std::vector<std::string> machines_with_commands();
-  /// What is to be sent to the machine of that name; done() has to follow.
+  /// Takes the commands to send to the machine of that name. The caller has to call done() with the outcome.
   CommandBatch take(const std::string& name, double now);
-  /// What became of the batch: launches that were not carried out are withdrawn.
+  /// Applies the outcome of the batch; launches that were not executed are withdrawn.
   void done(const std::string& name, const CommandBatch& batch, DispatchOutcome outcome, double now);
-  /// Launches for a machine that cannot be reached, to go with the answer to that heartbeat.
-  std::vector<TaskCommand> take_for_answer(Machine& machine, std::uint64_t seq, double now);
-  /// Commands cannot be sent to the machine for a while: launches go with answers.
+  /// Takes the launches for an unreachable machine, to be sent with the reply to heartbeat `seq`.
+  std::vector<TaskCommand> take_launches_for_reply(Machine& machine, std::uint64_t seq, double now);
+  /// Stops direct sending to the machine until the next probe; until then launches go with heartbeat replies.
   void set_unreachable(Machine& machine, double now);
-  /// Whether the task's stop has to be sent: one that saves has been told already.
+  /// Whether a stop has to be sent. A saving task has received one, and needs another only without grace
+  /// time.
   static bool needs_stop(const ActiveTask& task);
 
  private:
--- a/src/scheduler/failure_tracker.h
+++ b/src/scheduler/failure_tracker.h
@@ -1,8 +1,8 @@
-// Failures of tasks: machines that are faulty are drained and returned, jobs that fail by themselves are
-// tried again with pauses, and neither is taken for the other.
+// Tracks failures of tasks, to mark faulty machines, which are then drained and returned, and to retry
+// failing jobs with a backoff, without mistaking one for the other.
 //
-// Needs the cluster's state; the failures themselves stand with the machine and the job they speak against.
-// How much they weigh is said by failure_attribution.h. It never moves a task: that is TaskLifecycle's.
+// Depends on ClusterState; the failures are stored with the machine and the job that they count against.
+// failure_attribution.h defines their weight. FailureTracker never moves a task: TaskLifecycle does.
 #pragma once
 #include <cstddef>
 #include <string>
@@ -12,9 +12,9 @@
 namespace corkmux {
 namespace constants {
 
-inline constexpr double kFaultyDelay = 10.0;  // s that failures are weighed before a machine is given up
-inline constexpr std::size_t kFailedJobsRemembered = 8;  // of a machine; two or three decide
-inline constexpr double kCordonTime = 60.0;              // s a machine with a failure is avoided
+inline constexpr double kFaultyDelay = 10.0;  // s from the first failure until a machine can count as faulty
+inline constexpr std::size_t kFailedJobsRemembered = 8;  // per machine; two or three are enough to decide
+inline constexpr double kCordonTime = 60.0;              // s that a machine is avoided after a failure
 
 }  // namespace constants
 
@@ -22,19 +22,19 @@
  public:
   explicit FailureTracker(ClusterState& state) : state_(state) {}
 
-  /// A task of the job failed on the machine.
+  /// Records that a task of the job failed on the machine.
   void task_failed(Machine& machine, Job& job, double now);
-  /// A task of the job completed on the machine.
+  /// Records that a task of the job completed on the machine, which clears the machine's failures.
   void task_completed(Machine& machine, Job& job);
-  /// Weighs what failed on the machine, which may count as faulty from now on.
-  void judge(Machine& machine, double now);
-  /// The job is over: what it says against machines stands, or falls with it.
-  void settle(Job& job);
+  /// Marks the machine as faulty if the failures on it have enough weight and are old enough.
+  void update_health(Machine& machine, double now);
+  /// The job has ended: its failures keep counting against machines only if it completed a task.
+  void job_ended(Job& job);
 
  private:
-  double weight_against(const Machine& machine, const std::string& without_job) const;
-  void retry_with_pauses(Job& job, int machines, double now);
-  void clear_machines_failed_only_by(const Job& job, double now);
+  double total_fault_weight(const Machine& machine, const std::string& without_job) const;
+  void delay_retry(Job& job, int machines, double now);
+  void uncordon_machines_failed_only_by(const Job& job, double now);
 
   ClusterState& state_;
 };
--- a/src/scheduler/heartbeat_reconciler.cc
+++ b/src/scheduler/heartbeat_reconciler.cc
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr double kShortestSlopeInterval = 0.05;  // s between heartbeats that a slope is taken over
+constexpr double kMinSlopeInterval = 0.05;  // s; no slope is computed over shorter heartbeat intervals
 
 Stage stage_of(TaskState state) {
   switch (state) {
@@ -33,9 +33,9 @@
 
 HeartbeatResult HeartbeatReconciler::reconcile(const Heartbeat& heartbeat, HeartbeatChannel channel,
                                                double now) {
-  // Guards against a returned machine that seems alive: a held-back heartbeat of it must not revive it.
+  // A delayed heartbeat of a returned machine must not add the machine again.
   if (machines_.was_returned(heartbeat.machine)) return {};
-  Machine& machine = adopt_machine(heartbeat, now);
+  Machine& machine = find_or_add_machine(heartbeat, now);
   HeartbeatResult refusal;
   refusal.fencing_token = machine.worker.fencing_token;
   refusal.superseded = is_superseded(heartbeat, machine);
@@ -44,31 +44,31 @@
   if (heartbeat.worker_epoch > machine.worker.epoch) begin_epoch(heartbeat, machine, now);
   if (state_.silent(machine, now)) state_.request_cycle();
   machine.worker.seq = heartbeat.seq;
-  machine.worker.last_heard = now;
+  machine.worker.last_heartbeat_at = now;
   observe_token(heartbeat, machine, now);
-  note_spot_notice(heartbeat, machine, now);
+  record_spot_notice(heartbeat, machine, now);
 
   Reconciliation pass{heartbeat, channel, now, machine, {}, {}, {}};
   for (const TaskStatus& status : heartbeat.tasks) apply_status(pass, status);
   acknowledge_ended_tasks(pass);
-  prove_absences(pass);
+  mark_absent_tasks_lost(pass);
   update_load(machine, now);
   attach_launches(pass);
   state_.reindex(machine, now);
-  if (machine.gone_at) machines_.drain(machine, now);
+  if (machine.reclaim_at) machines_.drain(machine, now);
   pass.result.fencing_token = machine.worker.fencing_token;
   return std::move(pass.result);
 }
 
-Machine& HeartbeatReconciler::adopt_machine(const Heartbeat& heartbeat, double now) {
+Machine& HeartbeatReconciler::find_or_add_machine(const Heartbeat& heartbeat, double now) {
   Machine& machine = state_.add_machine(heartbeat.machine, now).machine;
-  if (!machine.is_up() || machine.type.empty()) take_in(heartbeat, machine, now);
+  if (!machine.is_up() || machine.type.empty()) register_worker(heartbeat, machine, now);
   if (!heartbeat.address.empty()) machine.address = heartbeat.address;
   state_.mark_for_dispatch(machine.name);
   return machine;
 }
 
-void HeartbeatReconciler::take_in(const Heartbeat& heartbeat, Machine& machine, double now) {
+void HeartbeatReconciler::register_worker(const Heartbeat& heartbeat, Machine& machine, double now) {
   state_.remove_from_index(machine);
   machine.state = MachineState::Up;
   machine.type = heartbeat.type;
@@ -88,7 +88,7 @@
          state_.superseded_by(heartbeat.fencing_token);
 }
 
-// Late and reordered heartbeats say nothing about the present.
+// Late and reordered heartbeats do not describe the machine's present state.
 bool HeartbeatReconciler::is_stale(const Heartbeat& heartbeat, const Machine& machine) {
   if (heartbeat.worker_epoch != machine.worker.epoch) return heartbeat.worker_epoch < machine.worker.epoch;
   return heartbeat.seq <= machine.worker.seq;
@@ -105,21 +105,21 @@
 }
 
 void HeartbeatReconciler::observe_token(const Heartbeat& heartbeat, Machine& machine, double now) {
-  const std::uint64_t first_of_term = state_.first_number();
-  const bool newly_ours =
+  const std::uint64_t first_of_term = state_.first_sequence_number();
+  const bool newly_of_this_term =
       machine.worker.observed_token < first_of_term && heartbeat.fencing_token >= first_of_term;
   machine.worker.observed_token = std::max(machine.worker.observed_token, heartbeat.fencing_token);
-  if (!newly_ours) return;
-  machine.worker.fencing_token_raised_at = now;
+  if (!newly_of_this_term) return;
+  machine.worker.term_token_observed_at = now;
   state_.request_cycle();
 }
 
-void HeartbeatReconciler::note_spot_notice(const Heartbeat& heartbeat, Machine& machine, double now) {
-  if (!heartbeat.notice_s || machine.gone_at) return;
+void HeartbeatReconciler::record_spot_notice(const Heartbeat& heartbeat, Machine& machine, double now) {
+  if (!heartbeat.notice_s || machine.reclaim_at) return;
   const double notice_s = *heartbeat.notice_s;
-  machine.gone_at = now + notice_s;
-  state_.note("machine " + machine.name + " is taken back in " + std::to_string(static_cast<int>(notice_s)) +
-              " s: drained");
+  machine.reclaim_at = now + notice_s;
+  state_.note("machine " + machine.name + " is reclaimed by the cloud in " +
+              std::to_string(static_cast<int>(notice_s)) + " s: drained");
 }
 
 void HeartbeatReconciler::apply_status(Reconciliation& pass, const TaskStatus& status) {
@@ -132,7 +132,7 @@
     return;
   }
   if (!assigned) {
-    // Nothing we hold stored says that this may run: a cancelled, finished or superseded attempt.
+    // No stored assignment allows this attempt to run: it was cancelled, finished or superseded.
     pass.result.commands.push_back(command(TaskCommand::Op::Stop, status));
     return;
   }
@@ -143,7 +143,7 @@
   task->worker_epoch = pass.heartbeat.worker_epoch;
   task->minimum_token = 0;
   task->after_seq = 0;
-  if (task->stage == Stage::Waiting || task->stage == Stage::Running) state_.note_image(machine, job->spec);
+  if (task->stage == Stage::Waiting || task->stage == Stage::Running) state_.record_image(machine, job->spec);
   if (before != task->stage) state_.mark_changed(status.job);
   if (CommandQueue::needs_stop(*task))
     pass.result.commands.push_back(command(TaskCommand::Op::Stop, status, task->grace_s));
@@ -155,74 +155,74 @@
     pass.present.insert({status.job, status.index});
     lifecycle_.exited(*job, status, pass.machine, pass.now);
   }
-  if (!must_keep(status, job)) pass.ended.push_back(command(TaskCommand::Op::Forget, status));
+  if (!worker_must_keep_exit(status, job)) pass.ended.push_back(command(TaskCommand::Op::Forget, status));
 }
 
-// `done` is stored before the worker forgets it; all other ends may be forgotten at once.
-bool HeartbeatReconciler::must_keep(const TaskStatus& status, Job* job) {
+// The worker keeps a `done` exit until the task's record is stored; it may forget any other exit at once.
+bool HeartbeatReconciler::worker_must_keep_exit(const TaskStatus& status, Job* job) {
   return status.why == ExitReason::Done && job && !job->cancelled && status.index < job->spec.tasks &&
          job->phase[static_cast<std::size_t>(status.index)] == TaskPhase::Done &&
          !records_.is_persisted(*job, status.index);
 }
 
-// Guards against a late copy of commands that were carried out: once it has forgotten an attempt, the worker
-// would start it again. So what makes it forget carries a token above that of all launches, and waits while
-// any are on their way; until then the worker knows the attempt, and a copy does nothing.
+// A late copy of an executed command batch must not start an attempt again that the worker has forgotten. The
+// Forget commands therefore carry a token above that of all launches and are held back while a batch is in
+// flight; until then the worker still holds the attempt and ignores the copy.
 void HeartbeatReconciler::acknowledge_ended_tasks(Reconciliation& pass) {
   Machine& machine = pass.machine;
   if (pass.channel != HeartbeatChannel::Heartbeat || pass.ended.empty() ||
       machine.commands.dispatch_in_flight)
     return;
   if (machine.worker.last_launch_token == machine.worker.fencing_token &&
-      !mutation_enabled("what was cleared can be launched again"))
-    machine.worker.fencing_token = state_.next_number();
+      !mutation_enabled("forgotten attempts can be launched again"))
+    machine.worker.fencing_token = state_.next_sequence_number();
   pass.result.commands.insert(pass.result.commands.end(), pass.ended.begin(), pass.ended.end());
 }
 
-// Absence is proof only once no launch of ours can still arrive: a launch whose fate is unknown raised the
-// machine's token, and this worker has seen it; a launch in a heartbeat's answer is settled by the next
-// heartbeat.
-bool HeartbeatReconciler::proves_absence(const Reconciliation& pass, const ActiveTask& task) {
+// A task that a heartbeat does not report is absent only if no launch of it by this leader can still arrive.
+// A launch with an unknown outcome raised the machine's token, so the heartbeat has to carry that token; a
+// launch in the reply to a heartbeat is settled by the worker's next heartbeat.
+bool HeartbeatReconciler::confirms_absence(const Reconciliation& pass, const ActiveTask& task) {
   if (task.stage == Stage::Assigned) return false;
   if (pass.heartbeat.fencing_token < task.minimum_token) return false;
   if (!task.after_seq) return true;
   return pass.channel == HeartbeatChannel::Heartbeat && pass.heartbeat.seq > task.after_seq;
 }
 
-void HeartbeatReconciler::prove_absences(Reconciliation& pass) {
+void HeartbeatReconciler::mark_absent_tasks_lost(Reconciliation& pass) {
   std::vector<TaskId> absent;
   for (const TaskId& id : pass.machine.tasks)
     if (!pass.present.contains(id)) absent.push_back(id);
   for (const TaskId& id : absent) {
     Job* job = state_.job(id.job);
     const ActiveTask* task = job ? job->find_active(id.index) : nullptr;
-    if (task && proves_absence(pass, *task)) lifecycle_.lost(id, "no longer has it", pass.now);
+    if (task && confirms_absence(pass, *task)) lifecycle_.lost(id, "no longer has it", pass.now);
   }
 }
 
 void HeartbeatReconciler::update_load(Machine& machine, double now) {
-  machine.load.heat = 0;
+  machine.load.starting = 0;
   for (const auto& [id, index] : machine.tasks) {
     const Stage stage = state_.jobs().at(id).active.at(index).stage;
-    if (stage != Stage::Running && stage != Stage::Saving) ++machine.load.heat;
+    if (stage != Stage::Running && stage != Stage::Saving) ++machine.load.starting;
   }
   const double slack = machine.slack();
-  if (machine.load.observed_at > 0 && now > machine.load.observed_at + kShortestSlopeInterval) {
+  if (machine.load.observed_at > 0 && now > machine.load.observed_at + kMinSlopeInterval) {
     const double weight = c::kSlopeSmoothing;
     const double passed = now - machine.load.observed_at;
     machine.load.slack_slope =
         (1 - weight) * machine.load.slack_slope + weight * (slack - machine.load.observed_slack) / passed;
-    machine.load.heat_slope = (1 - weight) * machine.load.heat_slope +
-                              weight * (machine.load.heat - machine.load.observed_heat) / passed;
+    machine.load.starting_slope = (1 - weight) * machine.load.starting_slope +
+                                  weight * (machine.load.starting - machine.load.observed_starting) / passed;
   }
   machine.load.observed_slack = slack;
-  machine.load.observed_heat = machine.load.heat;
+  machine.load.observed_starting = machine.load.starting;
   machine.load.observed_at = now;
 }
 
 void HeartbeatReconciler::attach_launches(Reconciliation& pass) {
   if (pass.channel != HeartbeatChannel::Heartbeat) return;
-  const auto launches = commands_.take_for_answer(pass.machine, pass.heartbeat.seq, pass.now);
+  const auto launches = commands_.take_launches_for_reply(pass.machine, pass.heartbeat.seq, pass.now);
   pass.result.commands.insert(pass.result.commands.end(), launches.begin(), launches.end());
 }
 
--- a/src/scheduler/heartbeat_reconciler.h
+++ b/src/scheduler/heartbeat_reconciler.h
@@ -1,8 +1,8 @@
 // Reconciles a worker's heartbeat with the tasks that are assigned to its machine.
 //
-// Owns nothing. It needs the cluster's state and, for what follows from a heartbeat, TaskLifecycle,
-// MachineLifecycle and CommandQueue. Every proof by a worker's word that a task's place is empty is made
-// here, see HeartbeatReconciler::prove_absences().
+// Owns no data. Depends on ClusterState and TaskRecordStore and, to apply what a heartbeat reports, on
+// TaskLifecycle, MachineLifecycle and CommandQueue. Only this module concludes from a heartbeat that a task
+// is absent from its machine, see HeartbeatReconciler::mark_absent_tasks_lost().
 #pragma once
 #include <cstdint>
 #include <set>
@@ -17,16 +17,16 @@
 namespace corkmux {
 namespace constants {
 
-inline constexpr double kSlopeSmoothing = 0.3;  // weight of the newest slope of slack and heat
+inline constexpr double kSlopeSmoothing = 0.3;  // weight of the newest slope of slack and starting tasks
 
 }  // namespace constants
 
-/// How a heartbeat came: by itself, or as the answer to a batch of commands.
+/// How a heartbeat arrived: as a request of the worker, or as the worker's reply to a command batch.
 enum class HeartbeatChannel { Heartbeat, CommandBatch };
 
-/// What a heartbeat's answer is to say.
+/// The content of the reply to a heartbeat.
 struct HeartbeatResult {
-  bool superseded = false;  // the worker obeys a later term than ours
+  bool superseded = false;  // the worker has a token of a later term than this leader's
   std::vector<TaskCommand> commands;
   std::uint64_t fencing_token = 0;
 };
@@ -37,37 +37,39 @@
                       CommandQueue& commands, MachineLifecycle& machines)
       : state_(state), records_(records), lifecycle_(lifecycle), commands_(commands), machines_(machines) {}
 
+  /// Applies the heartbeat to the cluster's state and returns the reply. A heartbeat of a returned machine,
+  /// of a worker with a later leader's token, or one that is stale changes no task.
   HeartbeatResult reconcile(const Heartbeat& heartbeat, HeartbeatChannel channel, double now);
 
  private:
-  /// One heartbeat on its way through the steps.
+  /// The state of one heartbeat's reconciliation.
   struct Reconciliation {
     const Heartbeat& heartbeat;
     HeartbeatChannel channel;
     double now;
     Machine& machine;
     HeartbeatResult result;
-    std::set<TaskId> present;        // assigned tasks that the worker speaks of
-    std::vector<TaskCommand> ended;  // that the worker may forget
+    std::set<TaskId> present;        // assigned tasks that the heartbeat reports
+    std::vector<TaskCommand> ended;  // Forget commands for attempts whose exit the worker need not keep
   };
 
-  // The steps, in their order.
-  Machine& adopt_machine(const Heartbeat& heartbeat, double now);
+  // The steps of reconcile(), in their order.
+  Machine& find_or_add_machine(const Heartbeat& heartbeat, double now);
   bool is_superseded(const Heartbeat& heartbeat, const Machine& machine) const;
   static bool is_stale(const Heartbeat& heartbeat, const Machine& machine);
   void begin_epoch(const Heartbeat& heartbeat, Machine& machine, double now);
   void observe_token(const Heartbeat& heartbeat, Machine& machine, double now);
-  void note_spot_notice(const Heartbeat& heartbeat, Machine& machine, double now);
+  void record_spot_notice(const Heartbeat& heartbeat, Machine& machine, double now);
   void apply_status(Reconciliation& pass, const TaskStatus& status);
   void acknowledge_ended_tasks(Reconciliation& pass);
-  void prove_absences(Reconciliation& pass);
+  void mark_absent_tasks_lost(Reconciliation& pass);
   void update_load(Machine& machine, double now);
   void attach_launches(Reconciliation& pass);
 
-  void take_in(const Heartbeat& heartbeat, Machine& machine, double now);
+  void register_worker(const Heartbeat& heartbeat, Machine& machine, double now);
   void apply_exit(Reconciliation& pass, const TaskStatus& status, Job* job, bool assigned);
-  bool must_keep(const TaskStatus& status, Job* job);
-  static bool proves_absence(const Reconciliation& pass, const ActiveTask& task);
+  bool worker_must_keep_exit(const TaskStatus& status, Job* job);
+  static bool confirms_absence(const Reconciliation& pass, const ActiveTask& task);
 
   ClusterState& state_;
   TaskRecordStore& records_;
--- a/src/scheduler/machine_lifecycle.cc
+++ b/src/scheduler/machine_lifecycle.cc
@@ -10,7 +10,7 @@
 namespace c = constants;
 using Stage = ActiveTask::Stage;
 
-// ---------------------------------------------------------------- the cloud's side
+// ---------------------------------------------------------------- provisioning and return
 
 void MachineLifecycle::machine_provisioned(const std::string& name, const std::string& type,
                                            const std::string& zone, bool spot, double now) {
@@ -26,15 +26,16 @@
   }
 }
 
-bool MachineLifecycle::has_listened(double now) const {
-  const double since = std::max(state_.started_at(), listened_since_);
+bool MachineLifecycle::has_observed_long_enough(double now) const {
+  const double since = std::max(state_.started_at(), observing_since_);
   return now - since > c::kDeadAfterHeartbeats * state_.config().report_s;
 }
 
-bool MachineLifecycle::never_came_up(const Machine& machine, double now) const {
+bool MachineLifecycle::boot_timed_out(const Machine& machine, double now) const {
   const MachineType* type = state_.type(machine.type);
   return !machine.is_up() && !machine.is_decommissioning() && type &&
-         now - machine.provisioned_at > c::kBootLate * type->boot_s + c::kBootGrace && has_listened(now);
+         now - machine.provisioned_at > c::kBootTimeoutFactor * type->boot_s + c::kBootGrace &&
+         has_observed_long_enough(now);
 }
 
 void MachineLifecycle::machines_listed(const std::vector<ListedMachine>& machines, double now) {
@@ -42,18 +43,18 @@
     machine_provisioned(listed.name, listed.type, listed.zone, listed.spot, now - listed.age_s);
     if (was_returned(listed.name)) continue;
     Machine& machine = state_.machines().at(listed.name);
-    if (machine.type.empty()) {  // known so far only from a task's record
+    if (machine.type.empty()) {  // added only because a task record names it
       machine.type = listed.type;
       machine.zone = listed.zone;
       machine.spot = listed.spot;
     }
     if (machine.address.empty()) machine.address = listed.address;
     if (listed.phase == ListedMachine::Phase::Failed && !machine.is_decommissioning()) {
-      state_.note("machine " + listed.name + " failed on its own: returned");
+      state_.note("machine " + listed.name + " is listed as failed by the cloud: returned");
       decommission(listed.name, now);
     }
-    if (never_came_up(machine, now)) {
-      state_.note("machine " + listed.name + " never came up: returned");
+    if (boot_timed_out(machine, now)) {
+      state_.note("machine " + listed.name + " sent no heartbeat within its boot time limit: returned");
       decommission(listed.name, now);
     }
   }
@@ -82,11 +83,12 @@
   for (const std::string& name : names) {
     Machine* machine = state_.machine(name);
     if (!machine) continue;
-    // The cloud's 200 is proof: the machine and everything on it are gone.
+    // The cloud's 200 response confirms that the machine and every task on it are gone.
     lifecycle_.lose_all(*machine, "was returned", now);
     state_.remove_machine(name);
     returned_.insert(name);
-    // Names rise with creation: the oldest are the first that nobody speaks of any more.
+    // Names ascend in order of creation, so the first is the oldest and the first to disappear from late
+    // heartbeats and lists.
     if (returned_.size() > c::kReturnedNames) returned_.erase(returned_.begin());
   }
 }
@@ -96,7 +98,7 @@
   if (task.stop || job.spec.checkpoint_s <= 0) return false;
   if (task.stage != Stage::Running && task.stage != Stage::Waiting && task.stage != Stage::Fetching)
     return false;
-  const bool too_late = machine.gone_at && *machine.gone_at - now < job.spec.save_s;
+  const bool too_late = machine.reclaim_at && *machine.reclaim_at - now < job.spec.save_s;
   return !too_late || machine.is_faulty();
 }
 
@@ -107,7 +109,7 @@
     if (!task || !can_drain(machine, *job, *task, now)) continue;
     const double grace_s = job->spec.save_s + c::kCancelReserve;
     if (job->is_gang()) {
-      // An orderly stop reaches every member at once, or the save fails.
+      // A gang can save only if every member receives its stop at the same time.
       job->draining = true;
       for (const auto& [index, member] : job->active) state_.request_stop(*job, index, grace_s);
     } else {
@@ -139,12 +141,13 @@
       partitioned_until_[name] = now + state_.config().lease_s;
 }
 
-// One or two silent machines are broken; many at once mean that the network is, and they come back one by
-// one. Nor is one broken that a lease proxy answers: its tasks run on beyond a partition.
-bool MachineLifecycle::is_broken(const Machine& machine, double now) const {
+// One or two silent machines of a zone are dead. Many at once mean a network partition, after which they
+// return one by one. A machine whose lease a lease proxy renews is not dead either: its tasks continue to run
+// on the other side of a partition.
+bool MachineLifecycle::is_dead(const Machine& machine, double now) const {
   if (!machine.is_up() || machine.is_decommissioning()) return false;
-  if (now - machine.worker.last_heard <= c::kDeadAfterHeartbeats * state_.config().report_s ||
-      !has_listened(now))
+  if (now - machine.worker.last_heartbeat_at <= c::kDeadAfterHeartbeats * state_.config().report_s ||
+      !has_observed_long_enough(now))
     return false;
   const auto partitioned = partitioned_until_.find(machine.zone);
   return now >= (partitioned == partitioned_until_.end() ? 0 : partitioned->second) &&
@@ -158,11 +161,11 @@
       machine.commands.channel = CommandChannel::Direct;
       state_.mark_for_dispatch(name);
     }
-    if (is_broken(machine, now)) {
+    if (is_dead(machine, now)) {
       state_.note("machine " + name + " is silent: returned to the cloud");
       decommission(name, now);
     }
-    failures_.judge(machine, now);
+    failures_.update_health(machine, now);
     if (!machine.is_faulty() || machine.is_decommissioning()) continue;
     drain(machine, now);
     if (machine.tasks.empty()) decommission(name, now);
@@ -172,8 +175,8 @@
 
 void MachineLifecycle::process_stalled(double now) {
   const SchedulerConfig& config = state_.config();
-  listened_since_ = now;
-  // Workers may have found another controller meanwhile, and come back one by one.
+  observing_since_ = now;
+  // Workers may have switched to another controller during the stall, and return one by one.
   for (const auto& zone : config.zones) {
     double& until = partitioned_until_[zone];
     until = std::max(until, now + config.lease_s);
@@ -184,18 +187,18 @@
 std::vector<std::string> MachineLifecycle::machines_with_expired_leases(double now) const {
   const SchedulerConfig& config = state_.config();
   double lease = config.lease_s * (1 + c::kClockDrift) + c::kProofMargin;
-  if (mutation_enabled("half a lease counts as a whole one")) lease /= 2;
+  if (mutation_enabled("a lease expires after a half of its length")) lease /= 2;
   std::vector<std::string> out;
   for (const auto& [name, machine] : state_.machines()) {
     if (machine.tasks.empty()) continue;
-    // The last moment anybody could have renewed this worker's lease: us, a lease proxy, or a former leader
-    // that has lost the state service and keeps tasks alive for a while, unless the worker already obeys our
-    // term.
-    const bool obeys_us = machine.worker.observed_token >= state_.first_number();
-    const double others_until =
-        obeys_us ? machine.worker.fencing_token_raised_at : state_.started_at() + config.keepalive();
-    const double renewed_until = std::max({machine.worker.last_answered, machine.worker.last_launch,
-                                           machine.worker.renewed_by_proxy_until, others_until});
+    // The last time at which the worker's lease may have been renewed: by this leader, by a lease proxy, or
+    // by a former leader that has lost the state store and still renews leases for keepalive() s. A former
+    // leader cannot renew it any more once the worker has reported a token of this term.
+    const bool has_token_of_term = machine.worker.observed_token >= state_.first_sequence_number();
+    const double renewed_by_others_until =
+        has_token_of_term ? machine.worker.term_token_observed_at : state_.started_at() + config.keepalive();
+    const double renewed_until = std::max({machine.worker.last_reply_at, machine.worker.last_launch_at,
+                                           machine.worker.renewed_by_proxy_until, renewed_by_others_until});
     if (now > renewed_until + lease) out.push_back(name);
   }
   return out;
--- a/src/scheduler/placement.cc
+++ b/src/scheduler/placement.cc
@@ -15,13 +15,13 @@
 
 /// A value that drifts between heartbeats, as it would be by now.
 double extrapolated(double value, double slope, const Machine& machine, double now) {
-  const double age = std::max(0.0, now - machine.worker.last_heard);
+  const double age = std::max(0.0, now - machine.worker.last_heartbeat_at);
   return std::max(0.0, value + age * slope);
 }
 
 double utility(const Machine& machine, double fetch_s, double now) {
   const double slack = extrapolated(machine.slack(), machine.load.slack_slope, machine, now);
-  const double heat = extrapolated(machine.load.heat, machine.load.heat_slope, machine, now);
+  const double heat = extrapolated(machine.load.starting, machine.load.starting_slope, machine, now);
   return std::log2(1 + slack) - c::kGamma * std::log2(1 + heat) - c::kFetchWeight * fetch_s;
 }
 
@@ -59,7 +59,7 @@
   if (group.single) {
     const Machine& machine = *group.single;
     zone.slack += extrapolated(machine.slack(), machine.load.slack_slope, machine, now);
-    zone.heat += extrapolated(machine.load.heat, machine.load.heat_slope, machine, now);
+    zone.heat += extrapolated(machine.load.starting, machine.load.starting_slope, machine, now);
     return;
   }
   const double share = machines / static_cast<double>(group.bucket->machines.size());
@@ -151,7 +151,7 @@
 
 bool Placement::assign_gang(Job& job, Suspects suspects, const std::vector<std::string>& zones, double now) {
   const JobSpec& spec = job.spec;
-  const std::uint64_t attempt = state_.next_number();
+  const std::uint64_t attempt = state_.next_sequence_number();
   double slowest_fetch_s = 0;
   int assigned = 0;
   for (const auto& zone : zones)
@@ -221,7 +221,7 @@
   std::map<std::string, int> tasks_in_zone;
   for (const auto& [index, task] : job.active) ++tasks_in_zone[task.zone];
   // One attempt for all that this call places: a task is placed at most once in it.
-  const std::uint64_t attempt = state_.next_number();
+  const std::uint64_t attempt = state_.next_sequence_number();
   // What fails by itself shows it with one task as well as with all.
   if (job.fails_by_itself) budget = job.active.empty() ? 1 : 0;
   while (placed < budget && job.queued > 0) {
--- a/src/scheduler/scaling.cc
+++ b/src/scheduler/scaling.cc
@@ -159,7 +159,7 @@
   const IdlePolicy idle = idle_policy(scheduler, choices, now);
   DemandByType demand_by_type;
   for (const auto& [name, machine] : scheduler.machines()) {
-    if (machine.is_decommissioning() || machine.is_faulty() || machine.gone_at) continue;
+    if (machine.is_decommissioning() || machine.is_faulty() || machine.reclaim_at) continue;
     count_machine(scheduler, machine, idle.limit_s, now, demand_by_type[machine.type]);
   }
   const auto overflow_types = add_waiting_jobs(scheduler, now, demand_by_type);
--- a/src/scheduler/scheduler.cc
+++ b/src/scheduler/scheduler.cc
@@ -41,7 +41,7 @@
 }
 
 void Scheduler::heartbeat_answered(const std::string& machine, double now) {
-  if (Machine* known = state_.machine(machine)) known->worker.last_answered = now;
+  if (Machine* known = state_.machine(machine)) known->worker.last_reply_at = now;
 }
 
 void Scheduler::set_unreachable(const std::string& machine, double now) {
@@ -60,7 +60,7 @@
     for (int i = 0; job.gang_completed() && i < job.spec.tasks; ++i) TaskRecordStore::recover_done(job, i);
     state_.reindex(job);
     if (job.over()) lifecycle_.note_ending(id);
-    // A task that was ever assigned is proof that all the job depends on was done.
+    // A task is assigned only after all dependencies of its job are done, so a task record proves them met.
     if (!job.task_records.empty()) dependencies_.assume_met(job);
   }
 }
--- a/src/scheduler/scheduler.h
+++ b/src/scheduler/scheduler.h
@@ -1,9 +1,9 @@
-// The scheduler: the front of the modules that hold the cluster's state and decide on it.
+// The scheduler: the facade of the modules that hold the cluster's state and make scheduling decisions.
 //
-// Owns the modules, each of which owns its part of the state, see their headers. It forwards and decides
-// nothing. All are functions of state and time: no input or output, no clock of their own. The Leader actor
-// feeds it jobs, heartbeats, results of the state service and the clock, and carries out what it asks for.
-// All calls are made on the leader's actor.
+// Owns the modules, each of which owns its part of the state, see their headers. It forwards calls and makes
+// no decisions. All modules are functions of state and time: they do no input or output and read no clock.
+// The Leader actor passes in jobs, heartbeats, results of the state store and the time, and executes the
+// requested writes, commands and machine changes. All calls are made on the leader's actor.
 #pragma once
 #include <cstdint>
 #include <map>
@@ -50,50 +50,51 @@
   Scheduler& operator=(const Scheduler&) = delete;
 
   // --- jobs ---
-  /// The job's record as it is stored; `age_s` since it was accepted.
+  /// Adds or updates a job from its stored record, accepted `age_s` seconds ago.
   void upsert_job(const JobSpec& spec, std::uint64_t revision, bool cancelled, double now, double age_s = 0);
-  /// The job's end is stored, or its record is gone.
+  /// Removes the job: its end is stored, or its record is gone.
   void forget_job(const std::string& id);
   Job* job(const std::string& id) { return state_.job(id); }
   const std::unordered_map<std::string, Job>& jobs() const { return state_.jobs(); }
-  /// Tasks of the job that run or save.
+  /// The number of the job's tasks that run or save.
   int running(const Job& job) const;
-  /// Why it waits, for its user; empty if it does not.
+  /// Why the job waits, as a text for its user; empty if it does not wait.
   std::string reason(const Job& job) const;
   /// Jobs whose displayed state changed since the last call.
   std::unordered_set<std::string> take_changed() { return state_.take_changed(); }
-  /// Jobs whose end can be stored now: every task done, or cancelled and off every machine.
+  /// Jobs whose end can be stored now: every task is done, or the job is cancelled and off every machine.
   std::vector<std::string> finished_jobs() const { return lifecycle_.finished_jobs(); }
-  /// s since there was last any unfinished job.
+  /// s since the last time that an unfinished job existed.
   double idle_for(double now) const { return jobs().empty() ? arrivals_.idle_for(now) : 0; }
-  /// s between jobs as they have come of late; 0 while too few have.
+  /// s between recent job submissions; 0 while there are too few.
   double arrival_gap() const { return arrivals_.gap(); }
   Resources team_use(const std::string& team) const { return state_.team_use(team); }
 
   // --- dependencies between jobs ---
-  /// How a job ended, as it is stored.
-  void record_outcome(const std::string& id, Outcome how, double ended_at) {
-    dependencies_.record_outcome(id, how, ended_at);
+  /// Records the stored outcome of a job that has ended.
+  void record_outcome(const std::string& id, Outcome outcome, double ended_at) {
+    dependencies_.record_outcome(id, outcome, ended_at);
   }
-  /// Dependencies of which nothing is known, to be looked up in the store.
+  /// Dependencies with an unknown outcome, to be looked up in the state store.
   const std::set<std::string>& unknown_dependencies() const { return dependencies_.unknown(); }
   /// Whether any job depends on others.
   bool has_dependencies() const { return dependencies_.any(); }
-  /// Jobs that need a cancelled one and whose end is not stored yet.
+  /// Jobs that depend on a cancelled job and whose end is not stored yet.
   std::vector<std::string> dependents_of_cancelled() const { return dependencies_.dependents_of_cancelled(); }
 
   // --- workers ---
+  /// Applies a worker's heartbeat and returns the reply.
   HeartbeatResult on_heartbeat(const Heartbeat& heartbeat, Channel channel, double now) {
     return reconciler_.reconcile(heartbeat, channel, now);
   }
-  /// The worker got the answer to its heartbeat, which renews its lease.
+  /// The reply to the worker's heartbeat was sent, which renews the worker's lease.
   void heartbeat_answered(const std::string& machine, double now);
-  /// Commands cannot be sent to the worker: launches go with the answers for a while.
+  /// The worker is unreachable: until the next probe, launches go with the replies to its heartbeats.
   void set_unreachable(const std::string& machine, double now);
   bool has_commands(const Machine& machine) const { return commands_.has_commands(machine); }
-  /// Machines that commands can be sent to now; only those that something has changed for are looked at.
+  /// Machines that commands can be sent to now. Checks only machines marked for dispatch since the last call.
   std::vector<std::string> machines_with_commands() { return commands_.machines_with_commands(); }
-  /// What is to be sent to the machine; dispatch_done() has to follow.
+  /// Takes the commands to send to the machine. The caller has to call dispatch_done() with the outcome.
   CommandBatch take_commands(const std::string& machine, double now) { return commands_.take(machine, now); }
   void dispatch_done(const std::string& machine, const CommandBatch& batch, DispatchOutcome outcome,
                      double now) {
@@ -106,26 +107,26 @@
   const MachineType* type(const std::string& name) const { return state_.type(name); }
   const std::map<std::string, Machine>& machines() const { return state_.machines(); }
   Machine* machine(const std::string& name) { return state_.machine(name); }
-  /// The machine was asked for.
+  /// Adds a machine that was requested from the cloud.
   void machine_provisioned(const std::string& name, const std::string& type, const std::string& zone,
                            bool spot, double now) {
     machines_.machine_provisioned(name, type, zone, spot, now);
   }
-  /// The cloud's list of machines.
+  /// Applies the cloud's list of machines.
   void machines_listed(const std::vector<ListedMachine>& list, double now) {
     machines_.machines_listed(list, now);
   }
-  /// The cloud has taken the machines back.
+  /// The cloud has deleted the machines: their tasks are lost.
   void machines_deleted(const std::vector<std::string>& names, double now) {
     machines_.machines_deleted(names, now);
   }
-  /// The machine takes no new work and is to be returned.
+  /// Stops placing tasks on the machine and lists it for its return.
   void decommission(const std::string& machine, double now) { machines_.decommission(machine, now); }
   /// Machines to be returned to the cloud.
   std::vector<std::string> decommissioning() const { return machines_.decommissioning(); }
   bool usable(const Machine& machine, double now) const { return state_.usable(machine, now); }
-  /// Machines with tasks whose leases have run out unless a lease proxy has renewed them: to be asked before
-  /// the tasks count as lost.
+  /// Machines with tasks whose leases have expired unless a lease proxy has renewed them. The lease proxies
+  /// have to be queried before the tasks count as lost.
   std::vector<std::string> machines_with_expired_leases(double now) const {
     return machines_.machines_with_expired_leases(now);
   }
@@ -133,72 +134,72 @@
   void renewed_by_proxy(const std::string& machine, double until) {
     machines_.renewed_by_proxy(machine, until);
   }
-  /// The machine's lease has run out for certain: its tasks are lost.
+  /// The machine's lease has certainly expired: its tasks are lost.
   void lease_expired(const std::string& machine, double now) { machines_.lease_expired(machine, now); }
-  /// Whether some machine has been silent for longer than heartbeats explain: a lease proxy may answer it.
+  /// Whether a machine was silent at the last tick: a lease proxy may be renewing its lease.
   bool any_silent() const { return machines_.any_silent(); }
 
   // --- time and placement ---
   void tick(double now);
-  /// The process stood still until now: machines were not silent, we did not listen.
+  /// The process was stalled until now and received no heartbeats, so machines do not count as silent.
   void process_stalled(double now) { machines_.process_stalled(now); }
-  /// One scheduling cycle.
+  /// Runs one scheduling cycle.
   void schedule(double now) { cycle_.run(now); }
-  bool wants_cycle() const { return state_.wants_cycle(); }
+  bool cycle_requested() const { return state_.cycle_requested(); }
 
-  // --- task records in the state service ---
-  /// A stored record; those in format V2 in key order and before those in V1.
+  // --- task records in the state store ---
+  /// Loads a stored record. Records in format V2 have to be loaded in key order and before those in V1.
   Loaded load_record(const std::string& key, const nlohmann::json& value, std::uint64_t revision) {
     return records_.load(key, value, revision);
   }
-  /// All records have been given.
+  /// All records have been loaded.
   void records_loaded();
-  /// From now on records are written in format V2: every controller reads it.
+  /// Writes records in format V2 from now on, once every controller can read it.
   void use_v2_records() { records_.use_format(RecordFormat::V2); }
   bool uses_v2_records() const { return records_.format() == RecordFormat::V2; }
-  /// A record was refused as too large although it kept to the limits that we know of.
+  /// The state store refused a record as too large although it is within the configured limits.
   void records_refused() { records_.halve_record_size(); }
-  /// What launches wait for comes first; the rest is written while there are changes to spare, or once it has
-  /// waited for a while.
-  std::vector<TaskRecordWrite> next_writes(int most, bool spare, double now) {
-    return records_.next_writes(most, spare, now);
+  /// The next records to write, `max_writes` at most. Records that launches wait for come first; the others
+  /// are included if `spare` allows, or once they have waited for a while.
+  std::vector<TaskRecordWrite> next_writes(int max_writes, bool spare, double now) {
+    return records_.next_writes(max_writes, spare, now);
   }
-  /// The batch is stored under that revision: what it assigns may be sent.
+  /// The batch is stored under that revision: launches of the tasks that it assigns may be sent.
   void records_written(const std::vector<TaskRecordWrite>& batch, std::uint64_t revision, double now) {
     lifecycle_.records_written(batch, revision, now);
   }
-  /// None of the batch is known to be stored.
+  /// The write failed: no record of the batch is known to be stored.
   void write_failed(const std::vector<TaskRecordWrite>& batch) { records_.write_failed(batch); }
-  /// The stored record has another revision than was thought.
+  /// The stored record has another revision than the scheduler assumed.
   void set_record_revision(const TaskRecordWrite& write, std::uint64_t revision) {
     records_.set_revision(write, revision);
   }
   /// The keys of a job's records, for their removal.
   std::vector<std::string> record_keys(const Job& job) const { return records_.keys(job); }
-  /// Records that others have replaced, to be removed.
+  /// Keys of records that other records have replaced, to be removed.
   std::vector<std::string> take_replaced() { return records_.take_replaced(); }
 
   // --- for the log and for tests ---
   const SchedulerConfig& config() const { return state_.config(); }
-  /// Jobs, buckets of free capacity, machines and tasks looked at by cycles so far: the work done, counted
-  /// and not timed.
+  /// Jobs, buckets of free capacity, machines and tasks examined by scheduling cycles so far: a measure of
+  /// work that does not depend on the speed of the machine.
   std::uint64_t items_examined() const {
     return cycle_.items_examined() + claims_.items_examined() + preemption_.items_examined() +
            placement_.items_examined() + search_.items_examined() + job_index().items_examined();
   }
   const JobIndex& job_index() const { return state_.job_index(); }
   const CapacityIndex& capacity_index() const { return state_.capacity_index(); }
-  /// What the index of free capacity has to say of a machine.
+  /// The machine's capacity as the index of free capacity has to hold it.
   MachineCapacity machine_capacity(const Machine& machine, double now) const {
     return state_.machine_capacity(machine, now);
   }
-  /// One line per event worth an operator's attention; the actor logs them.
+  /// One line per event that an operator should see; the Leader actor logs them.
   std::vector<std::string> take_notes() { return state_.take_notes(); }
-  /// One line per placed gang, when the configuration asks for it.
+  /// One line per placed gang, if SchedulerConfig::details is set.
   std::vector<std::string> take_placement_details() { return placement_.take_details(); }
 
  private:
-  // Each module after those it needs.
+  // Each module is declared after the modules that it depends on.
   ClusterState state_;
   ArrivalTracker arrivals_;
   FreedCapacity freed_capacity_;
--- a/src/scheduler/scheduling_cycle.cc
+++ b/src/scheduler/scheduling_cycle.cc
@@ -149,7 +149,7 @@
 }
 
 void SchedulingCycle::run(double now) {
-  state_.cycle_begins();
+  state_.cycle_started();
   search_.begin_cycle();
   for (Machine* machine : state_.due_for_reindex(now)) state_.reindex(*machine, now);
   claims_.update_admissions(now);
--- a/src/scheduler/task_lifecycle.cc
+++ b/src/scheduler/task_lifecycle.cc
@@ -33,7 +33,7 @@
   task.reservation_expires_at = now + c::kReservationTimeout + 2 * state_.fetch_time(job.spec, machine);
   task.generation = records_.mark_dirty(job, index, Urgency::Launch, now);
   state_.occupy(job, index, std::move(task), machine);
-  ++machine.load.heat;
+  ++machine.load.starting;
   state_.mark_changed(job.spec.id);
   state_.reindex(machine, now);
   state_.reindex(job);
@@ -200,7 +200,7 @@
 void TaskLifecycle::forget(Job& job) {
   const std::string id = job.spec.id;
   while (!job.active.empty()) unassign(job, job.active.begin()->first, 0);
-  failures_.settle(job);
+  failures_.job_ended(job);
   state_.remove_job(id);
   ending_.erase(id);
 }
--- a/tests/command_queue_test.cc
+++ b/tests/command_queue_test.cc
@@ -1,4 +1,4 @@
-// CommandQueue alone: what is sent to a worker, and what follows from each fate of it.
+// Tests CommandQueue without the other modules: the commands sent to a worker and the effect of each outcome.
 #include "command_queue.h"
 
 #include <gtest/gtest.h>
@@ -14,7 +14,7 @@
   Machine& machine = modules.add_up_machine("n-1");
   Job& job = modules.add_job(array_spec("run-1", "x", 2, 4));
 
-  /// A launch was sent, and this became of it.
+  /// Sends a launch, which has the given outcome.
   CommandBatch dispatch(DispatchOutcome outcome) {
     modules.launch(job, 0, machine);
     EXPECT_EQ(queue.machines_with_commands(), std::vector<std::string>{"n-1"});
@@ -30,11 +30,11 @@
   EXPECT_GT(machine.worker.fencing_token, batch.fencing_token);
   EXPECT_EQ(machine.worker.required_token, machine.worker.fencing_token);
   EXPECT_EQ(job.active.at(0).minimum_token, machine.worker.fencing_token);
-  EXPECT_FALSE(modules.state.usable(machine, 1)) << "nothing is placed behind it";
-  EXPECT_EQ(machine.commands.channel, CommandChannel::HeartbeatAnswers);
+  EXPECT_FALSE(modules.state.usable(machine, 1)) << "no task is placed while the launch may still arrive";
+  EXPECT_EQ(machine.commands.channel, CommandChannel::HeartbeatReplies);
 }
 
-TEST_F(CommandQueueTest, WhatWasNotDoneIsQueuedAgain) {
+TEST_F(CommandQueueTest, LaunchesThatWereNotExecutedAreQueuedAgain) {
   for (auto outcome : {DispatchOutcome::Refused, DispatchOutcome::Unsent}) {
     machine.commands.channel = CommandChannel::Direct;
     const CommandBatch batch = dispatch(outcome);
@@ -45,17 +45,17 @@
   }
 }
 
-TEST_F(CommandQueueTest, LaunchesGoWithTheAnswerOnlyWhileTheWorkerIsNotReached) {
+TEST_F(CommandQueueTest, LaunchesGoWithHeartbeatRepliesOnlyWhileTheWorkerIsUnreachable) {
   modules.launch(job, 0, machine);
-  EXPECT_TRUE(queue.take_for_answer(machine, 7, 1).empty());
+  EXPECT_TRUE(queue.take_launches_for_reply(machine, 7, 1).empty());
   queue.set_unreachable(machine, 1);
   EXPECT_FALSE(queue.has_commands(machine));
-  EXPECT_EQ(queue.take_for_answer(machine, 7, 1).size(), 1u);
+  EXPECT_EQ(queue.take_launches_for_reply(machine, 7, 1).size(), 1u);
   EXPECT_EQ(job.active.at(0).after_seq, 7u);
-  EXPECT_TRUE(queue.take_for_answer(machine, 8, 1).empty()) << "each once";
+  EXPECT_TRUE(queue.take_launches_for_reply(machine, 8, 1).empty()) << "each launch is taken once";
 }
 
-TEST_F(CommandQueueTest, AStopIsSentUnlessTheTaskSavesAlready) {
+TEST_F(CommandQueueTest, AStopIsSentUnlessTheTaskIsAlreadySaving) {
   ActiveTask& task = modules.run(job, 0, machine);
   modules.run(job, 1, machine);
   EXPECT_FALSE(queue.has_commands(machine));
--- a/tests/failure_tracker_test.cc
+++ b/tests/failure_tracker_test.cc
@@ -1,4 +1,4 @@
-// FailureTracker alone: which machines count as faulty and which jobs as failing by themselves.
+// Tests FailureTracker without the other modules: which machines count as faulty and which jobs as failing.
 #include "failure_tracker.h"
 
 #include <gtest/gtest.h>
@@ -20,18 +20,18 @@
 
 TEST_F(FailureTrackerTest, AMachineThatFailsTwoJobsIsFaultyAfterADelay) {
   for (int i = 0; i < 40; ++i) failures.task_failed(machine, first, 0);
-  failures.judge(machine, c::kFaultyDelay);
-  EXPECT_FALSE(machine.is_faulty()) << "one job, however often";
+  failures.update_health(machine, c::kFaultyDelay);
+  EXPECT_FALSE(machine.is_faulty()) << "failures of one job only, however many";
   failures.task_failed(machine, second, 1);
-  failures.judge(machine, c::kFaultyDelay - 0.1);
+  failures.update_health(machine, c::kFaultyDelay - 0.1);
   EXPECT_FALSE(machine.is_faulty());
-  failures.judge(machine, c::kFaultyDelay);
+  failures.update_health(machine, c::kFaultyDelay);
   EXPECT_TRUE(machine.is_faulty());
-  EXPECT_TRUE(first.failed_on.empty()) << "it says nothing against the jobs";
+  EXPECT_TRUE(first.failed_on.empty()) << "failures on a faulty machine do not count against the jobs";
   EXPECT_TRUE(second.failed_on.empty());
 }
 
-TEST_F(FailureTrackerTest, AJobThatFailsOnThreeMachinesWaitsAndTheyAreNoLongerAvoided) {
+TEST_F(FailureTrackerTest, AJobThatFailsOnThreeMachinesIsDelayedAndTheMachinesUncordoned) {
   std::vector<Machine*> others{&modules.add_up_machine("n-2"), &modules.add_up_machine("n-3")};
   failures.task_failed(machine, first, 0);
   failures.task_failed(*others[0], first, 0);
@@ -47,14 +47,14 @@
   EXPECT_EQ(first.not_before, 0);
 }
 
-TEST_F(FailureTrackerTest, OnlyAJobThatDidWellSpeaksAgainstAMachineOnceItIsOver) {
+TEST_F(FailureTrackerTest, FailuresOfAnEndedJobCountOnlyIfItCompletedTasks) {
   failures.task_failed(machine, first, 0);
-  failures.settle(first);
+  failures.job_ended(first);
   EXPECT_TRUE(machine.failures.by_job.empty());
   for (int i = 0; i < 2; ++i) failures.task_failed(machine, second, 0);
   second.done = 4;
-  failures.settle(second);
-  failures.judge(machine, c::kFaultyDelay);
+  failures.job_ended(second);
+  failures.update_health(machine, c::kFaultyDelay);
   EXPECT_TRUE(machine.is_faulty());
 }
 
--- a/tests/index_consistency_test.cc
+++ b/tests/index_consistency_test.cc
@@ -1,4 +1,4 @@
-// What is indexed of jobs and machines, compared with a walk over all of them after every one of many random
+// Compares the indexes of jobs and machines with a scan of all jobs and machines after each of many random
 // events.
 #include <gtest/gtest.h>
 
@@ -18,7 +18,7 @@
   std::map<std::string, Heartbeat> workers;
   std::uint64_t revision = 10;
   double now = 1;
-  int jobs = 0, placed = 0, suspect = 0, kept = 0, stopping = 0, guaranteed = 0, beyond = 0;
+  int jobs = 0, placed = 0, suspect = 0, nominated = 0, stopping = 0, guaranteed = 0, beyond_guarantee = 0;
 
   explicit RandomEvents(unsigned seed) : rng(seed) {
     config.zones = {"a", "b"};
@@ -28,10 +28,10 @@
     scheduler = std::make_unique<Scheduler>(config, 1, 0, seed);
     scheduler->set_catalog({{"plain", {16, 0, 64}, 5, 1, 1, 1, 10, {"a", "b"}},
                             {"gpu", {16, 4, 64}, 5, 1, 5, 2, 10, {"a", "b"}}});
-    for (int i = 0; i < 8; ++i) fresh_worker();
+    for (int i = 0; i < 8; ++i) add_worker();
   }
   int up_to(int n) { return static_cast<int>(rng() % static_cast<unsigned>(n)); }
-  void fresh_worker() {
+  void add_worker() {
     Heartbeat heartbeat;
     heartbeat.machine = "n-" + std::to_string(++revision);
     heartbeat.address = "x";
@@ -68,22 +68,22 @@
     task.state = TaskState::Exited;
     task.why = why;
   }
-  void report(Heartbeat& heartbeat) {
+  void send_heartbeat(Heartbeat& heartbeat) {
     ++heartbeat.seq;
     for (auto& task : heartbeat.tasks) {
       if (task.state == TaskState::Exited) continue;
-      int dice = up_to(20);
-      if (dice == 0) exit(task, ExitReason::Error);
-      if (dice == 1) exit(task, ExitReason::NoRoom);
-      if (dice == 2) exit(task, ExitReason::Done);
-      if (dice > 10) task.state = TaskState::Running;
+      int draw = up_to(20);
+      if (draw == 0) exit(task, ExitReason::Error);
+      if (draw == 1) exit(task, ExitReason::NoRoom);
+      if (draw == 2) exit(task, ExitReason::Done);
+      if (draw > 10) task.state = TaskState::Running;
     }
     auto result = scheduler->on_heartbeat(heartbeat, Scheduler::Channel::Heartbeat, now);
     heartbeat.fencing_token = std::max(heartbeat.fencing_token, result.fencing_token);
-    for (const auto& command : result.commands) obey(heartbeat, command);
+    for (const auto& command : result.commands) execute(heartbeat, command);
     scheduler->heartbeat_answered(heartbeat.machine, now);
   }
-  void obey(Heartbeat& heartbeat, const TaskCommand& command) {
+  void execute(Heartbeat& heartbeat, const TaskCommand& command) {
     auto it = std::find_if(heartbeat.tasks.begin(), heartbeat.tasks.end(), [&](const TaskStatus& task) {
       return task.job == command.job && task.index == command.index;
     });
@@ -122,7 +122,7 @@
             case 0:
               scheduler->machines_deleted({heartbeat->machine}, now);
               workers.erase(heartbeat->machine);
-              fresh_worker();
+              add_worker();
               return;
             case 1:
               scheduler->decommission(heartbeat->machine, now);
@@ -149,7 +149,7 @@
           if (worker != workers.end() && outcome == Scheduler::DispatchOutcome::Executed) {
             worker->second.fencing_token =
                 std::max(worker->second.fencing_token, command_batch.fencing_token);
-            for (const auto& command : command_batch.commands) obey(worker->second, command);
+            for (const auto& command : command_batch.commands) execute(worker->second, command);
           }
           scheduler->dispatch_done(name, command_batch, outcome, now);
         }
@@ -159,7 +159,7 @@
         scheduler->tick(now);
         return;
       default:
-        if (Heartbeat* heartbeat = some_worker()) report(*heartbeat);
+        if (Heartbeat* heartbeat = some_worker()) send_heartbeat(*heartbeat);
     }
   }
 
@@ -201,7 +201,7 @@
           EXPECT_EQ(index.running(team.name, within).count(const_cast<Job*>(job)), 1u) << job->spec.id;
         }
         guaranteed += within;
-        beyond += !within;
+        beyond_guarantee += !within;
       }
       for (bool within : {false, true}) EXPECT_EQ(index.running(team.name, within).size(), running[within]);
     }
@@ -211,25 +211,26 @@
     std::map<const CapacityIndex::CapacityBucket*, std::vector<const Machine*>> members;
     for (const auto& [name, machine] : scheduler->machines()) {
       if (!machine.is_up()) continue;
-      MachineCapacity should = scheduler->machine_capacity(machine, now);
+      MachineCapacity expected = scheduler->machine_capacity(machine, now);
       ASSERT_NE(machine.index_entry.pool, nullptr) << name;
-      EXPECT_EQ(machine.index_entry.use, should.use) << name;
-      EXPECT_EQ(machine.index_entry.nominated_job, should.nominated_job) << name;
-      if (should.use != Use::Out) {
+      EXPECT_EQ(machine.index_entry.use, expected.use) << name;
+      EXPECT_EQ(machine.index_entry.nominated_job, expected.nominated_job) << name;
+      if (expected.use != Use::Out) {
         free_gpus += machine.free.gpus;
         all_gpus += machine.size.gpus;
       }
-      kept += should.use == Use::Nominated;
-      suspect += should.use == Use::Suspect;
+      nominated += expected.use == Use::Nominated;
+      suspect += expected.use == Use::Suspect;
       EXPECT_EQ(scheduler->capacity_index()
-                    .nominated_for(should.nominated_job)
+                    .nominated_for(expected.nominated_job)
                     .count(const_cast<Machine*>(&machine)),
-                should.use == Use::Nominated);
-      bool levels = should.use == Use::Ready || should.use == Use::Suspect;
-      ASSERT_EQ(machine.index_entry.bucket != nullptr, levels) << name;
-      if (levels) {
-        EXPECT_EQ(machine.index_entry.buckets, should.use == Use::Ready ? &machine.index_entry.pool->ready
-                                                                        : &machine.index_entry.pool->suspect);
+                expected.use == Use::Nominated);
+      bool in_bucket = expected.use == Use::Ready || expected.use == Use::Suspect;
+      ASSERT_EQ(machine.index_entry.bucket != nullptr, in_bucket) << name;
+      if (in_bucket) {
+        EXPECT_EQ(machine.index_entry.buckets, expected.use == Use::Ready
+                                                   ? &machine.index_entry.pool->ready
+                                                   : &machine.index_entry.pool->suspect);
         EXPECT_EQ(machine.index_entry.bucket->machines.at(machine.index_entry.position), &machine);
         EXPECT_NEAR(machine.index_entry.bucket->free.cpus, machine.free.cpus, 1e-5) << name;
         EXPECT_NEAR(machine.index_entry.bucket->free.gpus, machine.free.gpus, 1e-5) << name;
@@ -237,49 +238,48 @@
         members[machine.index_entry.bucket].push_back(&machine);
       }
       std::optional<Priority> lowest;
-      int on_their_way_out = 0;
+      int stopping_tasks = 0;
       for (const auto& [id, i] : machine.tasks) {
         const Job& job = scheduler->jobs().at(id);
         ++placed;
         if (job.active.at(i).stop)
-          ++on_their_way_out;
+          ++stopping_tasks;
         else if (job.spec.kind != JobKind::Gang)
           lowest = std::min(lowest.value_or(job.priority), job.priority);
       }
-      stopping += on_their_way_out;
+      stopping += stopping_tasks;
       EXPECT_EQ(machine.index_entry.lowest_stoppable.has_value(), lowest.has_value()) << name;
       if (lowest) {
         EXPECT_EQ(machine.index_entry.lowest_stoppable, static_cast<std::size_t>(*lowest)) << name;
       }
-      EXPECT_EQ(machine.stopping, on_their_way_out) << name;
-      EXPECT_EQ(machine.index_entry.pool->stopping.count(const_cast<Machine*>(&machine)),
-                on_their_way_out > 0)
+      EXPECT_EQ(machine.stopping, stopping_tasks) << name;
+      EXPECT_EQ(machine.index_entry.pool->stopping.count(const_cast<Machine*>(&machine)), stopping_tasks > 0)
           << name;
     }
     EXPECT_NEAR(scheduler->capacity_index().free_gpus(), free_gpus, 1e-6);
     EXPECT_NEAR(scheduler->capacity_index().all_gpus(), all_gpus, 1e-6);
-    std::size_t levels = 0;
+    std::size_t buckets = 0;
     for (const auto& [key, pool] : scheduler->capacity_index().pools())
-      levels += pool.ready.size() + pool.suspect.size();
-    EXPECT_EQ(levels, members.size());
-    for (const auto& [level, machines] : members) {
-      EXPECT_EQ(level->machines.size(), machines.size());
+      buckets += pool.ready.size() + pool.suspect.size();
+    EXPECT_EQ(buckets, members.size());
+    for (const auto& [bucket, machines] : members) {
+      EXPECT_EQ(bucket->machines.size(), machines.size());
       double heat = 0;
       std::map<std::string, int> images;
       for (const auto* machine : machines) {
-        double slope =
-            machine->load.heat <= 0 ? std::max(0.0, machine->load.heat_slope) : machine->load.heat_slope;
-        heat += machine->load.heat + (now - machine->worker.last_heard) * slope;
+        double slope = machine->load.starting <= 0 ? std::max(0.0, machine->load.starting_slope)
+                                                   : machine->load.starting_slope;
+        heat += machine->load.starting + (now - machine->worker.last_heartbeat_at) * slope;
         for (const auto& image : machine->images) ++images[image];
       }
-      EXPECT_NEAR(level->heat.at(now), heat, 1e-6);
-      EXPECT_EQ((std::map<std::string, int>(level->images.begin(), level->images.end())), images);
+      EXPECT_NEAR(bucket->heat.at(now), heat, 1e-6);
+      EXPECT_EQ((std::map<std::string, int>(bucket->images.begin(), bucket->images.end())), images);
     }
   }
 };
 
-TEST(IndexConsistency, SaysWhatAWalkOverAllJobsAndMachinesSays) {
-  int placed = 0, suspect = 0, kept = 0, stopping = 0, guaranteed = 0, beyond = 0;
+TEST(IndexConsistency, MatchesAScanOfAllJobsAndMachines) {
+  int placed = 0, suspect = 0, nominated = 0, stopping = 0, guaranteed = 0, beyond_guarantee = 0;
   for (unsigned seed = 1; seed <= 40 && !::testing::Test::HasFailure(); ++seed) {
     RandomEvents events(seed);
     for (int i = 0; i < 400 && !::testing::Test::HasFailure(); ++i) {
@@ -293,13 +293,13 @@
     }
     placed += events.placed;
     suspect += events.suspect;
-    kept += events.kept;
+    nominated += events.nominated;
     stopping += events.stopping;
     guaranteed += events.guaranteed;
-    beyond += events.beyond;
+    beyond_guarantee += events.beyond_guarantee;
   }
-  // Each of the states was there to be compared.
-  for (int seen : {placed, suspect, kept, stopping, guaranteed, beyond}) EXPECT_GT(seen, 100);
+  // The events reached each of these states often enough to compare it.
+  for (int seen : {placed, suspect, nominated, stopping, guaranteed, beyond_guarantee}) EXPECT_GT(seen, 100);
 }
 
 }  // namespace
--- a/tests/machine_lifecycle_test.cc
+++ b/tests/machine_lifecycle_test.cc
@@ -1,4 +1,4 @@
-// MachineLifecycle alone: leases, silence, and a machine's way back to the cloud.
+// Tests MachineLifecycle without the other modules: leases, silent machines, and the return to the cloud.
 #include "machine_lifecycle.h"
 
 #include <gtest/gtest.h>
@@ -24,37 +24,37 @@
   }
 };
 
-TEST_F(MachineLifecycleTest, ALeaseRunsFromWhoeverCouldHaveRenewedItLast) {
+TEST_F(MachineLifecycleTest, ALeaseRunsFromItsLastPossibleRenewal) {
   Machine& machine = modules.add_up_machine("n-1");
-  EXPECT_TRUE(machines.machines_with_expired_leases(1e6).empty()) << "nothing of it can be lost";
+  EXPECT_TRUE(machines.machines_with_expired_leases(1e6).empty()) << "it has no task that could be lost";
   modules.run(job, 0, machine);
   auto expires_after = [&](double renewed) {
     return machines.machines_with_expired_leases(renewed + lease_s).empty() &&
            machines.machines_with_expired_leases(renewed + lease_s + 0.01) == Names{"n-1"};
   };
   EXPECT_TRUE(expires_after(0));
-  machine.worker.last_answered = 5;
+  machine.worker.last_reply_at = 5;
   EXPECT_TRUE(expires_after(5));
-  machine.worker.last_launch = 6;
+  machine.worker.last_launch_at = 6;
   EXPECT_TRUE(expires_after(6));
   machines.renewed_by_proxy("n-1", 20);
-  machines.renewed_by_proxy("n-1", 10);  // an older word
+  machines.renewed_by_proxy("n-1", 10);  // an earlier time does not shorten the lease
   EXPECT_TRUE(expires_after(20));
-  machine.worker.fencing_token_raised_at = 30;
+  machine.worker.term_token_observed_at = 30;
   EXPECT_TRUE(expires_after(30));
 }
 
-TEST_F(MachineLifecycleTest, AWorkerThatDoesNotObeyThisTermMayBeKeptAliveByAFormerLeader) {
+TEST_F(MachineLifecycleTest, AFormerLeaderMayRenewAWorkerThatHasNoTokenOfThisTerm) {
   Machine& machine = modules.add_up_machine("n-1");
   modules.run(job, 0, machine);
-  machine.worker.observed_token = modules.state.first_number() - 1;
-  const double others_until = SchedulerModules::config().keepalive();
-  ASSERT_GT(others_until, 0);
-  EXPECT_TRUE(machines.machines_with_expired_leases(others_until + lease_s).empty());
-  EXPECT_EQ(machines.machines_with_expired_leases(others_until + lease_s + 0.01), Names{"n-1"});
+  machine.worker.observed_token = modules.state.first_sequence_number() - 1;
+  const double renewed_by_others_until = SchedulerModules::config().keepalive();
+  ASSERT_GT(renewed_by_others_until, 0);
+  EXPECT_TRUE(machines.machines_with_expired_leases(renewed_by_others_until + lease_s).empty());
+  EXPECT_EQ(machines.machines_with_expired_leases(renewed_by_others_until + lease_s + 0.01), Names{"n-1"});
 }
 
-TEST_F(MachineLifecycleTest, DecommissioningTakesBackWhatWasNotSentAndLeavesTheRestRunning) {
+TEST_F(MachineLifecycleTest, DecommissioningWithdrawsUnsentLaunchesAndLeavesOtherTasksRunning) {
   Machine& machine = modules.add_up_machine("n-1");
   modules.run(job, 0, machine);
   modules.launch(job, 1, machine);
@@ -66,24 +66,26 @@
   EXPECT_EQ(modules.state.machine("n-1"), nullptr);
   EXPECT_EQ(job.queued, 4);
   machines.machines_listed({listed("n-1", 2)}, 3);
-  EXPECT_EQ(modules.state.machine("n-1"), nullptr) << "an old list revives nothing";
+  EXPECT_EQ(modules.state.machine("n-1"), nullptr)
+      << "an outdated list does not add a returned machine again";
 }
 
-TEST_F(MachineLifecycleTest, OneSilentMachineIsBrokenAndManyAreAPartition) {
+TEST_F(MachineLifecycleTest, OneSilentMachineIsDeadAndManyAreAPartition) {
   const double dead_after_s = c::kDeadAfterHeartbeats * SchedulerModules::config().report_s;
   for (const char* name : {"n-1", "n-2", "n-3", "n-4"}) modules.add_up_machine(name);
-  auto hear_all_but = [&](const Names& silent, double now) {
+  auto send_heartbeats_except = [&](const Names& silent, double now) {
     for (auto& [name, machine] : modules.state.machines())
-      if (std::find(silent.begin(), silent.end(), name) == silent.end()) machine.worker.last_heard = now;
+      if (std::find(silent.begin(), silent.end(), name) == silent.end())
+        machine.worker.last_heartbeat_at = now;
   };
-  hear_all_but({"n-1"}, dead_after_s);
+  send_heartbeats_except({"n-1"}, dead_after_s);
   machines.tick(dead_after_s);
   EXPECT_TRUE(machines.any_silent());
   EXPECT_TRUE(machines.decommissioning().empty());
   machines.tick(dead_after_s + 0.1);
   EXPECT_EQ(machines.decommissioning(), Names{"n-1"});
   const double later = 3 * dead_after_s;
-  hear_all_but({"n-2", "n-3"}, later);
+  send_heartbeats_except({"n-2", "n-3"}, later);
   machines.tick(later);
   EXPECT_EQ(machines.decommissioning(), Names{"n-1"});
 }
--- a/tests/mutation_test.cc
+++ b/tests/mutation_test.cc
@@ -56,8 +56,8 @@
                      "apart-and-leaders-end", 60},
         MutationCase{"lease_expiry", "keepers are not asked", "scarce", "apart-and-leaders-end", 60},
         MutationCase{"store_relay", "mail for the leader is not read", "scarce", "apart", 60},
-        MutationCase{"lease_length", "half a lease counts as a whole one", "forty", "zone-cut", 10},
-        MutationCase{"acknowledged_commands", "what was cleared can be launched again", "forty",
+        MutationCase{"lease_length", "a lease expires after a half of its length", "forty", "zone-cut", 10},
+        MutationCase{"acknowledged_commands", "forgotten attempts can be launched again", "forty",
                      "orders-again", 5},
         MutationCase{"cancel_gossip", "cancels of peers are not heard", "long", "away-before-anybody-follows",
                      5},
@@ -80,9 +80,9 @@
   auto served = [](const char* mutation) {
     enabled_mutation = mutation;
     Model model(1, 0);
-    model.flood();
+    model.run_overload();
     enabled_mutation.clear();
-    return static_cast<double>(model.ended["slow"]) / model.came["slow"];
+    return static_cast<double>(model.ended["slow"]) / model.submitted["slow"];
   };
   EXPECT_GE(served(""), 0.5);
   EXPECT_LT(served("nothing is kept for who is in arrears"), 0.5);
--- a/tests/placement_test.cc
+++ b/tests/placement_test.cc
@@ -193,12 +193,12 @@
   put("run-small", JobKind::Array, Priority::Low, 3, 4);
   for (double now : {1.0, 45.0, 74.0}) {
     for (int i = 0; i < 20; ++i)
-      simulation.scheduler->machine("m-" + std::to_string(i))->worker.last_heard = now;
+      simulation.scheduler->machine("m-" + std::to_string(i))->worker.last_heartbeat_at = now;
     simulation.scheduler->schedule(now);
     EXPECT_TRUE(simulation.scheduler->job("run-small")->active.empty()) << now;
   }
   for (int i = 0; i < 20; ++i)
-    simulation.scheduler->machine("m-" + std::to_string(i))->worker.last_heard = 76;
+    simulation.scheduler->machine("m-" + std::to_string(i))->worker.last_heartbeat_at = 76;
   simulation.scheduler->schedule(76);
   EXPECT_EQ(simulation.scheduler->job("run-small")->active.size(), 1u);  // one task at a time
 }
--- a/tests/reserved_capacity_test.cc
+++ b/tests/reserved_capacity_test.cc
@@ -108,9 +108,9 @@
 
 TEST_P(Flooded, WhatIsNotUrgentIsServedAllTheSameAndNothingStaysReserved) {
   Model model(GetParam(), 0);
-  model.flood();
-  EXPECT_GE(model.ended["slow"], 0.5 * model.came["slow"]);
-  EXPECT_GE(model.ended["hot"], 0.5 * model.came["hot"] * 200 / 300 * 0.8)
+  model.run_overload();
+  EXPECT_GE(model.ended["slow"], 0.5 * model.submitted["slow"]);
+  EXPECT_GE(model.ended["hot"], 0.5 * model.submitted["hot"] * 200 / 300 * 0.8)
       << "what there is room for, and a fifth";
 }
 INSTANTIATE_TEST_SUITE_P(Models, Flooded, ::testing::Range(1u, 4u));
--- a/tests/scheduler_fixture.h
+++ b/tests/scheduler_fixture.h
@@ -1,4 +1,4 @@
-// What tests of the scheduler feed it: a machine type, workers' heartbeats, jobs.
+// Inputs for tests of the scheduler: a machine type, heartbeats and jobs.
 #pragma once
 #include <string>
 #include <vector>
@@ -12,7 +12,7 @@
   return {"plain", {16, 0, 64}, 50, 1, 1, 1, 10, zones};
 }
 
-/// The first heartbeat of a worker on such a machine.
+/// The first heartbeat of a worker on a machine of plain_type().
 inline Heartbeat first_heartbeat(const std::string& machine, const std::string& zone = "a") {
   Heartbeat heartbeat;
   heartbeat.machine = machine;
@@ -24,7 +24,7 @@
   return heartbeat;
 }
 
-/// The worker sends its first heartbeat and one that shows the token of the answer: it can be placed on.
+/// Sends the worker's first heartbeat and one with the token of the reply, so that tasks can be placed on it.
 inline void join(Scheduler& scheduler, Heartbeat heartbeat, double now = 0) {
   const auto first = scheduler.on_heartbeat(heartbeat, Scheduler::Channel::Heartbeat, now);
   ++heartbeat.seq;
@@ -32,7 +32,7 @@
   scheduler.on_heartbeat(heartbeat, Scheduler::Channel::Heartbeat, now);
 }
 
-/// An array of that many tasks, each on so many CPUs.
+/// An array job of `tasks` tasks with `cpus` CPUs each.
 inline JobSpec array_spec(const std::string& id, const std::string& team, int tasks, double cpus) {
   JobSpec spec;
   spec.id = id;
--- a/tests/scheduler_model.h
+++ b/tests/scheduler_model.h
@@ -1,6 +1,6 @@
-// A plain model of what is around the scheduler, for tests that run it for minutes: machines are faulty or
-// not, jobs are broken or not, and a task runs for a while and ends as these say. Heartbeats and commands
-// once a second.
+// A simple model of the cluster around the scheduler, for tests that run it for minutes of simulated time.
+// Machines may be faulty and jobs broken; a task runs for a fixed time and fails if either is. Heartbeats and
+// commands are exchanged once a second.
 #pragma once
 #include <algorithm>
 #include <map>
@@ -20,16 +20,16 @@
     std::map<std::pair<std::string, int>, double> ends;
   };
   std::map<std::string, Host> hosts;
-  std::map<std::string, double> broken;  // job -> when its user cancels it
-  std::set<std::string> held_failing;    // good jobs that were
+  std::map<std::string, double> broken;  // by job: when its user cancels it
+  std::set<std::string> misjudged_jobs;  // good jobs that counted as failing
   std::mt19937 rng;
   std::uint64_t revision = 100;
   int starts = 0;
-  int of_broken = 0;
-  int good = 0;
+  int broken_job_starts = 0;
+  int good_jobs = 0;
   double run_s = 10;
-  std::map<std::string, int> came;   // jobs of a class
-  std::map<std::string, int> ended;  // of these
+  std::map<std::string, int> submitted;  // jobs, by class
+  std::map<std::string, int> ended;      // jobs that were done, by class
 
   Model(unsigned seed, double faulty) : rng(seed) {
     config.teams = {{"x", 0, 0, 0, 0}};
@@ -43,8 +43,8 @@
       hosts[heartbeat.machine] = {heartbeat, std::uniform_real_distribution<double>(0, 1)(rng) < faulty, {}};
     }
   }
-  /// A drawn job; `broken_share` of them fail wherever they start.
-  void submit_any(double now, double broken_share) {
+  /// Submits a random job; `broken_share` of the jobs fail on every machine.
+  void submit_random(double now, double broken_share) {
     JobSpec spec;
     spec.id = "run-" + std::to_string(++revision);
     spec.team = "x";
@@ -58,20 +58,20 @@
     if (std::uniform_real_distribution<double>(0, 1)(rng) < broken_share)
       broken[spec.id] = now + 100;
     else
-      ++good;
-    put(spec, now);
+      ++good_jobs;
+    submit(spec, now);
   }
-  void put(const JobSpec& spec, double now) {
+  void submit(const JobSpec& spec, double now) {
     scheduler->upsert_job(spec, revision, false, now);
-    ++came[spec.job_class];
+    ++submitted[spec.job_class];
   }
-  void obey(Host& host, const TaskCommand& command, double now) {
+  void execute(Host& host, const TaskCommand& command, double now) {
     auto it = std::find_if(
         host.heartbeat.tasks.begin(), host.heartbeat.tasks.end(),
         [&](const TaskStatus& task) { return task.job == command.job && task.index == command.index; });
     if (command.op == TaskCommand::Op::Start) {
       ++starts;
-      of_broken += broken.contains(command.job);
+      broken_job_starts += broken.contains(command.job);
       host.heartbeat.tasks.push_back(
           {command.job, command.index, command.attempt, TaskState::Running, ExitReason::None, false});
       bool fails = host.faulty || broken.contains(command.job);
@@ -85,7 +85,7 @@
       host.heartbeat.tasks.erase(it);
     }
   }
-  void round(double now) {
+  void step(double now) {
     for (auto& [id, at] : broken)
       if (Job* job = scheduler->job(id); job && now >= at && !job->cancelled)
         scheduler->upsert_job(JobSpec(job->spec), ++revision, true, now);
@@ -114,26 +114,26 @@
       if (machine && scheduler->has_commands(*machine)) {
         auto command_batch = scheduler->take_commands(name, now);
         host.heartbeat.fencing_token = std::max(host.heartbeat.fencing_token, command_batch.fencing_token);
-        for (const auto& command : command_batch.commands) obey(host, command, now);
+        for (const auto& command : command_batch.commands) execute(host, command, now);
         scheduler->dispatch_done(name, command_batch, Scheduler::DispatchOutcome::Executed, now);
       }
       ++host.heartbeat.seq;
       auto result = scheduler->on_heartbeat(host.heartbeat, Scheduler::Channel::Heartbeat, now);
       host.heartbeat.fencing_token = std::max(host.heartbeat.fencing_token, result.fencing_token);
-      for (const auto& command : result.commands) obey(host, command, now);
+      for (const auto& command : result.commands) execute(host, command, now);
       scheduler->heartbeat_answered(name, now);
     }
     for (const auto& [id, job] : scheduler->jobs())
-      if (job.fails_by_itself && !broken.contains(id)) held_failing.insert(id);
+      if (job.fails_by_itself && !broken.contains(id)) misjudged_jobs.insert(id);
   }
-  int lost(bool faulty) const {
+  int returned_machines(bool faulty) const {
     int count = 0;
     for (const auto& [name, host] : hosts)
       count += host.faulty == faulty && !const_cast<Scheduler&>(*scheduler).machine(name);
     return count;
   }
-  /// Three times as much urgent work as the machines hold for 500 s, and beside it some that is not urgent.
-  void flood() {
+  /// For 500 s, submits three times as many urgent tasks as the machines can run, and some low-priority ones.
+  void run_overload() {
     run_s = 40;
     auto job = [&](const char* job_class, Priority priority, int tasks) {
       JobSpec spec;
@@ -149,17 +149,17 @@
     };
     for (double now = 0; now < 700; ++now) {
       if (now > 2 && now < 500) {
-        for (int i = 0; i < 3; ++i) put(job("hot", Priority::High, 5), now);
-        if (static_cast<int>(now) % 10 == 0) put(job("slow", Priority::Low, 4), now);
+        for (int i = 0; i < 3; ++i) submit(job("hot", Priority::High, 5), now);
+        if (static_cast<int>(now) % 10 == 0) submit(job("slow", Priority::Low, 4), now);
       }
-      round(now);
+      step(now);
     }
   }
-  /// Drawn jobs, one in two seconds.
-  void play(double share) {
+  /// Submits random jobs, one every two seconds on average.
+  void run(double broken_share) {
     for (double now = 0; now < 400; ++now) {
-      if (now > 2 && now < 300 && rng() % 2) submit_any(now, share);
-      round(now);
+      if (now > 2 && now < 300 && rng() % 2) submit_random(now, broken_share);
+      step(now);
     }
   }
 };
--- a/tests/scheduler_modules.h
+++ b/tests/scheduler_modules.h
@@ -1,5 +1,5 @@
-// The scheduler's modules up to TaskLifecycle, put together as Scheduler does, for tests that drive one of
-// them alone: no heartbeats, no cycle, no store.
+// The scheduler's modules up to TaskLifecycle, composed as in Scheduler, for tests of a single module without
+// heartbeats, scheduling cycles or a state store.
 #pragma once
 #include <string>
 #include <vector>
@@ -29,7 +29,7 @@
     config.teams = {{"x", 0, 0, 0, 0}, {"y", 0, 0, 0, 0}};
     return config;
   }
-  /// A machine whose worker has been heard now and obeys this term.
+  /// Adds a machine whose worker has just sent a heartbeat with a token of this term.
   Machine& add_up_machine(const std::string& name, double now = 0) {
     Machine& machine = state.add_machine(name, now).machine;
     machine.type = "plain";
@@ -39,9 +39,9 @@
     machine.free = machine.size;
     machine.state = MachineState::Up;
     machine.worker.epoch = 1;
-    machine.worker.last_heard = now;
-    machine.worker.last_answered = now;
-    machine.worker.fencing_token_raised_at = now;
+    machine.worker.last_heartbeat_at = now;
+    machine.worker.last_reply_at = now;
+    machine.worker.term_token_observed_at = now;
     machine.worker.observed_token = machine.worker.fencing_token;
     state.reindex(machine, now);
     return machine;
@@ -49,13 +49,13 @@
   Job& add_job(const JobSpec& spec, double accepted_at = 0) {
     return state.add_job(spec, ++revision, accepted_at).job;
   }
-  /// The task is assigned, and the assignment stored.
+  /// Assigns the task and stores the assignment.
   ActiveTask& launch(Job& job, int index, Machine& machine, double now = 0) {
-    lifecycle.assign(job, index, machine, state.next_number(), now);
+    lifecycle.assign(job, index, machine, state.next_sequence_number(), now);
     lifecycle.records_written(records.next_writes(12, true, now), ++revision, now);
     return job.active.at(index);
   }
-  /// The task has been sent and runs.
+  /// Assigns the task and sets it to running.
   ActiveTask& run(Job& job, int index, Machine& machine, double now = 0) {
     ActiveTask& task = launch(job, index, machine, now);
     machine.commands.outbox.clear();
--- a/tests/test_heartbeat.h
+++ b/tests/test_heartbeat.h
@@ -1,4 +1,4 @@
-// Heartbeats for tests that only need a worker that is up.
+// Heartbeats for tests that need a running worker without tasks.
 #pragma once
 #include <cstdint>
 #include <string>
