--- a/src/controller/controller.cc
+++ b/src/controller/controller.cc
@@ -72,7 +72,7 @@
     leader_.tell([jobs](Leader& leader) { leader.cancelled(jobs); });
   };
   callbacks.all_acknowledged = [this](double asked_at, double youngest) {
-    leader_.tell([=](Leader& leader) { leader.peers_heard(asked_at, youngest); });
+    leader_.tell([=](Leader& leader) { leader.all_peers_answered(asked_at, youngest); });
   };
   return callbacks;
 }
--- a/src/controller/dependency_check.cc
+++ b/src/controller/dependency_check.cc
@@ -23,7 +23,7 @@
   if (finished_) return;
   if (not_looked_up_.empty() && reading_ == 0) return finish({Status::AllAccepted, ""});
   if (steady_now() > until_) return finish({Status::OutOfTime, ""});
-  while (!not_looked_up_.empty() && reading_ < constants::kOutcomeReads) {
+  while (!not_looked_up_.empty() && reading_ < constants::kMaxConcurrentOutcomeReads) {
     auto job = std::move(not_looked_up_.back());
     not_looked_up_.pop_back();
     ++reading_;
--- a/src/controller/store_relay.cc
+++ b/src/controller/store_relay.cc
@@ -48,7 +48,7 @@
   state_.read_all(
       kRecordFormats, "",
       [this](const codec::KeyValue& record) {
-        if (auto label = reader_of_our_format(record)) compact_readers_.insert(*label);
+        if (auto label = reader_of_current_format(record)) compact_readers_.insert(*label);
       },
       [](const ReadEnd&) {});
 }
--- a/src/controller/unfinished_jobs.cc
+++ b/src/controller/unfinished_jobs.cc
@@ -20,7 +20,7 @@
   // Guards against stopping a task whose job was accepted after the jobs were read: only a read that began
   // after the heartbeat came shows that a job is over.
   if (read_at_ >= waiting.since) return true;
-  if (steady_now() - read_at_ > constants::kKnownJob) return false;
+  if (steady_now() - read_at_ > constants::kJobReadMaxAge) return false;
   return std::all_of(waiting.jobs.begin(), waiting.jobs.end(),
                      [this](const std::string& job) { return contains(job); });
 }
@@ -50,7 +50,7 @@
 void UnfinishedJobs::take(const codec::KeyValue& record) {
   auto job = record.key.substr(kJobs.size());
   job.resize(std::min(job.size(), job.find('/')));  // a piece or mark of a job's record counts for the job
-  (says_cancelled(record.value) ? cancelled_ : found_).insert(std::move(job));
+  (is_marked_cancelled(record.value) ? cancelled_ : found_).insert(std::move(job));
 }
 
 void UnfinishedJobs::read_succeeded() {
--- a/src/leader/cancel_acknowledgements.cc
+++ b/src/leader/cancel_acknowledgements.cc
@@ -4,15 +4,17 @@
 
 namespace corkmux {
 
-/// A confirmed term says nothing of cancels, and a watch nothing of the term: the earlier of the two counts.
+/// A confirmed term does not show that all cancels were received, and an answered watch does not confirm the
+/// term: the earlier of the two times counts.
 double CancelAcknowledgements::stored_until() const {
-  return std::min(term_.contact, job_watcher_.seen_at());
+  return std::min(term_.confirmed_until, job_watcher_.observed_until());
 }
 
-/// Guards against a cancel that the state store has and this leader has not seen, since an answer to its
-/// watch was lost: a term that is confirmed says nothing of that.
-void CancelAcknowledgements::peers_acknowledged(double asked_at, double youngest) {
-  if (youngest < stored_until()) acknowledged_until_ = std::max(acknowledged_until_, asked_at);
+/// A peer that restarted after `stored_until()` may have lost cancels that it accepted in its previous
+/// incarnation. Such a cancel is in the state store, but this leader has not received it if an answer to its
+/// watch was lost; a confirmed term does not rule that out. So the acknowledgement does not count then.
+void CancelAcknowledgements::peers_acknowledged(double queried_at, double youngest_seen_at) {
+  if (youngest_seen_at < stored_until()) acknowledged_until_ = std::max(acknowledged_until_, queried_at);
 }
 
 double CancelAcknowledgements::complete_until() const {
--- a/src/leader/cancel_acknowledgements.h
+++ b/src/leader/cancel_acknowledgements.h
@@ -1,8 +1,8 @@
-// Up to when the leader knows every cancel that was confirmed to a user.
+// Computes the time up to which the leader has received every cancel that was confirmed to a user.
 //
-// Two sources say so: the state store, through the watch of job records, and all peers together, which
-// acknowledge that they hold no cancel the leader has not heard of. Owns the peers' part for one term. It
-// never applies a cancel. Used on the leader's actor only.
+// There are two sources: the state store, through the watch on job records, and all peers together, which
+// acknowledge that they hold no cancel that the leader has not received. Owns the peers' acknowledgement for
+// one term; it never applies a cancel. Used on the leader's actor only.
 #pragma once
 #include "job_watcher.h"
 #include "term.h"
@@ -15,10 +15,10 @@
   CancelAcknowledgements(const Term& term, const JobWatcher& job_watcher)
       : term_(term), job_watcher_(job_watcher) {}
 
-  /// All peers were heard: none knows a cancel from before `asked_at` that it has not passed on, and the
-  /// youngest that any of them knows was confirmed to a user at `youngest`.
-  void peers_acknowledged(double asked_at, double youngest);
-  /// s of the steady clock up to which every cancel is known.
+  /// All peers answered: none of them holds a cancel from before `queried_at` that it has not passed on, and
+  /// the youngest incarnation of a peer was first seen at `youngest_seen_at`.
+  void peers_acknowledged(double queried_at, double youngest_seen_at);
+  /// Time up to which every cancel has been received, s of the steady clock.
   double complete_until() const;
 
  private:
--- a/src/leader/command_dispatcher.cc
+++ b/src/leader/command_dispatcher.cc
@@ -40,7 +40,7 @@
       relay_(std::move(relay)),
       own_label_(settings.label),
       connections_(loop, static_cast<std::size_t>(settings.max_connections * c::kCommandConnectionShare)),
-      // Ids contain the term, so that an outcome of a former one finds nothing.
+      // Ids contain the term, so that an outcome of an earlier term matches no command of this one.
       last_id_(term.number << c::kTermShift) {}
 
 void CommandDispatcher::flush() {
@@ -52,9 +52,9 @@
   CommandBatch commands = scheduler_.take_commands(machine, steady_now());
   auto body =
       codec::pack(codec::commands_to_wire(commands.fencing_token, commands.commands, commands.worker_epoch));
-  auto server = servers_.find(machine);
-  if (server != servers_.end() && relay_.reachable(server->second))
-    return add_to_batch(server->second, machine, std::move(commands), std::move(body));
+  auto forwarder = forwarders_.find(machine);
+  if (forwarder != forwarders_.end() && relay_.reachable(forwarder->second))
+    return add_to_batch(forwarder->second, machine, std::move(commands), std::move(body));
   send_directly(machine, std::move(commands), std::move(body));
 }
 
@@ -80,56 +80,57 @@
   callbacks_.changed();
 }
 
-// ---------------------------------------------------------------- through other controllers
+// ---------------------------------------------------------------- commands through other controllers
 
-void CommandDispatcher::served_by(const std::string& machine, const std::string& label) {
+void CommandDispatcher::set_forwarder(const std::string& machine, const std::string& label) {
   if (label.empty())
-    servers_.erase(machine);
+    forwarders_.erase(machine);
   else
-    servers_[machine] = label;
+    forwarders_[machine] = label;
 }
 
-void CommandDispatcher::add_to_batch(const std::string& server, const std::string& machine,
+void CommandDispatcher::add_to_batch(const std::string& forwarder, const std::string& machine,
                                      CommandBatch commands, std::string body) {
   auto id = ++last_id_;
-  batches_[server].push_back({id, machine, scheduler_.machine(machine)->address, std::move(body)});
+  batches_[forwarder].push_back({id, machine, scheduler_.machine(machine)->address, std::move(body)});
   double deadline = steady_now() + c::kCommandTimeout + kRelayedOutcomeSlack;
-  relayed_.emplace(id, Relayed{machine, server, std::move(commands), deadline});
+  relayed_.emplace(id, RelayedCommands{machine, forwarder, std::move(commands), deadline});
 }
 
 void CommandDispatcher::post_batches() {
   auto batches = std::exchange(batches_, {});
-  for (auto& [server, commands] : batches) post_in_messages(server, std::move(commands));
+  for (auto& [forwarder, commands] : batches) post_in_messages(forwarder, std::move(commands));
 }
 
-void CommandDispatcher::post_in_messages(const std::string& server,
+void CommandDispatcher::post_in_messages(const std::string& forwarder,
                                          std::vector<fanin::ForwardedCommands> commands) {
   std::vector<fanin::ForwardedCommands> message;
   std::size_t bytes = 0;
   for (auto& to_worker : commands) {
     auto size = fanin::size_of(to_worker);
     if (bytes + size > c::kBatchBytes && !message.empty()) {
-      post(server, std::exchange(message, {}));
+      post(forwarder, std::exchange(message, {}));
       bytes = 0;
     }
     bytes += size;
     message.push_back(std::move(to_worker));
   }
-  post(server, message);
+  post(forwarder, message);
 }
 
-void CommandDispatcher::post(const std::string& server,
+void CommandDispatcher::post(const std::string& forwarder,
                              const std::vector<fanin::ForwardedCommands>& commands) {
   std::vector<std::uint64_t> ids;
   for (const auto& to_worker : commands) ids.push_back(to_worker.id);
   auto posted = [this, ids](const http::Result& result) {
-    // Taken: each outcome comes by itself. Not answered: so it may, or the time runs out.
-    bool untaken = (result.status == 0 && !result.sent) || result.status >= 400;
-    if (!untaken && !mutation_enabled("an unanswered batch of orders counts as unsent")) return;
+    // If the batch was accepted, an outcome follows for each worker. If the post was not answered, outcomes
+    // may still follow; otherwise the deadline settles the commands.
+    bool not_accepted = (result.status == 0 && !result.sent) || result.status >= 400;
+    if (!not_accepted && !mutation_enabled("an unanswered batch of commands counts as unsent")) return;
     if (result.ok()) return;
     for (auto id : ids) settle_relayed(id, Outcome::Unsent, "");
   };
-  relay_.post(server, fanin::pack(fanin::ForwardedCommandBatch{own_label_, commands}),
+  relay_.post(forwarder, fanin::pack(fanin::ForwardedCommandBatch{own_label_, commands}),
               term_.guard(std::move(posted)));
 }
 
@@ -137,17 +138,18 @@
   settle_relayed(outcome.id, outcome_of(outcome.reply), outcome.reply.body());
 }
 
-/// Guards against an outcome that comes twice, late, or for a former term: its commands are settled already.
+/// Ignores an outcome that arrives twice, late, or for an earlier term: its commands are settled already.
 void CommandDispatcher::settle_relayed(std::uint64_t id, Outcome outcome, const std::string& body) {
   auto entry = relayed_.extract(id);
   if (!entry) return;
-  Relayed& relayed = entry.mapped();
-  // A controller that did not get through is not tried again before it forwards for the machine once more.
-  if (outcome == Outcome::Unsent || outcome == Outcome::Unanswered) servers_.erase(relayed.machine);
+  RelayedCommands& relayed = entry.mapped();
+  // A controller that did not reach the worker gets no further commands for this machine until it forwards a
+  // heartbeat of it again.
+  if (outcome == Outcome::Unsent || outcome == Outcome::Unanswered) forwarders_.erase(relayed.machine);
   settle(relayed.machine, relayed.commands, outcome, body);
 }
 
-// ---------------------------------------------------------------- single workers and time
+// ---------------------------------------------------------------- inspection and deadlines
 
 void CommandDispatcher::inspect(const std::string& machine) {
   auto inspected = [this](const http::Result& result) {
@@ -161,7 +163,7 @@
 }
 
 void CommandDispatcher::forget_unknown_machines() {
-  std::erase_if(servers_, [this](const auto& entry) { return !scheduler_.machine(entry.first); });
+  std::erase_if(forwarders_, [this](const auto& entry) { return !scheduler_.machine(entry.first); });
 }
 
 void CommandDispatcher::sweep() {
--- a/src/leader/command_dispatcher.h
+++ b/src/leader/command_dispatcher.h
@@ -1,9 +1,9 @@
-// Sends the scheduler's commands to workers and asks single workers for a heartbeat.
+// Sends the scheduler's commands to workers and requests heartbeats of single workers.
 //
 // Commands to a worker whose heartbeats another controller forwards go through that controller, many in one
-// message; others go directly. Owns the requests in flight and which controller forwards for which machine.
-// What an unanswered command means is the scheduler's to decide, and it is the same for both ways: a command
-// that was not answered may still be executed. An actor of one term.
+// message; other commands are sent to the worker directly. Owns the requests in flight and the map from
+// machines to forwarding controllers. The scheduler decides how an unanswered command is handled, in the same
+// way for both routes: an unanswered command may still be executed. An actor of one term.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -23,14 +23,14 @@
 namespace corkmux {
 
 namespace constants {
-/// Of a controller's sockets, for idle connections on which commands are sent.
+/// Share of a controller's sockets that may be idle connections for commands.
 inline constexpr double kCommandConnectionShare = 0.25;
 }  // namespace constants
 
-/// How commands reach the controllers that workers are connected to.
+/// Functions that send commands to the controllers that workers are connected to.
 struct CommandRelay {
   using PostCallback = std::function<void(http::Result)>;
-  /// Whether that controller has been heard lately.
+  /// Whether that controller has answered recently.
   std::function<bool(const std::string& label)> reachable;
   /// Posts a batch of commands to that controller.
   std::function<void(const std::string& label, std::string body, PostCallback done)> post;
@@ -41,39 +41,39 @@
   CommandDispatcher(Loop& loop, const Settings& settings, Term& term, Scheduler& scheduler,
                     TermCallbacks callbacks, CommandRelay relay);
 
-  /// Sends whatever the scheduler has for machines that can be sent to now.
+  /// Sends the scheduler's pending commands to all machines that can take commands now.
   void flush();
-  /// Asks a worker for its heartbeat.
+  /// Requests a worker's heartbeat.
   void inspect(const std::string& machine);
-  /// Closes idle connections and settles what other controllers have not answered in time.
+  /// Closes idle connections, and settles commands whose outcome another controller has not reported in time.
   void sweep();
-  /// Forgets which controller forwards for machines that are gone.
+  /// Removes the forwarding entries of machines that no longer exist.
   void forget_unknown_machines();
-  /// Whether nothing is unanswered.
+  /// Whether no command is unanswered.
   bool idle() const { return in_flight_ == 0 && relayed_.empty(); }
-  /// The controller that last forwarded a heartbeat of the machine; empty: it came directly.
-  void served_by(const std::string& machine, const std::string& label);
-  /// What became of commands that went through another controller. Each outcome is taken once.
+  /// Stores which controller last forwarded a heartbeat of the machine; empty: the heartbeat came directly.
+  void set_forwarder(const std::string& machine, const std::string& label);
+  /// Takes the outcome of commands that went through another controller. Each outcome counts once.
   void outcome(const fanin::CommandOutcome& outcome);
 
  private:
   /// Commands that went through another controller and are not settled yet.
-  struct Relayed {
+  struct RelayedCommands {
     std::string machine;
-    std::string server;
+    std::string forwarder;
     CommandBatch commands;
-    double deadline;  // s of the steady clock, after which they count as unanswered
+    double deadline;  // s of the steady clock; after it the commands count as unanswered
   };
   static constexpr double kRelayedOutcomeSlack =
       1;  // s beyond kCommandTimeout until an outcome counts as missing
 
   void send(const std::string& machine);
   void send_directly(const std::string& machine, CommandBatch commands, std::string body);
-  void add_to_batch(const std::string& server, const std::string& machine, CommandBatch commands,
+  void add_to_batch(const std::string& forwarder, const std::string& machine, CommandBatch commands,
                     std::string body);
   void post_batches();
-  void post_in_messages(const std::string& server, std::vector<fanin::ForwardedCommands> commands);
-  void post(const std::string& server, const std::vector<fanin::ForwardedCommands>& commands);
+  void post_in_messages(const std::string& forwarder, std::vector<fanin::ForwardedCommands> commands);
+  void post(const std::string& forwarder, const std::vector<fanin::ForwardedCommands>& commands);
   void settle(const std::string& machine, const CommandBatch& commands, Scheduler::DispatchOutcome outcome,
               const std::string& body);
   void settle_relayed(std::uint64_t id, Scheduler::DispatchOutcome outcome, const std::string& body);
@@ -85,9 +85,9 @@
   std::string own_label_;
   int in_flight_ = 0;  // direct requests
   fanin::WorkerConnections connections_;
-  std::unordered_map<std::string, std::string> servers_;                  // by machine
-  std::map<std::string, std::vector<fanin::ForwardedCommands>> batches_;  // by server, until they are posted
-  std::map<std::uint64_t, Relayed> relayed_;                              // by id
+  std::unordered_map<std::string, std::string> forwarders_;               // by machine
+  std::map<std::string, std::vector<fanin::ForwardedCommands>> batches_;  // by forwarder; unposted
+  std::map<std::uint64_t, RelayedCommands> relayed_;                      // by id
   std::uint64_t last_id_;
 };
 
--- a/src/leader/dependency_barrier_publisher.cc
+++ b/src/leader/dependency_barrier_publisher.cc
@@ -7,18 +7,19 @@
 
 DependencyBarrierPublisher::DependencyBarrierPublisher(const Settings& settings, StateClient& state,
                                                        const Term& term, const Scheduler& scheduler,
-                                                       const JobWatcher& job_watcher, double known)
+                                                       const JobWatcher& job_watcher,
+                                                       double initial_barrier_at)
     : write_interval_s_(kWriteShare * settings.cancel_s),
       state_(state),
       term_(term),
       scheduler_(scheduler),
       job_watcher_(job_watcher),
-      barrier_(known) {}
+      barrier_(initial_barrier_at) {}
 
 std::optional<double> DependencyBarrierPublisher::update() {
-  double seen = job_watcher_.seen_at();
-  if (!barrier_.can_advance(seen) || job_watcher_.joining()) return std::nullopt;
-  double barrier_at = barrier_.advance(seen, scheduler_.dependents_of_cancelled(),
+  double observed_until = job_watcher_.observed_until();
+  if (!barrier_.can_advance(observed_until) || job_watcher_.joining()) return std::nullopt;
+  double barrier_at = barrier_.advance(observed_until, scheduler_.dependents_of_cancelled(),
                                        !scheduler_.unknown_dependencies().empty());
   if (barrier_at != kLongAgo && scheduler_.has_dependencies()) store(barrier_at);
   return barrier_at;
--- a/src/leader/dependency_barrier_publisher.h
+++ b/src/leader/dependency_barrier_publisher.h
@@ -1,10 +1,11 @@
-// Tells all controllers up to when dependents of cancelled jobs have their end stored.
+// Publishes the dependency barrier to all controllers: the time up to which the dependents of cancelled jobs
+// have their end stored.
 //
-// Guards against a job called queued long after one that it needs was cancelled, where no leader could store
-// its end meanwhile, for want of a leader or of the state store. Beyond the barrier no controller answers for
-// such a job. Peers get the moment with their exchanges; where these are cut, a record in the state store
-// carries it, and this class writes that record. It never decides that a job ends. Used on the leader's actor
-// only.
+// The barrier prevents a job from being reported as queued long after one of its dependencies was cancelled,
+// when its end could not be stored because there was no leader or the state store was unavailable. Beyond the
+// barrier no controller answers queries about such a job. Peers receive the barrier in their exchanges; while
+// these are cut off, a record in the state store carries it, which this class writes. It never decides that a
+// job ends. Used on the leader's actor only.
 #pragma once
 #include <optional>
 
@@ -20,16 +21,17 @@
 
 class DependencyBarrierPublisher {
  public:
-  /// `known`: the barrier of an earlier term of this controller, kLongAgo if there is none.
+  /// `initial_barrier_at`: the barrier of an earlier term of this controller, kLongAgo if there is none.
   DependencyBarrierPublisher(const Settings& settings, StateClient& state, const Term& term,
-                             const Scheduler& scheduler, const JobWatcher& job_watcher, double known);
+                             const Scheduler& scheduler, const JobWatcher& job_watcher,
+                             double initial_barrier_at);
 
-  /// Moves the barrier as far as job records were seen, and stores it from time to time. Its new moment, s of
-  /// the steady clock; nullopt: nothing new was seen.
+  /// Advances the barrier to the time up to which job records were observed, and stores it at intervals.
+  /// Returns the new barrier, s of the steady clock; nullopt: it did not advance.
   std::optional<double> update();
 
  private:
-  static constexpr double kWriteShare = 0.125;  // of cancel_s between two records
+  static constexpr double kWriteShare = 0.125;  // of cancel_s, between two writes of the record
 
   void store(double barrier_at);
 
--- a/src/leader/election.cc
+++ b/src/leader/election.cc
@@ -17,7 +17,7 @@
 
 void Election::announce(const std::string& label, std::uint64_t term) {
   leader_ = label;
-  callbacks_.known(label, term);
+  callbacks_.leader_observed(label, term);
 }
 
 void Election::retry() {
@@ -39,13 +39,14 @@
   bool may_lead = !abstaining_ && callbacks_.ready();
   if (reply.status == StateStatus::Missing) {
     if (!leader_.empty()) announce("", 0);
-    if (!may_lead || steady_now() < not_before_) return observe_after(kPollInterval);
+    if (!may_lead || steady_now() < campaign_not_before_) return observe_after(kPollInterval);
     return campaign(0);
   }
   auto kv = reply.ok() ? codec::parse_value(reply.body) : std::nullopt;
   if (!kv) return observe_after(kRetryInterval);
   auto leader = parse_leader_record(kv->value);
-  // A record in our own name is left from before a restart: it is taken over at once, under a new term.
+  // A record with this controller's label is left from before its restart: it is replaced at once, under a
+  // new term.
   if (leader.label == label_ && may_lead) return campaign(kv->revision);
   announce(leader.label, leader.term);
   watch(kv->revision);
@@ -60,7 +61,7 @@
 
 // ---------------------------------------------------------------- campaigning
 
-/// `known_revision`: of the leader's record that is to be replaced, 0: there is none.
+/// `known_revision`: revision of the leader's record that is to be replaced; 0: there is none.
 void Election::campaign(std::uint64_t known_revision) {
   role_ = Role::Campaigning;
   ++epoch_;
@@ -90,7 +91,7 @@
              }));
 }
 
-/// Takes the next term: whoever else does so in between makes this transaction fail.
+/// Claims the next term. The transaction fails if another controller has claimed one since the reads.
 void Election::claim(std::uint64_t known_revision, std::uint64_t term_revision) {
   if (!mutation_enabled("a term is used twice")) ++term_;
   state_.transaction({{kLeaderKey, known_revision}, {kTermKey, term_revision}},
@@ -104,7 +105,7 @@
   role_ = Role::Leading;
   ++epoch_;
   revision_ = codec::parse_revision(reply.body);
-  // Guards against a term that a controller wins while it shuts down: nobody would serve it.
+  // A controller that wins while it shuts down resigns, or the term would have no working leader.
   if (abstaining_) return resign(0);
   renew_timer_.every(c::kLeaderLeaseRenewInterval, [this] { renew(); });
   callbacks_.won({term_, revision_, reply.sent_at});
@@ -130,7 +131,7 @@
   state_.get(kLeaderKey, guarded([this](StateReply reply) {
                auto kv = reply.ok() ? codec::parse_value(reply.body) : std::nullopt;
                if (reply.status == StateStatus::Missing || (kv && kv->revision != revision_))
-                 callbacks_.lost(StepDownReason::WorkerObeysNewerLeader);
+                 callbacks_.lost(StepDownReason::WorkerFollowsNewerLeader);
              }));
 }
 
@@ -141,7 +142,7 @@
   }
   state_.transaction({{kLeaderKey, revision_}}, {{kLeaderKey, std::nullopt, 0}},
                      [this, lease = leader_lease_, done = std::move(done)](StateReply) {
-                       // Whether or not the record is gone: without its lease it soon is.
+                       // The lease is revoked even if the transaction failed: the record is removed with it.
                        state_.revoke_lease(lease, [done](StateReply) {
                          if (done) done();
                        });
@@ -154,7 +155,7 @@
   role_ = Role::Following;
   ++epoch_;
   renew_timer_.stop();
-  not_before_ = steady_now() + pause_s;
+  campaign_not_before_ = steady_now() + pause_s;
   announce("", 0);
   observe_after(0);
 }
--- a/src/leader/election.h
+++ b/src/leader/election.h
@@ -1,8 +1,9 @@
-// Who leads: the holder of the key `leader`, which is bound to a lease of the state store.
+// Leader election: the leader is the controller that holds the key `leader`, which is bound to a lease of the
+// state store.
 //
-// Owns the controller's part in elections and its leader lease. It never decides what a leader does, and
-// never takes the passing of time for proof that another leader is gone: only the state store ends a lease.
-// An actor of its own, for the whole life of the controller.
+// Owns this controller's role in elections and its leader lease. It does not act as leader itself, and never
+// concludes from elapsed time that another leader is gone: only the state store ends a lease. A separate
+// actor that lives as long as the controller.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -23,36 +24,37 @@
 class Election : public Actor<Election> {
  public:
   struct Callbacks {
-    std::function<bool()> ready;  // whether this controller could lead now
+    std::function<bool()> ready;  // whether this controller is able to lead now
     std::function<void(const ElectionResult&)> won;
     std::function<void(StepDownReason)> lost;
-    std::function<void(double sent_at)> renewed;  // the lease was still held when this was sent
-    std::function<void(std::string label, std::uint64_t term)> known;  // who leads; empty label: nobody known
+    std::function<void(double sent_at)> renewed;  // the lease was still held when the renewal was sent
+    /// The current leader; empty label: there is no known leader.
+    std::function<void(std::string label, std::uint64_t term)> leader_observed;
   };
   using DoneCallback = std::function<void()>;
 
   Election(Loop& loop, std::string label, StateClient& state, Callbacks callbacks);
   void start() { observe(); }
 
-  /// What made this controller unready may be over.
+  /// Checks again whether this controller can campaign, when Callbacks::ready() may have become true.
   void retry();
   bool leading() const { return role_ == Role::Leading; }
-  /// Asks at once whether the lease still holds.
+  /// Renews the lease at once, which shows whether it is still held.
   void renew_now();
-  /// Checks that the leader's record is still ours; otherwise the term is lost.
+  /// Checks that the leader's record is still that of this term; otherwise reports the term as lost.
   void verify();
-  /// Revokes the lease, so that a successor is chosen at once. `pause_s`: for so long this controller does
-  /// not campaign. An unanswered write of the term fails from then on, since the record it is conditioned on
-  /// is removed.
+  /// Revokes the lease, so that a successor is elected at once. This controller does not campaign for
+  /// `pause_s`. An unanswered write of the term fails from then on, since the record it is conditioned on is
+  /// removed.
   void resign(double pause_s, DoneCallback done = {});
-  /// The term has ended in some other way.
+  /// Follows again after the term has ended in a way other than resign().
   void step_down(double pause_s = 0);
-  /// From now on only watches who leads.
+  /// Only observes the leader from now on and never campaigns again.
   void abstain() { abstaining_ = true; }
 
  private:
   enum class Role { Following, Campaigning, Leading };
-  static constexpr double kPollInterval = 0.25;  // s between reads while nobody leads and we cannot
+  static constexpr double kPollInterval = 0.25;  // s between reads without a leader, if unable to campaign
   static constexpr double kRetryInterval = 0.3;  // s after a request that the state store did not execute
 
   void observe();
@@ -66,7 +68,7 @@
   void abort_campaign(double pause_s);
   void renew();
   void announce(const std::string& label, std::uint64_t term);
-  /// A callback that counts only while this role lasts.
+  /// Wraps a callback so that it does nothing after the next change of role.
   template <typename Fn>
   auto guarded(Fn fn) {
     return [this, epoch = epoch_, fn = std::move(fn)](auto&&... args) {
@@ -79,12 +81,12 @@
   Callbacks callbacks_;
   Role role_ = Role::Following;
   bool abstaining_ = false;
-  std::uint64_t epoch_ = 1;  // rises with each change of role
+  std::uint64_t epoch_ = 1;  // incremented with each change of role
   std::uint64_t term_ = 0;
-  std::uint64_t revision_ = 0;  // of our leader's record
+  std::uint64_t revision_ = 0;  // of the leader's record that this controller wrote
   LeaseId leader_lease_ = 0;
   std::string leader_;
-  double not_before_ = 0;  // s of the steady clock; no campaign is begun earlier
+  double campaign_not_before_ = 0;  // s of the steady clock
   Timer observe_timer_;
   Timer renew_timer_;
 };
--- a/src/leader/heartbeat_delta_cache.cc
+++ b/src/leader/heartbeat_delta_cache.cc
@@ -33,7 +33,7 @@
 }
 
 void HeartbeatDeltaCache::forget_unknown_machines(const Scheduler& scheduler) {
-  std::erase_if(last_full_, [&](const auto& known) { return !scheduler.machines().contains(known.first); });
+  std::erase_if(last_full_, [&](const auto& entry) { return !scheduler.machines().contains(entry.first); });
 }
 
 }  // namespace corkmux
--- a/src/leader/heartbeat_delta_cache.h
+++ b/src/leader/heartbeat_delta_cache.h
@@ -1,7 +1,7 @@
-// The last full heartbeat of each machine whose worker is connected to another controller, so that an
+// Stores the last full heartbeat of each machine whose worker is connected to another controller, so that an
 // unchanged heartbeat can be forwarded as its sequence number alone.
 //
-// Owns these heartbeats for one term. It never passes anything to the scheduler. Used on the leader's actor
+// Owns these heartbeats for one term; it does not call the scheduler with them. Used on the leader's actor
 // only.
 #pragma once
 #include <string>
@@ -18,13 +18,13 @@
  public:
   /// Why a forwarded heartbeat cannot be completed.
   enum class Error {
-    Malformed,             // its body is no heartbeat
-    FullHeartbeatRequired  // the heartbeat that it repeats is not known here
+    Malformed,             // its body is not a heartbeat
+    FullHeartbeatRequired  // the heartbeat that it refers to is not in the cache
   };
 
-  /// The heartbeat that was forwarded, complete; a full one is remembered.
+  /// Returns the complete heartbeat for a forwarded one; a full heartbeat is stored.
   std::variant<Heartbeat, Error> complete(const fanin::ForwardedHeartbeat& forwarded);
-  /// Forgets machines that the scheduler no longer knows.
+  /// Removes the heartbeats of machines that the scheduler no longer has.
   void forget_unknown_machines(const Scheduler& scheduler);
 
  private:
--- a/src/leader/job_watcher.cc
+++ b/src/leader/job_watcher.cc
@@ -13,8 +13,8 @@
 namespace c = constants;
 namespace {
 
-/// A watch of job records waits for so long, s: the leader's knowledge of cancels may be as old as that
-/// without any change.
+/// Wait of a watch on job records, s. Without changes, the time up to which the leader has observed cancels
+/// lags by as much.
 constexpr double kWatchJobsWait = 1.0;
 
 std::string job_in(const std::string& key) { return key.substr(std::min(kJobs.size(), key.size())); }
@@ -22,23 +22,23 @@
 }  // namespace
 
 JobWatcher::JobWatcher(Loop& loop, StateClient& state, Term& term, Scheduler& scheduler,
-                       TermCallbacks callbacks, VanishedCallback vanished)
+                       TermCallbacks callbacks, RecordMissingCallback record_missing)
     : Actor(loop),
       state_(state),
       term_(term),
       scheduler_(scheduler),
       callbacks_(std::move(callbacks)),
-      vanished_(std::move(vanished)),
+      record_missing_(std::move(record_missing)),
       timer_(loop),
       join_timer_(loop) {}
 
 // ---------------------------------------------------------------- records
 
-void JobWatcher::record(const codec::KeyValue& stored) {
+void JobWatcher::apply_record(const codec::KeyValue& stored) {
   std::string id = job_in(stored.key);
   if (auto slash = id.find('/'); slash != std::string::npos) {
     id.resize(slash);
-    return record_beside(id, stored);
+    return apply_side_record(id, stored);
   }
   Job* known = scheduler_.job(id);
   if (known && known->revision >= stored.revision) return;
@@ -52,16 +52,16 @@
   }
 }
 
-void JobWatcher::record_beside(const std::string& job, const codec::KeyValue& stored) {
-  if (!scheduler_.job(job)) return;  // a piece comes before its job, and is read with it
+void JobWatcher::apply_side_record(const std::string& job, const codec::KeyValue& stored) {
+  if (!scheduler_.job(job)) return;  // a piece is stored before its job's record, and is read with it
   auto& keys = side_keys_[job];
   if (std::find(keys.begin(), keys.end(), stored.key) == keys.end()) keys.push_back(stored.key);
-  if (says_cancelled(stored.value)) cancel(job);
+  if (is_marked_cancelled(stored.value)) cancel(job);
 }
 
 bool JobWatcher::put(const JobRecord& record, std::uint64_t revision) {
   if (!record.spec) return false;
-  // No controller takes a job with dependencies before all controllers are new.
+  // No controller accepts a job with dependencies before all controllers are upgraded.
   if (!record.spec->dependencies.empty()) callbacks_.upgrade_records(RecordUpgradeReason::JobHasDependencies);
   double age_s = record.accepted_at ? std::max(0.0, wall_now() - *record.accepted_at) : 0.0;
   scheduler_.upsert_job(JobSpec(*record.spec), revision, record.cancelled, steady_now(), age_s);
@@ -84,7 +84,7 @@
 // ---------------------------------------------------------------- load
 
 void JobWatcher::load(DoneCallback done) {
-  seen_at_ = steady_now();
+  observed_until_ = steady_now();
   load_from("", std::move(done));
 }
 
@@ -95,11 +95,11 @@
       return timer_.once(c::kRetryPause, [this, last = end.last, done] { load_from(last, done); });
     join_pieces(done);
   };
-  state_.read_all(kJobs, after, term_.guard([this](const codec::KeyValue& stored) { record(stored); }),
+  state_.read_all(kJobs, after, term_.guard([this](const codec::KeyValue& stored) { apply_record(stored); }),
                   term_.guard(std::move(loaded)));
 }
 
-/// Reads the pieces of long records, one record after the other, then goes on.
+/// Reads the pieces of long records, one record after the other, then calls `then`.
 void JobWatcher::join_pieces(DoneCallback then) {
   if (to_join_.empty()) {
     joining_ = false;
@@ -138,8 +138,8 @@
 
 // ---------------------------------------------------------------- watch
 
-/// Guards against cancels that nobody passed on while an answer is lost: what was not seen by a watch that
-/// was sent later counts as unknown (CancelAcknowledgements), so a watch does not wait for long.
+/// A watch waits only kWatchJobsWait: if an answer is lost, cancels that no peer passed on are missed until a
+/// later watch is answered, and the leader counts as not having received them (CancelAcknowledgements).
 void JobWatcher::follow() {
   state_.watch(kJobs, revision_, kWatchJobsWait,
                term_.guard([this](const StateReply& reply) { watched(reply); }));
@@ -148,11 +148,11 @@
 void JobWatcher::watched(const StateReply& reply) {
   if (!reply.ok()) return watch_failed(reply);
   lost_watches_ = 0;
-  seen_at_ = std::max(seen_at_, reply.sent_at);
+  observed_until_ = std::max(observed_until_, reply.sent_at);
   auto events = codec::parse_events(reply.body);
   for (auto& event : events.events) {
-    if (!event.value) continue;  // a removal is our own, of a job that is over
-    record({event.key, std::move(*event.value), event.revision});
+    if (!event.value) continue;  // this leader removed the record of a finished job
+    apply_record({event.key, std::move(*event.value), event.revision});
   }
   join_new_pieces();
   revision_ = std::max(revision_, events.revision);
@@ -160,8 +160,8 @@
   callbacks_.changed();
 }
 
-/// The revision is too old; or, since an answer holds all changes however many, it is too large for us to
-/// take.
+/// All jobs are read again if the revision is too old, or after several lost answers in a row: an answer
+/// contains all changes, so it may be too large to be received.
 void JobWatcher::watch_failed(const StateReply& reply) {
   bool lost = reply.status == StateStatus::Unanswered;
   lost_watches_ = lost ? lost_watches_ + 1 : 0;
@@ -173,8 +173,8 @@
   if (!to_join_.empty() && !joining_) join_pieces(callbacks_.changed);
 }
 
-/// Changes in between are lost: everything is read once more, to its last page, and the jobs that the
-/// scheduler has and the store no longer has are reported.
+/// Reads all records again, to the last page, after changes were missed, and reports the jobs that the
+/// scheduler has and the store no longer has.
 void JobWatcher::read_again() {
   lost_watches_ = 0;
   double since = steady_now();
@@ -182,7 +182,7 @@
   auto each = [this, seen](const codec::KeyValue& stored) {
     std::string id = stored.key.substr(kJobs.size());
     if (id.find('/') == std::string::npos) seen->insert(id);
-    record(stored);
+    apply_record(stored);
   };
   auto done = [this, seen, since](const ReadEnd& end) {
     if (!end.ok()) return timer_.once(c::kRetryPause, [this] { read_again(); });
@@ -193,11 +193,11 @@
 
 void JobWatcher::read_again_done(const ReadEnd& end, const std::unordered_set<std::string>& seen,
                                  double since) {
-  seen_at_ = std::max(seen_at_, since);
+  observed_until_ = std::max(observed_until_, since);
   std::vector<std::string> missing;
   for (const auto& [id, job] : scheduler_.jobs())
     if (job.revision <= end.revision && !seen.contains(id)) missing.push_back(id);
-  for (const auto& id : missing) vanished_(id);
+  for (const auto& id : missing) record_missing_(id);
   join_new_pieces();
   revision_ = end.revision;
   follow();
@@ -208,14 +208,15 @@
 
 void JobWatcher::look_up_dependencies() {
   double now = steady_now();
-  // One that is neither unfinished nor ended was accepted just now: its event is on the way.
-  if (now - asked_at_ > c::kKnownJob) {
-    asked_.clear();
-    asked_at_ = now;
+  // A dependency that is neither unfinished nor ended was accepted very recently: its watch event is still to
+  // come, so it is read again after kJobReadMaxAge.
+  if (now - queries_cleared_at_ > c::kJobReadMaxAge) {
+    queried_dependencies_.clear();
+    queries_cleared_at_ = now;
   }
   for (const auto& id : scheduler_.unknown_dependencies()) {
-    if (outcome_reads_in_flight_ >= c::kOutcomeReads) return;
-    if (!asked_.insert(id).second) continue;
+    if (outcome_reads_in_flight_ >= c::kMaxConcurrentOutcomeReads) return;
+    if (!queried_dependencies_.insert(id).second) continue;
     ++outcome_reads_in_flight_;
     state_.get(kFinals + id, term_.guard([this, id](const StateReply& reply) { outcome_read(id, reply); }));
   }
@@ -224,14 +225,14 @@
 void JobWatcher::outcome_read(const std::string& job, const StateReply& reply) {
   --outcome_reads_in_flight_;
   auto kv = reply.ok() ? codec::parse_value(reply.body) : std::nullopt;
-  if (!kv && reply.status != StateStatus::Missing) asked_.erase(job);
+  if (!kv && reply.status != StateStatus::Missing) queried_dependencies_.erase(job);
   if (kv) apply_outcome(job, parse_job_outcome(kv->value));
-  if (reply.status == StateStatus::Refused) return;  // the tick asks again
+  if (reply.status == StateStatus::Refused) return;  // the next tick reads it again
   callbacks_.changed();
 }
 
 void JobWatcher::apply_outcome(const std::string& job, const JobOutcomeRecord& outcome) {
-  // Where the record does not say when, the job's dependents count from their own acceptance.
+  // If the record has no time of the end, the job's dependents count from their own acceptance.
   double ended_at = kLongAgo;
   if (outcome.ended_at) ended_at = steady_now() - std::max(0.0, wall_now() - *outcome.ended_at);
   if (outcome.phase == job_phase::kDone) scheduler_.record_outcome(job, Scheduler::Outcome::Done, ended_at);
--- a/src/leader/job_watcher.h
+++ b/src/leader/job_watcher.h
@@ -1,9 +1,9 @@
-// The unfinished jobs as the state store holds them: read once when a term begins, watched from then on, and
-// read again when the store no longer remembers the changes in between.
+// Reads the unfinished jobs from the state store and passes them to the scheduler: all of them when a term
+// begins, then their changes through a watch, and all of them again when the store no longer has the history
+// of changes.
 //
-// Owns what was seen of job records (revision, pieces of long ones, keys beside them) and the reads of how
-// dependencies ended. It gives jobs to the scheduler; it never stores or removes anything. An actor of one
-// term.
+// Owns the observed state of job records (revision, pieces of long records, side keys) and the reads of the
+// outcomes of dependencies. It never stores or removes anything. An actor of one term.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -24,25 +24,26 @@
 class JobWatcher : public Actor<JobWatcher> {
  public:
   using DoneCallback = std::function<void()>;
-  /// The record of a job that the scheduler has is no longer stored.
-  using VanishedCallback = std::function<void(const std::string& job)>;
+  /// Called for a job that the scheduler has and whose record is no longer stored.
+  using RecordMissingCallback = std::function<void(const std::string& job)>;
 
   JobWatcher(Loop& loop, StateClient& state, Term& term, Scheduler& scheduler, TermCallbacks callbacks,
-             VanishedCallback vanished);
-  /// Reads all jobs.
+             RecordMissingCallback record_missing);
+  /// Reads all unfinished jobs.
   void load(DoneCallback done);
   /// Watches for changes since the load.
   void follow();
-  /// Takes what is stored under a job's key, as it was read for any reason: the job's record, a piece of one
-  /// that is too long for one value, or the mark of a cancel where the record cannot be written again.
-  void record(const codec::KeyValue& stored);
-  /// Reads how dependencies ended that this leader has not seen end.
+  /// Applies an item read from under a job's key: the job's record, a piece of a record that is too long for
+  /// one value, or the cancel mark of a record that cannot be written again.
+  void apply_record(const codec::KeyValue& stored);
+  /// Reads the outcomes of dependencies whose end this leader has not observed.
   void look_up_dependencies();
-  /// s of the steady clock up to which every change of a job's record is known, but for long records.
-  double seen_at() const { return seen_at_; }
+  /// Time up to which every change of a job's record has been observed, except for long records; s of the
+  /// steady clock.
+  double observed_until() const { return observed_until_; }
   /// Whether pieces of long records are still to be read.
   bool joining() const { return joining_ || !to_join_.empty(); }
-  /// The keys beside the record of a job that is over; they are handed over once.
+  /// Returns the side keys of a finished job and removes them here: the keys stored beside its record.
   std::vector<std::string> take_side_keys(const std::string& job);
 
  private:
@@ -54,7 +55,7 @@
   using Pieces = std::map<std::string, std::string>;  // by key
 
   void load_from(const std::string& after, DoneCallback done);
-  void record_beside(const std::string& job, const codec::KeyValue& stored);
+  void apply_side_record(const std::string& job, const codec::KeyValue& stored);
   bool put(const JobRecord& record, std::uint64_t revision);
   void cancel(const std::string& job);
 
@@ -74,16 +75,16 @@
   Term& term_;
   Scheduler& scheduler_;
   TermCallbacks callbacks_;
-  VanishedCallback vanished_;
-  std::uint64_t revision_ = 0;  // of the store, up to which changes were seen
-  double seen_at_ = kLongAgo;
+  RecordMissingCallback record_missing_;
+  std::uint64_t revision_ = 0;  // of the store, up to which changes were observed
+  double observed_until_ = kLongAgo;
   int lost_watches_ = 0;  // in a row
   std::map<std::string, LongRecord> to_join_;
   std::map<std::string, std::vector<std::string>> side_keys_;  // by job
   bool joining_ = false;
   int outcome_reads_in_flight_ = 0;
-  std::set<std::string> asked_;  // dependencies read since asked_at_
-  double asked_at_ = kLongAgo;
+  std::set<std::string> queried_dependencies_;  // read since queries_cleared_at_
+  double queries_cleared_at_ = kLongAgo;
   Timer timer_;
   Timer join_timer_;
 };
--- a/src/leader/leader.cc
+++ b/src/leader/leader.cc
@@ -41,7 +41,7 @@
     leadership_->term.confirmed(sent_at);
     answer_parked();
   };
-  callbacks.known = [this](std::string label, std::uint64_t term) {
+  callbacks.leader_observed = [this](std::string label, std::uint64_t term) {
     callbacks_.leader_changed(std::move(label), term);
   };
   return callbacks;
@@ -120,7 +120,7 @@
   Scheduler& scheduler = *state.scheduler;
   state.job_watcher = std::make_unique<JobWatcher>(
       loop_, state_, state.term, scheduler, state.callbacks,
-      term.guard([this](const std::string& job) { leadership_->writer->vanished(job); }));
+      term.guard([this](const std::string& job) { leadership_->writer->record_missing(job); }));
   state.cancels = std::make_unique<CancelAcknowledgements>(term, *state.job_watcher);
   state.dependency_barrier = std::make_unique<DependencyBarrierPublisher>(
       settings_, state_, term, scheduler, *state.job_watcher, dependency_barrier_at_);
@@ -171,27 +171,27 @@
   spdlog::warn("no longer leading: {}", to_string(reason));
   for (auto* timer : {&tick_timer_, &cycle_timer_, &retry_timer_}) timer->stop();
   leadership_->term.end();
-  // Its actors may be the ones that speak: they are freed in a later turn.
+  // The caller may be one of the term's actors, so these are freed in a later turn of the loop.
   std::shared_ptr<LeadershipState> over(std::move(leadership_));
   loop_.post([over] {});
   for (auto& parked : over->parked_heartbeats.take_all()) parked.reply({});
   election_.step_down();
 }
 
-/// Makes way for another leader, which is given the time to be chosen.
+/// Ends the term and lets another controller win the election: this one does not campaign for `pause_s`.
 void Leader::give_up(StepDownReason reason, double pause_s) {
   election_.resign(pause_s);
   step_down(reason);
 }
 
 void Leader::newer_term(std::uint64_t term) {
-  if (leadership_ && term > leadership_->term.number) step_down(StepDownReason::PeerKnowsNewerLeader);
+  if (leadership_ && term > leadership_->term.number) step_down(StepDownReason::PeerReportedNewerLeader);
 }
 
 void Leader::resign(DoneCallback done) {
   election_.abstain();
   if (!leading()) {
-    // A load is not worth waiting for: nothing has been written under the term.
+    // The load need not finish, since nothing has been written under the term.
     if (leadership_) give_up(StepDownReason::Shutdown, 0);
     return done();
   }
@@ -206,13 +206,13 @@
     auto poll = [this, until, done = std::move(done)] { finish_resigning(until, done); };
     return resign_timer_.once(kShutdownPollInterval, std::move(poll));
   }
-  // What is unanswered now is made to fail: writes by the removal of the record that they are conditioned on,
-  // commands by the successor's higher fencing tokens, as after a crash.
+  // Requests that are still unanswered are made to fail: writes by the removal of the record that they are
+  // conditioned on, commands by the successor's higher fencing tokens, as after a crash.
   election_.resign(0, std::move(done));
   step_down(StepDownReason::Shutdown);
 }
 
-// ---------------------------------------------------------------- cancels that peers know
+// ---------------------------------------------------------------- cancels accepted by peers
 
 void Leader::cancelled(const std::vector<std::string>& jobs) {
   if (!leading()) return;
@@ -223,11 +223,11 @@
   react();
 }
 
-void Leader::peers_heard(double asked_at, double youngest) {
-  if (leading()) leadership_->cancels->peers_acknowledged(asked_at, youngest);
+void Leader::all_peers_answered(double queried_at, double youngest_seen_at) {
+  if (leading()) leadership_->cancels->peers_acknowledged(queried_at, youngest_seen_at);
 }
 
-// ---------------------------------------------------------------- what follows from a change
+// ---------------------------------------------------------------- reaction to changes
 
 void Leader::react() {
   if (!leading() || reaction_deferred_) return;
@@ -235,7 +235,7 @@
   for (const auto& note : state.scheduler->take_notes()) spdlog::info("{}", note);
   for (const auto& detail : state.scheduler->take_placement_details()) spdlog::debug("{}", detail);
   if (!state.scheduler->unknown_dependencies().empty()) state.job_watcher->look_up_dependencies();
-  if (resumed()) state.dispatcher->flush();
+  if (may_proceed()) state.dispatcher->flush();
   state.writer->pump();
   if (auto barrier_at = state.dependency_barrier->update()) dependency_barrier_at_ = *barrier_at;
   if (state.scheduler->wants_cycle()) schedule_cycle();
@@ -251,20 +251,21 @@
   if (!leading() || leadership_->term.resigning) return;
   double now = steady_now();
   leadership_->cycle_at = now;
-  // Without the state store nothing can be started; bids would only pile up.
-  if (awake() && leadership_->term.fresh(now)) leadership_->scheduler->schedule(now);
+  // Without the state store no task can be started, and placements would only accumulate.
+  if (confirmed_since_stall() && leadership_->term.recently_confirmed(now))
+    leadership_->scheduler->schedule(now);
   spdlog::debug("scheduling cycle took {:.1f} ms", 1e3 * (steady_now() - now));
   react();
 }
 
-// ---------------------------------------------------------------- time
+// ---------------------------------------------------------------- periodic work
 
 void Leader::tick() {
   if (!leading()) return;
   LeadershipState& state = *leadership_;
   double now = steady_now();
-  const bool confirmed = awake();
-  note_state_store(!state.term.fresh(now));
+  const bool confirmed = confirmed_since_stall();
+  log_state_store_reachability(!state.term.recently_confirmed(now));
   if (confirmed) {
     state.record_upgrade->poll();
     state.scheduler->tick(now);
@@ -278,10 +279,12 @@
   react();
 }
 
-void Leader::note_state_store(bool away) {
-  if (std::exchange(leadership_->state_store_away, away) == away) return;
-  spdlog::warn(away ? "the state service is away: tasks are kept alive, nothing new is started"
-                    : "the state service is back");
+void Leader::log_state_store_reachability(bool unreachable) {
+  if (std::exchange(leadership_->state_store_unreachable, unreachable) == unreachable) return;
+  spdlog::warn(
+      unreachable
+          ? "the state service is unreachable: running tasks keep their leases, no new task is started"
+          : "the state service is reachable again");
 }
 
 void Leader::forget_unknown_machines(double now) {
@@ -292,32 +295,35 @@
   state.heartbeat_deltas.forget_unknown_machines(*state.scheduler);
 }
 
-/// Guards against a process that stalled while its clocks ran on, and finds out wherever it is woken: the
-/// silence that it finds is its own, leases that seem expired were renewed by whoever leads by now, and until
-/// the state store has confirmed the term nothing that it knows is more than a memory.
-bool Leader::awake() {
+/// Detects that the process stalled while its clocks continued; called wherever the process may resume. After
+/// a stall, missing heartbeats are due to the stall, leases that seem expired may have been renewed by a new
+/// leader, and the scheduler's state may be out of date until the state store has confirmed the term.
+bool Leader::confirmed_since_stall() {
   LeadershipState& state = *leadership_;
   double now = steady_now();
   if (auto stalled_s = state.stall_detector.check(now)) {
     spdlog::warn(
-        "stalled for {:.1f} s: nothing is judged by time until workers and the state service were heard",
+        "process stalled for {:.1f} s: timeouts are not applied until workers and the state service respond",
         *stalled_s);
-    state.term.woke_at = now;
-    state.reachability.heard(now);
+    state.term.stall_detected_at = now;
+    state.reachability.heartbeat_received(now);
     state.scheduler->process_stalled(now);
     election_.renew_now();
   }
-  return state.term.awake();
+  return state.term.confirmed_since_stall();
 }
 
-/// In an outage the state store confirms nothing, and workers that nobody answers lose their tasks.
-bool Leader::resumed() { return awake() || steady_now() - leadership_->term.woke_at > kResumeTimeout; }
+/// During an outage the state store cannot confirm the term, and workers without an answer lose their tasks:
+/// so the wait for the confirmation ends after kResumeTimeout.
+bool Leader::may_proceed() {
+  return confirmed_since_stall() || steady_now() - leadership_->term.stall_detected_at > kResumeTimeout;
+}
 
 void Leader::check_worker_reachability() {
   const LeadershipState& state = *leadership_;
   double now = steady_now();
-  if (!state.reachability.silent(now) || !state.term.fresh(now) || state.term.resigning) return;
-  if (state.reachability.lost(now, machines_up()))
+  if (!state.reachability.silent(now) || !state.term.recently_confirmed(now) || state.term.resigning) return;
+  if (state.reachability.unreachable(now, machines_up()))
     give_up(StepDownReason::WorkersUnreachable, settings_.lease_s / 2);
 }
 
--- a/src/leader/leader.h
+++ b/src/leader/leader.h
@@ -1,9 +1,9 @@
-// The controller that leads: it owns a term, the scheduler and the actors that carry out what the scheduler
-// decides, from the won election until the term ends.
+// The leader role of a controller: owns a term, the scheduler and the actors that carry out the scheduler's
+// decisions, from the won election until the term ends.
 //
-// Needs the state store, the cloud's interface, the machine catalog and a way to the other controllers. It
-// never decides on placement (the scheduler does) and never speaks to users or workers itself (the
-// controller's endpoints do). An actor; all public functions but the const ones are its messages.
+// Depends on the state store, the cloud's interface, the machine catalog and the connections to the other
+// controllers. Placement is decided by the scheduler, and requests of users and workers are handled by the
+// controller's endpoints. An actor; all public functions except the const ones are its messages.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -32,8 +32,8 @@
   using DoneCallback = std::function<void()>;
   struct Callbacks {
     std::function<void(std::string label, std::uint64_t term)> leader_changed;  // empty label: none known
-    std::function<void(std::vector<codec::JobView>)> views;                     // changed job displays
-    CommandRelay relay;  // to the controllers that workers are connected to
+    std::function<void(std::vector<codec::JobView>)> views;                     // of changed jobs
+    CommandRelay relay;                                                         // to other controllers
   };
   Leader(Loop& loop, const Settings& settings, const OperatorChoices& choices, StateClient& state,
          http::Client& cloud, Catalog& catalog, Callbacks callbacks);
@@ -42,36 +42,36 @@
 
   // Messages.
   void heartbeat(Heartbeat heartbeat, HeartbeatRoute route, HeartbeatCallback reply);
-  /// What another controller forwards: heartbeats of its workers, and outcomes of commands that went through
-  /// it. The reply comes once each heartbeat has its answer.
+  /// A batch forwarded by another controller: heartbeats of its workers, and outcomes of commands that went
+  /// through it. The reply is sent when each heartbeat has its answer.
   void batch(fanin::HeartbeatBatch batch, HeartbeatBatchCallback reply);
-  /// A peer saw a newer leader than us.
+  /// A peer has observed a leader with this term.
   void newer_term(std::uint64_t term);
   /// Peers accepted the cancel of these jobs.
   void cancelled(const std::vector<std::string>& jobs);
-  /// All peers were heard, see CancelAcknowledgements::peers_acknowledged().
-  void peers_heard(double asked_at, double youngest);
-  /// Shutdown: nothing new is started, what is in flight is settled or, after a while, made to fail, and the
-  /// leader lease is revoked so that a successor is chosen at once. From then on this controller only watches
-  /// who leads.
+  /// All peers answered, see CancelAcknowledgements::peers_acknowledged().
+  void all_peers_answered(double queried_at, double youngest_seen_at);
+  /// Shutdown: starts nothing new, waits up to kShutdownTimeout for requests in flight and then makes them
+  /// fail, and revokes the leader lease so that a successor is elected at once. From then on this controller
+  /// only observes the leader.
   void resign(DoneCallback done);
 
-  /// Machines that are up, as far as the scheduler knows; 0 while another controller leads.
+  /// Number of machines that are up according to the scheduler; 0 while another controller leads.
   int machines_up() const;
   bool leading() const { return leadership_ && leadership_->loaded; }
-  /// s of the steady clock: whatever needs a job whose cancel was confirmed before then has its end stored. A
-  /// fact that stays true whoever leads later; kLongAgo: nothing is known.
+  /// The dependency barrier, s of the steady clock: every dependent of a job whose cancel was confirmed
+  /// before it has its end stored. This stays true under later leaders. kLongAgo: no barrier is known.
   double dependency_barrier_at() const { return dependency_barrier_at_; }
 
  private:
   struct OpenBatch;
   class DeferredReaction;
   static constexpr double kTickInterval = 0.25;        // s
-  static constexpr double kSchedulingInterval = 0.05;  // s between scheduling cycles; lets events gather
+  static constexpr double kSchedulingInterval = 0.05;  // s between scheduling cycles; batches events
   static constexpr double kMinCycleDelay = 0.005;      // s
-  static constexpr double kForgetInterval = 10;        // s between sweeps of machines that are gone
-  static constexpr double kResumeTimeout = 1.0;    // s a stalled leader waits for its term to be confirmed
-  static constexpr double kShutdownTimeout = 1.0;  // s for what is in flight
+  static constexpr double kForgetInterval = 10;        // s between removals of the data of deleted machines
+  static constexpr double kResumeTimeout = 1.0;  // s that a stalled leader waits for its term's confirmation
+  static constexpr double kShutdownTimeout = 1.0;        // s for requests in flight
   static constexpr double kShutdownPollInterval = 0.02;  // s
 
   Election::Callbacks election_callbacks();
@@ -90,7 +90,7 @@
 
   void take(IncomingHeartbeat incoming);
   void handle(const IncomingHeartbeat& incoming);
-  void take_forwarded(const fanin::ForwardedHeartbeat& forwarded, const std::string& server,
+  void take_forwarded(const fanin::ForwardedHeartbeat& forwarded, const std::string& forwarder,
                       const std::shared_ptr<OpenBatch>& open);
   void answer_parked();
 
@@ -99,14 +99,15 @@
   void run_scheduling_cycle();
 
   void tick();
-  void note_state_store(bool away);
+  void log_state_store_reachability(bool unreachable);
   void forget_unknown_machines(double now);
   void check_worker_reachability();
   void push_views();
-  /// Whether the state store has confirmed the term since the process last stalled.
-  bool awake();
-  /// Also where it cannot be confirmed soon: what must not wait any longer goes on.
-  bool resumed();
+  /// Checks for a stall; whether the state store has confirmed the term since the process last stalled.
+  bool confirmed_since_stall();
+  /// Whether work that must not wait longer may proceed: the term is confirmed since the last stall, or
+  /// kResumeTimeout has passed without a confirmation.
+  bool may_proceed();
 
   Settings settings_;
   OperatorChoices choices_;
--- a/src/leader/leader_heartbeats.cc
+++ b/src/leader/leader_heartbeats.cc
@@ -1,11 +1,12 @@
-// The leader's part that takes heartbeats, one by one or in the batches of other controllers.
+// The part of Leader that handles heartbeats, single ones and batches from other controllers.
 #include <spdlog/spdlog.h>
 
 #include "leader.h"
 
 namespace corkmux {
 
-/// While one exists, react() does nothing: what follows from many heartbeats is done once, at their end.
+/// While an instance exists, react() does nothing, so that the reaction to many heartbeats runs once, after
+/// the last one.
 class Leader::DeferredReaction {
  public:
   explicit DeferredReaction(Leader& leader)
@@ -29,7 +30,7 @@
 
 void Leader::take(IncomingHeartbeat incoming) {
   if (!leadership_) return incoming.reply({});
-  if (leading() && resumed()) return handle(incoming);
+  if (leading() && may_proceed()) return handle(incoming);
   if (leadership_->parked_heartbeats.full()) return incoming.reply({});
   leadership_->parked_heartbeats.add(std::move(incoming));
 }
@@ -38,24 +39,24 @@
   const Heartbeat& heartbeat = incoming.heartbeat;
   double now = steady_now();
   Scheduler& scheduler = *leadership_->scheduler;
-  // The store relay says nothing of whether workers reach us.
-  if (incoming.route == HeartbeatRoute::Direct) leadership_->reachability.heard(now);
-  // Without word from the state store we may have been replaced, and cancels go unseen: workers are kept
-  // alive only as long as a cancel can still be met.
+  // A heartbeat through the store relay does not show that workers can reach this controller.
+  if (incoming.route == HeartbeatRoute::Direct) leadership_->reachability.heartbeat_received(now);
+  // Without an answer of the state store this leader may have been replaced, and may miss cancels: leases are
+  // renewed only as long as a cancel can still be carried out in time.
   if (now - leadership_->cancels->complete_until() > scheduler.config().keepalive())
     return incoming.reply({});
   if (spdlog::should_log(spdlog::level::debug) && !scheduler.machine(heartbeat.machine))
     spdlog::debug("first heartbeat of machine {}: {} in {}", heartbeat.machine, heartbeat.type,
                   heartbeat.zone);
-  // Guards against commands into a partition: each would wait in vain while the launches could go with this
-  // answer.
+  // The worker is behind a network partition: a command sent to it would time out, whereas launches can be
+  // sent with this answer.
   if (incoming.route == HeartbeatRoute::StoreRelay) scheduler.set_unreachable(heartbeat.machine, now);
   auto result = scheduler.on_heartbeat(heartbeat, Scheduler::Channel::Heartbeat, now);
   if (result.superseded) {
     incoming.reply({});
     return election_.verify();
   }
-  leadership_->dispatcher->served_by(heartbeat.machine, incoming.server);
+  leadership_->dispatcher->set_forwarder(heartbeat.machine, incoming.forwarder);
   scheduler.heartbeat_answered(heartbeat.machine, now);
   auto commands = codec::commands_to_wire(result.fencing_token, result.commands, std::nullopt);
   incoming.reply({HeartbeatReply::Status::Answered, codec::pack(commands)});
@@ -63,7 +64,7 @@
 }
 
 void Leader::answer_parked() {
-  if (!leading() || !resumed() || leadership_->parked_heartbeats.empty()) return;
+  if (!leading() || !may_proceed() || leadership_->parked_heartbeats.empty()) return;
   {
     DeferredReaction deferred(*this);
     for (auto& parked : leadership_->parked_heartbeats.take_all())
@@ -77,7 +78,8 @@
 
 // ---------------------------------------------------------------- batches of other controllers
 
-/// A batch whose heartbeats are being answered. It is open itself until all of them were taken.
+/// A batch whose heartbeats are being answered. `open` starts at 1 for the batch itself, so that the reply is
+/// not sent before all heartbeats were taken.
 struct Leader::OpenBatch {
   HeartbeatBatchCallback reply;
   std::size_t open = 1;
@@ -94,7 +96,7 @@
 
 void Leader::batch(fanin::HeartbeatBatch batch, HeartbeatBatchCallback reply) {
   if (!leadership_) return reply(std::nullopt);
-  // Workers that are connected to this controller itself are not served by another.
+  // Workers of this controller's own batches are connected to it, so commands go to them directly.
   if (batch.from == settings_.label) batch.from.clear();
   {
     DeferredReaction deferred(*this);
@@ -109,7 +111,7 @@
   react();
 }
 
-void Leader::take_forwarded(const fanin::ForwardedHeartbeat& forwarded, const std::string& server,
+void Leader::take_forwarded(const fanin::ForwardedHeartbeat& forwarded, const std::string& forwarder,
                             const std::shared_ptr<OpenBatch>& open) {
   if (!leadership_) return open->answer({forwarded.id, LeaderReply::unavailable()});
   auto completed = leadership_->heartbeat_deltas.complete(forwarded);
@@ -121,7 +123,7 @@
   auto answer = [open, id = forwarded.id](HeartbeatReply reply) {
     open->answer({id, to_leader_reply(std::move(reply))});
   };
-  take({std::get<Heartbeat>(std::move(completed)), HeartbeatRoute::Direct, server, std::move(answer)});
+  take({std::get<Heartbeat>(std::move(completed)), HeartbeatRoute::Direct, forwarder, std::move(answer)});
 }
 
 }  // namespace corkmux
--- a/src/leader/leadership_state.h
+++ b/src/leader/leadership_state.h
@@ -1,8 +1,8 @@
-// What exists only while this controller leads: the term, the scheduler and the actors that carry out what
-// the scheduler decides.
+// The state that exists only while this controller leads: the term, the scheduler and the actors that carry
+// out the scheduler's decisions.
 //
-// Owns all of them, from the won election until the term ends. It never outlives the term by more than one
-// turn of the loop. Used on the leader's actor only.
+// Owns all of them, from the won election until the term ends, and outlives the term by at most one turn of
+// the loop. Used on the leader's actor only.
 #pragma once
 #include <memory>
 
@@ -31,13 +31,13 @@
 
   Term term;
   TermCallbacks callbacks;
-  bool loaded = false;  // the scheduler knows all that is stored; only then this controller leads
+  bool loaded = false;  // the scheduler has all stored records; only then this controller leads
   ParkedHeartbeats parked_heartbeats;
   HeartbeatDeltaCache heartbeat_deltas;
   StallDetector stall_detector;
   WorkerReachability reachability;
 
-  // Built, in this order, once the record formats are known.
+  // Created, in this order, once the record formats are known.
   std::unique_ptr<Scheduler> scheduler;
   std::unique_ptr<RecordFormatUpgrade> record_upgrade;
   std::unique_ptr<JobWatcher> job_watcher;
@@ -49,8 +49,8 @@
   std::unique_ptr<LeaseExpiryMonitor> lease_monitor;
   std::unique_ptr<StateLoader> loader;
 
-  bool state_store_away = false;  // as was last logged
-  double cycle_at = kLongAgo;     // last scheduling cycle
+  bool state_store_unreachable = false;  // as last logged
+  double cycle_at = kLongAgo;            // start of the last scheduling cycle
   double machines_forgotten_at = kLongAgo;
 };
 
--- a/src/leader/lease_expiry_monitor.cc
+++ b/src/leader/lease_expiry_monitor.cc
@@ -17,9 +17,9 @@
       scheduler_(scheduler),
       callbacks_(std::move(callbacks)) {}
 
-/// Guards against a second start: the read begins after the leases have expired, so a proxy whose record it
-/// does not show cannot have renewed in time. It goes to the last page: a proxy on a page that was not read
-/// would look like none.
+/// Guards against starting a task a second time: the read begins after the leases have expired, so a proxy
+/// whose record is not found cannot have renewed them in time. All pages are read: a proxy on an unread page
+/// would count as absent.
 void LeaseExpiryMonitor::tick() {
   auto expired = scheduler_.machines_with_expired_leases(steady_now());
   bool poll = scheduler_.any_silent() && steady_now() - read_at_ > kPollInterval;
@@ -47,7 +47,7 @@
 void LeaseExpiryMonitor::records_read(const RenewedUntil& renewed_until,
                                       const std::vector<std::string>& expired_before) {
   double now = steady_now();
-  if (!mutation_enabled("keepers are not asked"))
+  if (!mutation_enabled("lease proxy records are ignored"))
     for (const auto& [machine, until] : renewed_until) scheduler_.renewed_by_proxy(machine, until);
   auto expired = scheduler_.machines_with_expired_leases(now);
   for (const auto& machine : expired_before)
--- a/src/leader/lease_expiry_monitor.h
+++ b/src/leader/lease_expiry_monitor.h
@@ -1,8 +1,8 @@
-// Finds out what became of machines whose leases have expired.
+// Decides for machines whose leases have expired whether their tasks count as lost.
 //
-// Owns what has been seen of the lease proxies' records. Time alone is no proof that a worker is gone:
-// another controller may have renewed its lease by proxy, so these records are read after the lease has
-// expired and before anything counts as gone. An actor of one term.
+// Owns the observed lease proxy records. An expired lease does not show that the worker is gone: another
+// controller may have renewed the lease by proxy, so the proxy records are read after the lease has expired
+// and before any task of the machine counts as lost. An actor of one term.
 #pragma once
 #include <cstdint>
 #include <map>
@@ -22,22 +22,22 @@
  public:
   LeaseExpiryMonitor(Loop& loop, const Settings& settings, StateClient& state, Term& term,
                      Scheduler& scheduler, TermCallbacks callbacks);
-  /// Reads the proxies' records if a lease has expired or a machine is silent.
+  /// Reads the proxy records if a lease has expired or a machine sends no heartbeats.
   void tick();
 
  private:
-  /// A proxy's record as it was last read.
+  /// The last read revision of a proxy record.
   struct SeenRecord {
     std::uint64_t revision = 0;
     double first_seen = 0;  // s of the steady clock
   };
   using RenewedUntil = std::map<std::string, double>;  // by machine; s of the steady clock
-  static constexpr double kPollInterval = 1.5;         // s between reads while a machine is silent
+  static constexpr double kPollInterval = 1.5;         // s between reads while a machine sends no heartbeats
 
   void note_record(const codec::KeyValue& stored, RenewedUntil& renewed_until);
   void records_read(const RenewedUntil& renewed_until, const std::vector<std::string>& expired_before);
 
-  double proxy_lease_s_;  // for which a proxy's record entitles it to renew leases
+  double proxy_lease_s_;  // s for which a proxy's record entitles it to renew leases
   StateClient& state_;
   Term& term_;
   Scheduler& scheduler_;
--- a/src/leader/machine_provisioner.cc
+++ b/src/leader/machine_provisioner.cc
@@ -26,9 +26,11 @@
   list("");
 }
 
-/// Guards against a process that stalled and does not know yet whether it still leads: what it holds for idle
-/// or silent may be at work under another leader, and the cloud's requests carry no fencing token.
-bool MachineProvisioner::may_act() const { return !term_.over() && !term_.resigning && term_.awake(); }
+/// A process that stalled does nothing until its term is confirmed: machines that it takes for idle or silent
+/// may run tasks for a new leader, and requests to the cloud carry no fencing token.
+bool MachineProvisioner::may_act() const {
+  return !term_.over() && !term_.resigning && term_.confirmed_since_stall();
+}
 
 void MachineProvisioner::tick() {
   if (!may_act()) return;
@@ -57,7 +59,7 @@
   }
 }
 
-/// Sends requests that were not answered once more. The number sent, kMaxRequestsAtOnce at most.
+/// Repeats requests that were not answered; returns the number sent, at most kMaxRequestsAtOnce.
 int MachineProvisioner::repeat_pending() {
   int sent = 0;
   for (const auto& [kind, pending] : pending_) {
@@ -76,10 +78,12 @@
     pending.request = request;
   }
   in_flight_.insert(request.key());
-  const ScaleOutRequest asked = pending.request;
-  auto body = codec::pack(codec::rent_request(pending.name, asked.type, asked.zone, asked.spot, asked.count));
-  cloud_.request("POST", codec::kRentPath, std::move(body), c::kCloudTimeout,
-                 term_.guard([this, asked](const http::Result& result) { provisioned(asked, result); }));
+  const ScaleOutRequest requested = pending.request;
+  auto body = codec::pack(
+      codec::rent_request(pending.name, requested.type, requested.zone, requested.spot, requested.count));
+  cloud_.request(
+      "POST", codec::kRentPath, std::move(body), c::kCloudTimeout,
+      term_.guard([this, requested](const http::Result& result) { provisioned(requested, result); }));
 }
 
 void MachineProvisioner::provisioned(const ScaleOutRequest& request, const http::Result& result) {
@@ -126,7 +130,8 @@
 
 // ---------------------------------------------------------------- list
 
-/// Lists the machines beyond `after`; from the first, unless a list is under way.
+/// Lists the machines whose names follow `after`. If `after` is empty, starts a new list unless one is in
+/// progress.
 void MachineProvisioner::list(const std::string& after) {
   if (after.empty()) {
     if (listing_) return;
@@ -144,8 +149,8 @@
   if (!body) return;
   auto page = codec::parse_machines(*body);
   scheduler_.machines_listed(page.machines, now);
-  // After a change of leader the machines are asked at once, before their workers have found us.
-  if (now - term_.since < settings_.lease_s) inspect_unheard(page.machines);
+  // After a change of leader the machines are inspected at once, before their workers have found this leader.
+  if (now - term_.since < settings_.lease_s) inspect_machines_without_heartbeat(page.machines);
   if (page.more && !page.machines.empty()) {
     listing_ = true;
     list(page.machines.back().name);
@@ -153,11 +158,11 @@
   callbacks_.changed();
 }
 
-void MachineProvisioner::inspect_unheard(const std::vector<ListedMachine>& machines) {
+void MachineProvisioner::inspect_machines_without_heartbeat(const std::vector<ListedMachine>& machines) {
   for (const auto& listed : machines) {
     const Machine* machine = scheduler_.machine(listed.name);
-    bool unheard = machine && !machine->is_up() && !machine->is_decommissioning();
-    if (unheard && listed.phase == ListedMachine::Phase::Running) inspect_(listed.name);
+    bool no_heartbeat = machine && !machine->is_up() && !machine->is_decommissioning();
+    if (no_heartbeat && listed.phase == ListedMachine::Phase::Running) inspect_(listed.name);
   }
 }
 
--- a/src/leader/machine_provisioner.h
+++ b/src/leader/machine_provisioner.h
@@ -1,7 +1,7 @@
 // Provisions, lists and deletes machines through the cloud's interface.
 //
-// Owns the term's unsettled requests to the cloud. How many machines there should be is plan_scaling()'s to
-// decide, and which are to be deleted the scheduler's. An actor of one term.
+// Owns the term's unsettled requests to the cloud. plan_scaling() decides how many machines there should be,
+// and the scheduler decides which machines are deleted. An actor of one term.
 #pragma once
 #include <functional>
 #include <map>
@@ -21,7 +21,7 @@
 
 class MachineProvisioner : public Actor<MachineProvisioner> {
  public:
-  /// Asks a worker for its heartbeat.
+  /// Requests a worker's heartbeat.
   using InspectCallback = std::function<void(const std::string& machine)>;
 
   MachineProvisioner(Loop& loop, const Settings& settings, const OperatorChoices& choices,
@@ -30,21 +30,22 @@
   void start();
 
  private:
-  /// A request to the cloud that is not settled yet. It is repeated under its name, so that nothing is
-  /// provisioned twice.
+  /// A request to the cloud that is not settled yet. It is repeated under the same name, so that no machine
+  /// is provisioned twice.
   struct PendingRequest {
     std::string name;
     ScaleOutRequest request;
   };
-  static constexpr double kTickInterval = 1.0;              // s
-  static constexpr double kListInterval = 8.0;              // s
-  static constexpr double kNoCapacityPause = 20.0;          // s before a refused type and zone is asked again
-  static constexpr double kRefusedPause = 2.0;              // s, where it was refused for another reason
-  static constexpr double kNextRequestPause = 0.05;         // s after an answer
-  static constexpr double kFirstHeartbeatIntervals = 1.25;  // to hear from the machines that are there
-  static constexpr int kMaxRequestsAtOnce = 3;    // the cloud's rate also carries lists and deletions
+  static constexpr double kTickInterval = 1.0;       // s
+  static constexpr double kListInterval = 8.0;       // s
+  static constexpr double kNoCapacityPause = 20.0;   // s before a refused type and zone is requested again
+  static constexpr double kRefusedPause = 2.0;       // s, if it was refused for another reason
+  static constexpr double kNextRequestPause = 0.05;  // s after an answer
+  static constexpr double kFirstHeartbeatIntervals =
+      1.25;  // from the term's start until scaling, so that existing machines have reported
+  static constexpr int kMaxRequestsAtOnce = 3;    // lists and deletions share the cloud's rate
   static constexpr int kListPage = 200;           // machines
-  static constexpr std::size_t kMaxDelete = 100;  // names in one request; PROTOCOL
+  static constexpr std::size_t kMaxDelete = 100;  // names in one request, by the protocol
 
   void tick();
   bool may_act() const;
@@ -55,7 +56,7 @@
   void add_machines(const ScaleOutRequest& request, const std::vector<std::string>& names);
   void list(const std::string& after);
   void listed(const http::Result& result);
-  void inspect_unheard(const std::vector<ListedMachine>& machines);
+  void inspect_machines_without_heartbeat(const std::vector<ListedMachine>& machines);
   void delete_machines();
 
   Settings settings_;
--- a/src/leader/record_format_negotiation.cc
+++ b/src/leader/record_format_negotiation.cc
@@ -26,9 +26,9 @@
   }
 
   void add(const codec::KeyValue& record) {
-    if (auto label = reader_of_our_format(record)) undeclared.erase(*label);
-    // How records of format 1 were cut is what the first controller of this version found in its settings;
-    // these may have changed since.
+    if (auto label = reader_of_current_format(record)) undeclared.erase(*label);
+    // The number of tasks per record of format 1 is that of the settings of the first controller of this
+    // version, so the earliest declaration counts; the settings may have changed since.
     int tasks = parse_record_format_declaration(record.value).v1_tasks_per_record;
     if (tasks <= 0 || record.revision >= first_revision) return;
     first_revision = record.revision;
--- a/src/leader/record_format_upgrade.h
+++ b/src/leader/record_format_upgrade.h
@@ -1,7 +1,7 @@
-// The switch from record format 1 to format 2, once in a term at most.
+// Switches from record format 1 to format 2, at most once in a term.
 //
-// Owns the poll of what the controllers have declared. What is stored already is converted by the scheduler's
-// task record store as it is written anew; nothing is ever converted back. Used on the leader's actor only.
+// Owns the polling of the controllers' declarations. The scheduler's task record store converts existing
+// records when it next writes them; records are never converted back. Used on the leader's actor only.
 #pragma once
 #include "record_format_negotiation.h"
 #include "scheduler.h"
@@ -15,9 +15,9 @@
   RecordFormatUpgrade(RecordFormatNegotiation& negotiation, Scheduler& scheduler, const Term& term)
       : negotiation_(negotiation), scheduler_(scheduler), term_(term) {}
 
-  /// Writes format 2 from now on.
+  /// Makes the scheduler write format 2 from now on.
   void upgrade(RecordUpgradeReason reason);
-  /// Asks, from time to time, whether all controllers have declared that they read format 2.
+  /// Checks at intervals whether all controllers have declared that they read format 2.
   void poll();
 
  private:
--- a/src/leader/stall_detector.h
+++ b/src/leader/stall_detector.h
@@ -1,6 +1,7 @@
-// Finds out that the process did not run for a while although its clocks went on.
+// Detects that the process did not run for some time while its clocks continued.
 //
-// Owns the moment of the last check. It never decides what a stall means. Used on the leader's actor only.
+// Owns the time of the last check; the caller decides how to react to a stall. Used on the leader's actor
+// only.
 #pragma once
 #include <optional>
 
@@ -10,9 +11,9 @@
  public:
   explicit StallDetector(double now) : last_check_(now) {}
 
-  /// Notes that the process runs, without asking for a stall.
+  /// Records that the process runs, without checking for a stall.
   void reset(double now) { last_check_ = now; }
-  /// Seconds for which nothing ran, if these were a stall.
+  /// Returns the duration of the stall, s; nullopt: the time since the last check is not a stall.
   std::optional<double> check(double now) {
     double pause = now - last_check_;
     last_check_ = now;
--- a/src/leader/state_loader.cc
+++ b/src/leader/state_loader.cc
@@ -28,7 +28,7 @@
 void StateLoader::load_record(const codec::KeyValue& stored) {
   auto loaded = scheduler_.load_record(stored.key, stored.value, stored.revision);
   if (loaded == Scheduler::Loaded::Garbage) garbage_.push_back(stored.key);
-  // Guards against starting a second time what a newer version's record says is running.
+  // Guards against starting tasks a second time that are running according to a newer version's record.
   if (loaded == Scheduler::Loaded::Unknown) too_new_ = stored.key;
 }
 
--- a/src/leader/state_loader.h
+++ b/src/leader/state_loader.h
@@ -1,8 +1,8 @@
 // Rebuilds the scheduler's state from the state store when a term begins: unfinished jobs, then the records
 // of their tasks.
 //
-// Owns nothing beyond the load; what it reads grows with unfinished work alone, never with finished jobs. An
-// actor of one term.
+// Holds state only during the load. The amount of data read grows with unfinished work only, not with
+// finished jobs. An actor of one term.
 #pragma once
 #include <functional>
 #include <string>
@@ -18,7 +18,7 @@
 class StateLoader : public Actor<StateLoader> {
  public:
   struct Callbacks {
-    std::function<void(std::vector<std::string> garbage)> loaded;  // keys whose records say nothing any more
+    std::function<void(std::vector<std::string> garbage)> loaded;  // keys of obsolete records
     std::function<void(const std::string& key)> too_new;           // a newer version wrote this record
   };
   StateLoader(Loop& loop, StateClient& state, Term& term, Scheduler& scheduler, JobWatcher& job_watcher,
--- a/src/leader/store_writer.cc
+++ b/src/leader/store_writer.cc
@@ -33,7 +33,8 @@
       job_watcher_(job_watcher),
       callbacks_(std::move(callbacks)),
       ended_(std::move(ended)),
-      // Smaller transactions and records than were allowed before the upgrade are allowed then as well.
+      // The limits that apply after the upgrade are lower, so transactions and records that keep to them are
+      // valid before it as well.
       max_changes_(settings.next.txn_ops),
       allowance_(settings.state_write_rps * kWriteShare),
       allowance_at_(steady_now()),
@@ -68,8 +69,8 @@
   if (in_flight_ == 0 && allowance_ > rate() / 2) remove_garbage();
 }
 
-/// Ends release dependents and launches use machines that are free, so the two take turns; what is less
-/// urgent comes after both. False: nothing is to be written.
+/// Job ends release dependents, and launches use free machines, so the two take turns; less urgent writes
+/// come after both. Returns false if there is nothing to write.
 bool StoreWriter::write_next(double now) {
   int most = std::min(max_changes_, static_cast<int>(allowance_));
   auto finished = scheduler_.finished_jobs();
@@ -89,7 +90,7 @@
   return true;
 }
 
-bool StoreWriter::deposed(const StateReply& reply) {
+bool StoreWriter::leader_record_conflict(const StateReply& reply) {
   if (reply.status != StateStatus::Conflict) return false;
   if (!contains(codec::parse_failed(reply.body), kLeaderKey)) return false;
   callbacks_.step_down(StepDownReason::LeaderRecordChanged);
@@ -106,7 +107,8 @@
   for (const auto& write : batch) {
     conditions.push_back({write.key, write.revision});
     writes.push_back({write.key, write.value, 0});
-    // Guards against starting what another controller has confirmed as cancelled and we have not heard of.
+    // Guards against starting a task of a job whose cancel another controller has confirmed and this leader
+    // has not received.
     if (write.launches && !mutation_enabled("starts do not ask for the job's end") &&
         starting.insert(write.job).second)
       conditions.push_back({kFinals + write.job, 0});
@@ -124,14 +126,14 @@
     scheduler_.records_written(batch, codec::parse_revision(reply.body), steady_now());
     return callbacks_.changed();
   }
-  if (deposed(reply)) return scheduler_.write_failed(batch);
+  if (leader_record_conflict(reply)) return scheduler_.write_failed(batch);
   if (reply.status == StateStatus::Conflict || reply.status == StateStatus::Unanswered)
     return task_records_conflict(batch, reply);
   task_records_refused(batch, reply.status);
 }
 
-/// This write or an earlier one of ours, taken for lost, may have been applied after all: what is stored is
-/// read before it is written again, so that whichever of the two comes last fails.
+/// This write, or an earlier one of this leader that was not answered, may have been applied after all. The
+/// stored revision is read before the record is written again, so that the later of the two writes fails.
 void StoreWriter::task_records_conflict(const Batch& batch, const StateReply& reply) {
   auto failed = codec::parse_failed(reply.body);
   for (const auto& write : batch)
@@ -140,7 +142,7 @@
     else
       scheduler_.write_failed({write});
   for (const auto& write : batch)
-    if (contains(failed, kFinals + write.job)) has_end(write.job);
+    if (contains(failed, kFinals + write.job)) apply_stored_cancel(write.job);
   callbacks_.changed();
 }
 
@@ -154,12 +156,12 @@
   pump_after(c::kRetryPause);
 }
 
-/// An end is stored of it, which this leader has not heard of: a cancel. The job's revision stays as it is,
-/// so that its removal is conditioned on what was read.
-void StoreWriter::has_end(const std::string& id) {
+/// The job has a stored end that this leader has not received, which can only be a cancel. The job's revision
+/// stays as it is, so that the removal of its record is conditioned on the revision that was read.
+void StoreWriter::apply_stored_cancel(const std::string& id) {
   const Job* job = scheduler_.job(id);
   if (!job || job->cancelled) return;
-  spdlog::debug("job {} has its end: nothing of it is started", id);
+  spdlog::debug("job {} has a stored end: its tasks are not started", id);
   scheduler_.upsert_job(JobSpec(job->spec), job->revision, true, steady_now());
 }
 
@@ -169,8 +171,8 @@
              term_.guard([this, write](const StateReply& reply) { read_back_done(write, reply); }));
 }
 
-/// What is stored under another revision and says the same is as good as an answer: it was written under this
-/// term, for nobody else writes it.
+/// If the same value is stored under a later revision, the write was applied: no other controller writes this
+/// record during the term.
 void StoreWriter::read_back_done(const TaskRecordWrite& write, const StateReply& reply) {
   --in_flight_;
   auto kv = reply.ok() ? codec::parse_value(reply.body) : std::nullopt;
@@ -195,10 +197,11 @@
   ++in_flight_;
   std::vector<codec::Condition> conditions{{kLeaderKey, term_.revision}, {kJobs + id, job->revision}};
   std::vector<codec::Write> writes{{kJobs + id, std::nullopt, 0}};
-  // A job whose end no cancel has stored yet: it is done, or a job that it needs was cancelled.
+  // A job without a stored cancel has no stored end yet: it is done, or one of its dependencies was
+  // cancelled.
   bool done = !job->cancelled && !job->dependency_cancelled;
   if (!job->cancelled) {
-    // Conditioned on no other end having been stored: the first to be stored is final.
+    // Conditioned on no end being stored yet: the first stored end is final.
     conditions.push_back({kFinals + id, 0});
     JobOutcomeRecord outcome{phase_of_end(done), done ? job->spec.tasks : 0, wall_now()};
     writes.push_back({kFinals + id, to_json(outcome), 0});
@@ -214,7 +217,7 @@
     term_.confirmed(reply.sent_at);
     return end_stored(id, done);
   }
-  if (deposed(reply)) return;
+  if (leader_record_conflict(reply)) return;
   if (reply.status == StateStatus::Conflict || reply.status == StateStatus::Unanswered) return reread(id);
   if (Job* job = scheduler_.job(id)) job->finalizing = false;
   if (reply.status == StateStatus::Invalid) refused();
@@ -223,7 +226,7 @@
 
 void StoreWriter::end_stored(const std::string& id, bool done) {
   if (const Job* job = scheduler_.job(id)) {
-    // Records of a job that is over say nothing any more, so they go when changes are to spare.
+    // The records of a finished job are obsolete, so they are removed when the budget has changes to spare.
     remove_later(scheduler_.record_keys(*job));
     ended_({id, phase_of_end(done), job->spec.tasks, 0, ""});
   }
@@ -235,10 +238,11 @@
   callbacks_.changed();
 }
 
-void StoreWriter::vanished(const std::string& id) {
+void StoreWriter::record_missing(const std::string& id) {
   Job* job = scheduler_.job(id);
-  if (!job || job->finalizing) return;  // the answer to our own write decides
-  // Guards quota and capacity: what still runs of it is stopped first, and counts until there is proof.
+  if (!job || job->finalizing) return;  // the answer to this leader's own write decides
+  // Guards quota and capacity: tasks that still run are stopped first, and count until they are confirmed to
+  // have ended.
   if (!job->active.empty())
     return scheduler_.upsert_job(JobSpec(job->spec), job->revision, true, steady_now());
   reread(id);
@@ -252,13 +256,13 @@
 void StoreWriter::reread_done(const std::string& id, const StateReply& reply) {
   --in_flight_;
   if (reply.status == StateStatus::Missing) {
-    // An earlier, unanswered transaction of ours had ended it.
+    // An earlier, unanswered transaction of this leader has ended the job.
     remove_records_later(id);
     scheduler_.forget_job(id);
   } else {
     if (Job* job = scheduler_.job(id)) job->finalizing = false;
     auto kv = reply.ok() ? codec::parse_value(reply.body) : std::nullopt;
-    if (kv) job_watcher_.record(*kv);
+    if (kv) job_watcher_.apply_record(*kv);
   }
   pump_after(reply.ok() ? kRevisionReadPause : c::kRetryPause);
 }
@@ -289,13 +293,14 @@
                      }));
 }
 
-/// A value that keeps to the limit so far, and not to the one to come, was refused: that one has come, which
-/// the operators promise only for after the upgrade. Any other refusal proves nothing but that less is taken.
+/// If the refused value is within the present size limit but exceeds the announced lower one, the lower limit
+/// applies already. Operators lower it only after the upgrade, so all controllers read format 2. Any other
+/// refusal shows only that smaller transactions are needed.
 void StoreWriter::refused(std::size_t largest) {
   double kb = static_cast<double>(largest) / 1024;
   if (!scheduler_.uses_v2_records() && kb > settings_.next.value_kb && kb <= settings_.value_kb)
     return callbacks_.upgrade_records(RecordUpgradeReason::StoreLimitsLowered);
-  spdlog::warn("the state service refuses a transaction as too large: smaller ones follow");
+  spdlog::warn("the state service refused a transaction as too large: later transactions are smaller");
   max_changes_ = std::max(kMinChanges, max_changes_ / 2);
   scheduler_.records_refused();
 }
--- a/src/leader/term.cc
+++ b/src/leader/term.cc
@@ -8,10 +8,10 @@
       return "the leader lease expired";
     case StepDownReason::LeaderRecordChanged:
       return "the leader's record changed";
-    case StepDownReason::PeerKnowsNewerLeader:
-      return "a peer knows a newer leader";
-    case StepDownReason::WorkerObeysNewerLeader:
-      return "a worker obeys a newer leader";
+    case StepDownReason::PeerReportedNewerLeader:
+      return "a peer reported a newer leader";
+    case StepDownReason::WorkerFollowsNewerLeader:
+      return "a worker follows a newer leader";
     case StepDownReason::UnreadableRecords:
       return "stored records are of a newer version";
     case StepDownReason::WorkersUnreachable:
--- a/src/leader/worker_reachability.cc
+++ b/src/leader/worker_reachability.cc
@@ -7,15 +7,15 @@
 namespace corkmux {
 
 WorkerReachability::WorkerReachability(const Settings& settings, double term_since)
-    : patience_s_(kHeartbeatIntervals * settings.report_s + 1),
+    : max_silence_s_(kHeartbeatIntervals * settings.report_s + 1),
       grace_until_(term_since + constants::kCommandTimeout),
-      heard_at_(term_since) {}
+      last_heartbeat_at_(term_since) {}
 
 bool WorkerReachability::silent(double now) const {
-  return now - std::max(heard_at_, grace_until_) >= patience_s_;
+  return now - std::max(last_heartbeat_at_, grace_until_) >= max_silence_s_;
 }
 
-bool WorkerReachability::lost(double now, int machines_up) const {
+bool WorkerReachability::unreachable(double now, int machines_up) const {
   return silent(now) && machines_up >= kMinMachines;
 }
 
--- a/src/state_store/catalog.cc
+++ b/src/state_store/catalog.cc
@@ -5,7 +5,7 @@
 namespace corkmux {
 namespace c = constants;
 namespace {
-constexpr const char* kKey = "catalog";
+constexpr const char* kCatalogKey = "catalog";
 }
 
 Catalog::Catalog(Loop& loop, StateClient& state, http::Client& cloud)
@@ -14,7 +14,7 @@
 void Catalog::start() { read_copy(); }
 
 void Catalog::read_copy() {
-  state_.get(kKey, [this](const StateReply& reply) { copy_read(reply); });
+  state_.get(kCatalogKey, [this](const StateReply& reply) { copy_read(reply); });
 }
 
 void Catalog::copy_read(const StateReply& reply) {
@@ -24,11 +24,11 @@
     refresh_later();
     if (!types_.empty()) return;
   }
-  ask_cloud(reply.status == StateStatus::Missing);
+  request_from_cloud(reply.status == StateStatus::Missing);
 }
 
-/// `store`: whether the answer is to be copied to the state store.
-void Catalog::ask_cloud(bool store) {
+/// `store`: whether to copy the answer to the state store.
+void Catalog::request_from_cloud(bool store) {
   cloud_.request("GET", codec::kCatalogPath, "", c::kCloudTimeout,
                  [this, store](const http::Result& result) { cloud_answered(result, store); });
 }
@@ -38,18 +38,19 @@
   auto types = body ? codec::parse_catalog(*body) : std::vector<MachineType>{};
   if (types.empty()) {
     if (!types_.empty()) return refresh_later();
-    // Without any types both sources are asked in turn.
-    return timer_.once(kRetryPause, [this] { types_.empty() ? read_copy() : ask_cloud(false); });
+    // Without any types, both sources are tried in turn.
+    return timer_.once(kRetryPause, [this] { types_.empty() ? read_copy() : request_from_cloud(false); });
   }
-  // The copy serves controllers that start while the cloud's interface is down.
+  // The copy is for controllers that start while the cloud's interface is unavailable.
   if (store)
-    state_.transaction({{kKey, 0}}, {{kKey, codec::catalog_to_wire(types), 0}}, [](const StateReply&) {});
+    state_.transaction({{kCatalogKey, 0}}, {{kCatalogKey, codec::catalog_to_wire(types), 0}},
+                       [](const StateReply&) {});
   set(std::move(types));
   refresh_later();
 }
 
 void Catalog::refresh_later() {
-  timer_.once(kRefreshInterval, [this] { ask_cloud(false); });
+  timer_.once(kRefreshInterval, [this] { request_from_cloud(false); });
 }
 
 void Catalog::set(std::vector<MachineType> types) {
--- a/src/state_store/job_record.cc
+++ b/src/state_store/job_record.cc
@@ -18,12 +18,12 @@
     job.holds_spec = true;
     job.spec = codec::parse_job(*spec).job;
   }
-  job.cancelled = says_cancelled(record);
+  job.cancelled = is_marked_cancelled(record);
   job.accepted_at = time_in(record);
   return job;
 }
 
-bool says_cancelled(const codec::Json& record) { return record.value("c", 0) != 0; }
+bool is_marked_cancelled(const codec::Json& record) { return record.value("c", 0) != 0; }
 
 StoredJobRecord StoredJobRecord::for_new_job(const JobSpec& job) {
   return StoredJobRecord(codec::Json{{"j", codec::job_to_wire(job)}, {"c", 0}, {"t", wall_now()}});
--- a/src/state_store/job_record.h
+++ b/src/state_store/job_record.h
@@ -1,6 +1,6 @@
-// The stored forms of a job: its record while it is unfinished (kJobs), the pieces of one that is too long
-// for one value, the mark of a cancel beside such a record, and how the job ended (kFinals). The only file
-// that knows their fields.
+// The stored forms of a job: its record while it is unfinished (kJobs), the pieces of a record that is too
+// long for one value, the cancel mark beside such a record, and the outcome of the job (kFinals). The fields
+// of these records are defined in this module only.
 #pragma once
 #include <cstddef>
 #include <optional>
@@ -11,36 +11,37 @@
 
 namespace corkmux {
 
-/// An unfinished job's record. One that is too long for one value holds no specification: that stands in
-/// pieces beside it.
+/// An unfinished job's record. A record that is too long for one value contains no specification; this is
+/// stored in pieces beside it.
 struct JobRecord {
   bool holds_spec = false;
-  std::optional<JobSpec> spec;  // nullopt: the record holds none, or one that this version cannot read
+  std::optional<JobSpec> spec;  // nullopt: absent from the record, or unreadable for this version
   bool cancelled = false;
   std::optional<double> accepted_at;  // s since 1970
 };
 
-/// Reads an unfinished job's record, or the mark of a cancel.
+/// Parses an unfinished job's record, or a cancel mark.
 JobRecord parse_job_record(const codec::Json& record);
-/// Whether an unfinished job's record, or a mark beside it, says that the job is cancelled; for readers of
-/// many records, who need nothing else of them.
-bool says_cancelled(const codec::Json& record);
+/// Whether an unfinished job's record, or a mark beside it, states that the job is cancelled. For callers
+/// that read many records and need no other field.
+bool is_marked_cancelled(const codec::Json& record);
 
-/// The record of an unfinished job for those who write it: they set few of its fields, and what this version
-/// does not know of it is kept when it is written back.
+/// The record of an unfinished job, for writing. Writers set few of its fields, and fields that are unknown
+/// to this version are kept when the record is written back.
 class StoredJobRecord {
  public:
   StoredJobRecord() = default;
   explicit StoredJobRecord(codec::Json stored) : stored_(std::move(stored)) {}
-  /// Of a job that is submitted now.
+  /// The record of a job that is submitted now.
   static StoredJobRecord for_new_job(const JobSpec& job);
-  /// Of a job that is submitted now and whose specification stands in that many pieces beside it.
+  /// The record of a job that is submitted now and whose specification is stored in so many pieces beside it.
   static StoredJobRecord for_new_job_in_pieces(int pieces);
-  bool cancelled() const { return says_cancelled(stored_); }
-  /// Whether it depends on other jobs, or may: the pieces of a long record are not read for it.
+  bool cancelled() const { return is_marked_cancelled(stored_); }
+  /// Whether the job may depend on other jobs. True for every long record, since its pieces are not read for
+  /// this.
   bool has_dependencies() const;
   void mark_cancelled();
-  /// Bytes that it takes in the store.
+  /// Size in the state store, bytes.
   std::size_t size() const { return stored_.dump().size(); }
   const codec::Json& json() const { return stored_; }
 
@@ -52,13 +53,13 @@
 codec::Json job_piece_to_json(std::string text);
 /// The text in one piece of a long specification.
 std::string parse_job_piece(const codec::Json& piece);
-/// The specification whose pieces, joined, are this text; nullopt: unreadable.
+/// Parses a specification from its joined pieces; nullopt: unreadable.
 std::optional<JobSpec> parse_joined_spec(const std::string& text);
 
-/// The mark of a cancelled job whose own record cannot be written any more.
+/// The cancel mark of a job whose own record cannot be written again.
 codec::Json cancel_mark_to_json();
 
-/// The phases of jobs, as users are told them and as records of ended jobs name them.
+/// The phases of jobs, as reported to users and as stored in the records of ended jobs.
 namespace job_phase {
 inline constexpr const char* kQueued = "queued";
 inline constexpr const char* kRunning = "running";
@@ -66,16 +67,16 @@
 inline constexpr const char* kCancelled = "cancelled";
 }  // namespace job_phase
 
-/// How a job ended.
+/// The outcome of an ended job.
 struct JobOutcomeRecord {
   std::string phase;  // job_phase::kDone or kCancelled
   int tasks_done = 0;
-  std::optional<double> ended_at;  // s since 1970; records of the first version do not say
+  std::optional<double> ended_at;  // s since 1970; absent from records of the first version
 };
 
 /// The stored form.
 codec::Json to_json(const JobOutcomeRecord& outcome);
-/// Reads the stored form; what is missing stays empty.
+/// Parses the stored form; missing fields stay empty.
 JobOutcomeRecord parse_job_outcome(const codec::Json& record);
 
 }  // namespace corkmux
--- a/src/state_store/leader_record.h
+++ b/src/state_store/leader_record.h
@@ -1,4 +1,4 @@
-// The records of an election: who leads (kLeaderKey) and the last term taken (kTermKey).
+// The records of an election: the current leader (kLeaderKey) and the last claimed term (kTermKey).
 #pragma once
 #include <cstdint>
 #include <string>
@@ -7,7 +7,7 @@
 
 namespace corkmux {
 
-/// Who leads. The record is bound to the leader's lease.
+/// The current leader. The record is bound to the leader lease.
 struct LeaderRecord {
   std::string label;  // of the controller
   std::uint64_t term = 0;
@@ -15,12 +15,12 @@
 
 /// The stored form.
 codec::Json to_json(const LeaderRecord& leader);
-/// Reads the stored form; what is missing stays empty.
+/// Parses the stored form; missing fields stay empty.
 LeaderRecord parse_leader_record(const codec::Json& record);
 
-/// The stored form of the last term taken.
+/// The stored form of the last claimed term.
 codec::Json term_record_to_json(std::uint64_t term);
-/// Reads it; 0 if it says nothing.
+/// Parses the stored form; 0 if the term is missing.
 std::uint64_t parse_term_record(const codec::Json& record);
 
 }  // namespace corkmux
--- a/src/state_store/outage_log.h
+++ b/src/state_store/outage_log.h
@@ -1,7 +1,7 @@
-// The log lines about a service that does not answer: once when it matters, again in growing intervals, and
-// when it is back.
+// Produces the log lines about a service that does not answer: one line when an outage begins, further lines
+// at growing intervals, and one when the service answers again.
 //
-// Owns what is known of one service's outage. It never asks the service itself.
+// Owns the state of one service's outage. It sends no requests itself.
 #pragma once
 #include <optional>
 #include <string>
@@ -10,35 +10,35 @@
 
 namespace corkmux {
 
-/// A pure function of outcomes and time; its lines are for the log.
+/// Depends only on the outcomes and times that it is given; returns the lines to log.
 class OutageLog {
  public:
   /// `service`: "the state service"; `address`: as in the settings.
   OutageLog(std::string service, std::string address)
       : service_(std::move(service)), address_(std::move(address)) {}
-  /// A request found no answer, or one that says that the service is out of order. The line to log, if any.
-  /// `now`: s of the steady clock.
+  /// Records a request without an answer, or with the answer that the service is unavailable. Returns the
+  /// line to log, if any. `now`: s of the steady clock.
   std::optional<std::string> failed(double now, const std::string& error);
-  /// The service answered. The line to log, if any.
+  /// Records an answer of the service. Returns the line to log, if any.
   std::optional<std::string> answered(double now);
 
  private:
-  static constexpr double kPatience = 2.0;      // s until a service that has answered before counts as away
-  static constexpr double kFirstPause = 5.0;    // s until it is logged again; doubled each time
-  static constexpr double kLongestPause = 300;  // s
+  static constexpr double kOutageThreshold = 2.0;   // s until a service that did answer counts as unavailable
+  static constexpr double kFirstLogInterval = 5.0;  // s until the outage is logged again; doubled each time
+  static constexpr double kMaxLogInterval = 300;    // s
 
   void begin_outage(double now);
 
   std::string service_;
   std::string address_;
-  bool has_answered_ = false;    // ever
-  std::optional<double> since_;  // when it was first found away; nullopt: it is not
-  double next_line_at_ = 0;      // s of the steady clock
-  double pause_ = 0;             // s to the line after that
-  bool logged_ = false;          // a line of this outage
+  bool has_answered_ = false;           // since the start
+  std::optional<double> outage_since_;  // start of the outage; nullopt: there is none
+  double next_log_at_ = 0;              // s of the steady clock
+  double log_interval_ = 0;             // s from that line to the next
+  bool logged_ = false;                 // whether a line about this outage was returned
 };
 
-/// Logs what an answer, or none, of the service says.
+/// Updates the outage state from the result of a request to the service, and logs the line, if any.
 void log_outcome(OutageLog& log, const http::Result& result);
 
 }  // namespace corkmux
--- a/src/state_store/record_format_declaration.cc
+++ b/src/state_store/record_format_declaration.cc
@@ -19,7 +19,7 @@
   return declaration;
 }
 
-std::optional<std::string> reader_of_our_format(const codec::KeyValue& record) {
+std::optional<std::string> reader_of_current_format(const codec::KeyValue& record) {
   if (parse_record_format_declaration(record.value).format < constants::kRecordFormat) return std::nullopt;
   return record.key.substr(std::min(kRecordFormats.size(), record.key.size()));
 }
--- a/src/state_store/state_client.cc
+++ b/src/state_store/state_client.cc
@@ -7,11 +7,11 @@
 namespace c = constants;
 namespace {
 
-constexpr int kRequestQueue = 256;  // requests that wait for a connection
+constexpr int kRequestQueue = 256;  // requests waiting for a connection
 constexpr int kWatchQueue = 8;
 constexpr int kLeaseQueue = 8;
 
-/// What the store's HTTP status says; 410 is its answer to a watch whose revision it no longer remembers.
+/// Maps the store's HTTP status; 410 is its answer to a watch whose revision is older than its history.
 StateStatus status_of(const http::Result& result) {
   switch (result.status) {
     case 200:
@@ -31,7 +31,8 @@
   }
 }
 
-/// Whether the answer shows that the store serves us, whatever it says.
+/// Whether an answer with this status shows that the store serves this controller's requests, successful or
+/// not.
 bool served(int status) { return status == 200 || status == 404 || status == 409 || status == 429; }
 
 StateReply reply_of(const http::Result& result, double sent_at) {
@@ -101,7 +102,8 @@
   if (!so_far->revision) so_far->revision = page.revision;
   if (!page.items.empty()) so_far->last = page.items.back().key;
   for (auto& item : page.items) each(item);
-  // Guards against taking a part for the whole: only the store says that a page was the last.
+  // Guards against treating a partial read as complete: only the store's `more` flag shows whether a page was
+  // the last.
   if (page.more && !page.items.empty())
     return read_page(prefix, std::move(so_far), std::move(each), std::move(done));
   done(*so_far);
--- a/src/state_store/state_client.h
+++ b/src/state_store/state_client.h
@@ -1,8 +1,8 @@
-// The client of the state store, a consensus-backed key-value store that the platform provides ("the state
+// Client of the state store, a consensus-backed key-value store that the platform provides ("the state
 // service" in logs): reads, conditioned transactions, leases and watches.
 //
-// Owns the connections and what is logged of outages. It never retries, and never decides what an unanswered
-// request means. Used on the loop's thread; each callback runs once, in a later turn.
+// Owns the connections and the log of outages. It never retries, and leaves the handling of unanswered
+// requests to the caller. Used on the loop's thread; each callback runs once, in a later turn of the loop.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -20,29 +20,29 @@
 namespace corkmux {
 
 namespace constants {
-inline constexpr double kLeaderLeaseRenewInterval = 0.75;  // s; three tries within one lease duration
+inline constexpr double kLeaderLeaseRenewInterval = 0.75;  // s; three attempts within one lease duration
 inline constexpr double kStateTimeout = 2.0;               // s
-inline constexpr double kReadTimeout = 1.5;                // s; below the 2 s a user waits for a query
-inline constexpr double kWatchWait = 20.0;                 // s that a watch waits for a change
-inline constexpr double kWatchSlack = 5.0;                 // s beyond the wait before a watch counts as lost
-inline constexpr int kLostWatchLimit = 3;    // in a row: what they hold may be too large to take
-inline constexpr int kStateConnections = 6;  // sockets
-inline constexpr int kWatchConnections = 6;  // sockets
-inline constexpr int kListPage = 100;        // items a page
-inline constexpr int kOutcomeReads = 4;      // ends of dependencies read at the same time
-inline constexpr double kKnownJob = 2.0;     // s for which what was read of a job is trusted
+inline constexpr double kReadTimeout = 1.5;           // s; less than the 2 s that a user waits for a query
+inline constexpr double kWatchWait = 20.0;            // s that a watch waits for a change
+inline constexpr double kWatchSlack = 5.0;            // s beyond the wait before a watch counts as lost
+inline constexpr int kLostWatchLimit = 3;             // in a row: their answers may be too large to receive
+inline constexpr int kStateConnections = 6;           // sockets
+inline constexpr int kWatchConnections = 6;           // sockets
+inline constexpr int kListPage = 100;                 // items a page
+inline constexpr int kMaxConcurrentOutcomeReads = 4;  // outcomes of dependencies read at the same time
+inline constexpr double kJobReadMaxAge = 2.0;         // s for which a read of a job counts as current
 }  // namespace constants
 
-/// The id of a lease of the state store: keys bound to it are removed when it ends.
+/// The id of a lease of the state store. Keys bound to the lease are removed when it ends.
 using LeaseId = std::uint64_t;
 
-/// How a request to the state store ended.
+/// The outcome of a request to the state store.
 enum class StateStatus {
   Ok,
   Missing,     // no such key or lease; of a watch: the revision is too old
-  Conflict,    // a condition failed, nothing was written
-  Refused,     // over its rate, out of order or surely not sent: nothing was written
-  Unanswered,  // may have been executed, or may be later
+  Conflict,    // a condition failed; nothing was written
+  Refused,     // over its rate limit, unavailable, or certainly not sent; nothing was written
+  Unanswered,  // the request may have been executed, or may be executed later
   Invalid      // malformed or too large
 };
 
@@ -54,11 +54,11 @@
   bool ok() const { return status == StateStatus::Ok; }
 };
 
-/// How a read of all that is stored under a prefix ended.
+/// The end of a read of all items under a prefix.
 struct ReadEnd {
-  StateStatus status = StateStatus::Ok;  // Ok: everything was given, else from where on it was not
-  std::string last;                      // key of the last item given, to go on after; empty: none
-  std::uint64_t revision = 0;            // of the first page: what changed later may be missing or in it
+  StateStatus status = StateStatus::Ok;  // Ok: all items were returned; otherwise of the failed page
+  std::string last;                      // key of the last item returned, to continue after; empty: none
+  std::uint64_t revision = 0;            // of the first page: later changes may or may not be included
   bool ok() const { return status == StateStatus::Ok; }
 };
 
@@ -70,26 +70,27 @@
 
   StateClient(Loop& loop, const std::string& address);
 
-  /// One key's value.
+  /// Reads one key's value.
   void get(const std::string& key, ReplyCallback done);
-  /// One page of what is stored under the prefix beyond the key `after`.
+  /// Reads one page of the items under the prefix whose keys follow `after`.
   void list(const std::string& prefix, const std::string& after, int most, ReplyCallback done);
-  /// Every item under the prefix beyond the key `after`, page by page, however many the store gives at a
-  /// time: a page may end at any item. `each` is called in key order.
+  /// Reads all items under the prefix whose keys follow `after`, page by page. The store may end a page at
+  /// any item. `each` is called in key order.
   void read_all(const std::string& prefix, const std::string& after, ItemCallback each, ReadEndCallback done);
   /// Writes everything if all keys have the revisions of the conditions, otherwise nothing.
   void transaction(const std::vector<codec::Condition>& conditions, const std::vector<codec::Write>& writes,
                    ReplyCallback done);
-  /// A transaction that only compares revisions, and may take so long, s.
+  /// A transaction that only compares revisions, with its own timeout.
   void compare(const std::vector<codec::Condition>& conditions, double timeout_s, ReplyCallback done);
-  /// Creates a lease that ends unless it is renewed within its duration.
+  /// Creates a lease that expires unless it is renewed within its duration.
   void create_lease(double duration_s, ReplyCallback done);
   void renew_lease(LeaseId lease, ReplyCallback done);
   void revoke_lease(LeaseId lease, ReplyCallback done);
   /// Waits for changes under the prefix after the revision.
   void watch(const std::string& prefix, std::uint64_t after, double wait_s, ReplyCallback done);
 
-  /// s of the steady clock: when the last request was sent whose answer showed that the store serves us.
+  /// When the last request was sent whose answer showed that the store serves this controller; s of the
+  /// steady clock.
   double last_contact() const { return last_contact_; }
 
  private:
--- a/tests/job_lookups_test.cc
+++ b/tests/job_lookups_test.cc
@@ -87,7 +87,7 @@
 
 TEST_F(DependencyCheckTest, UnfinishedAndEndedJobsWereAccepted) {
   Jobs jobs;
-  for (std::size_t i = 0; i < 3 * constants::kOutcomeReads; ++i) {
+  for (std::size_t i = 0; i < 3 * constants::kMaxConcurrentOutcomeReads; ++i) {
     jobs.push_back(numbered(i));
     state.put((i % 2 ? "a/" : "f/") + jobs.back(), {{"p", "done"}, {"n", 1}});
   }
--- a/tests/leader_state_test.cc
+++ b/tests/leader_state_test.cc
@@ -1,4 +1,4 @@
-// What a leader keeps beside the scheduler's state, each part by itself.
+// Unit tests of the parts of the leader's state other than the scheduler.
 #include <gtest/gtest.h>
 
 #include "heartbeat_delta_cache.h"
@@ -32,14 +32,14 @@
   return {1, fanin::HeartbeatDelta{same_as.machine, same_as.worker_epoch, same_as.seq, number}};
 }
 
-TEST(HeartbeatDeltaCache, AnUnknownDeltaNeedsTheFullHeartbeat) {
+TEST(HeartbeatDeltaCache, ADeltaWithoutAStoredHeartbeatNeedsTheFullOne) {
   HeartbeatDeltaCache cache;
   auto completed = cache.complete(delta(heartbeat_of("n-1", 3), 4));
   ASSERT_TRUE(std::holds_alternative<Error>(completed));
   EXPECT_EQ(std::get<Error>(completed), Error::FullHeartbeatRequired);
 }
 
-TEST(HeartbeatDeltaCache, ABodyThatIsNoHeartbeatIsMalformed) {
+TEST(HeartbeatDeltaCache, ABodyThatIsNotAHeartbeatIsMalformed) {
   HeartbeatDeltaCache cache;
   auto completed = cache.complete(with_body({{"nothing", "of a heartbeat"}}));
   ASSERT_TRUE(std::holds_alternative<Error>(completed));
@@ -84,12 +84,12 @@
   Settings settings;
   settings.report_s = 4;
   WorkerReachability reachability(settings, 100);
-  EXPECT_FALSE(reachability.lost(107, 10)) << "a new leader waits for its workers to find it";
-  EXPECT_TRUE(reachability.lost(130, 3));
-  EXPECT_FALSE(reachability.lost(130, 2)) << "two machines may just be down";
-  reachability.heard(126);
-  EXPECT_FALSE(reachability.lost(132, 3));
-  EXPECT_TRUE(reachability.lost(133, 3));
+  EXPECT_FALSE(reachability.unreachable(107, 10)) << "a new leader waits for its workers to find it";
+  EXPECT_TRUE(reachability.unreachable(130, 3));
+  EXPECT_FALSE(reachability.unreachable(130, 2)) << "two machines may just be down";
+  reachability.heartbeat_received(126);
+  EXPECT_FALSE(reachability.unreachable(132, 3));
+  EXPECT_TRUE(reachability.unreachable(133, 3));
 }
 
 TEST(ParkedHeartbeats, AreBoundedAndTakenInOrder) {
--- a/tests/mutation_test.cc
+++ b/tests/mutation_test.cc
@@ -54,7 +54,8 @@
         MutationCase{"election", "a term is used twice", "forty", "restarts", 10},
         MutationCase{"lease_proxy", "a keeper answers before its record is stored", "scarce",
                      "apart-and-leaders-end", 60},
-        MutationCase{"lease_expiry", "keepers are not asked", "scarce", "apart-and-leaders-end", 60},
+        MutationCase{"lease_expiry", "lease proxy records are ignored", "scarce", "apart-and-leaders-end",
+                     60},
         MutationCase{"store_relay", "mail for the leader is not read", "scarce", "apart", 60},
         MutationCase{"lease_length", "half a lease counts as a whole one", "forty", "zone-cut", 10},
         MutationCase{"acknowledged_commands", "what was cleared can be launched again", "forty",
@@ -70,7 +71,7 @@
         MutationCase{"heartbeat_fanin", "a serving controller answers without the leader", "serving",
                      "leaders-change", 10},
         MutationCase{"heartbeat_batches", "answers of a batch are mixed up", "serving", "servers-crash", 10},
-        MutationCase{"command_batches", "an unanswered batch of orders counts as unsent", "serving",
+        MutationCase{"command_batches", "an unanswered batch of commands counts as unsent", "serving",
                      "late-batches", 10}),
     [](const auto& info) { return std::string(info.param.module); });
 
--- a/tests/stored_records_test.cc
+++ b/tests/stored_records_test.cc
@@ -1,5 +1,5 @@
-// The stored forms of records that the leader and the controllers share, in the bytes that former versions
-// wrote and read.
+// Tests of the stored records that the leader and the controllers share, against the bytes that earlier
+// versions wrote and read.
 #include <gtest/gtest.h>
 
 #include "dependency_barrier_record.h"
@@ -29,9 +29,9 @@
   auto declaration = parse_record_format_declaration(Json::parse(R"({"f":2,"per":40})"));
   EXPECT_EQ(declaration.format, 2);
   EXPECT_EQ(declaration.v1_tasks_per_record, 40);
-  EXPECT_EQ(reader_of_our_format({"v/c2", Json::parse(R"({"f":2,"per":40})"), 1}), "c2");
-  EXPECT_FALSE(reader_of_our_format({"v/c2", Json::parse(R"({"f":1})"), 1}));
-  EXPECT_FALSE(reader_of_our_format({"v/c2", Json("text"), 1}));
+  EXPECT_EQ(reader_of_current_format({"v/c2", Json::parse(R"({"f":2,"per":40})"), 1}), "c2");
+  EXPECT_FALSE(reader_of_current_format({"v/c2", Json::parse(R"({"f":1})"), 1}));
+  EXPECT_FALSE(reader_of_current_format({"v/c2", Json("text"), 1}));
 }
 
 TEST(StoredRecords, LeaseProxy) {
@@ -87,7 +87,7 @@
   EXPECT_FALSE(unreadable.spec);
 }
 
-TEST(StoredRecords, AJobsRecordAsFrontEndsWriteIt) {
+TEST(StoredRecords, AJobsRecordAsControllersWriteIt) {
   JobSpec spec;
   spec.id = "run-1";
   auto record = StoredJobRecord::for_new_job(spec);
@@ -105,7 +105,7 @@
   EXPECT_EQ(of_newer_version.json().dump(), R"({"c":1,"j":{"ref":"run-1"},"new":[1]})");
 }
 
-TEST(StoredRecords, OnlyAWholeRecordSaysThatAJobDependsOnNone) {
+TEST(StoredRecords, OnlyAWholeRecordShowsThatAJobHasNoDependencies) {
   auto depends = [](const char* text) { return StoredJobRecord(Json::parse(text)).has_dependencies(); };
   EXPECT_FALSE(depends(R"({"j":{"ref":"run-1"},"c":0})"));
   EXPECT_TRUE(depends(R"({"j":{"awaits":["run-0"]},"c":0})"));
@@ -118,7 +118,7 @@
   EXPECT_NEAR(record["t"].get<double>(), wall_now() - 10, 1);
   EXPECT_NEAR(parse_dependency_barrier(record), steady_now() - 10, 1);
   double by_clock_ahead = parse_dependency_barrier(Json{{"t", wall_now() + 100}});
-  EXPECT_LE(by_clock_ahead, steady_now()) << "the writer's clock is ahead of ours";
+  EXPECT_LE(by_clock_ahead, steady_now()) << "the writer's clock is ahead of the reader's";
 }
 
 }  // namespace
--- a/tests/term_test.cc
+++ b/tests/term_test.cc
@@ -1,5 +1,5 @@
-// What the actors of a leader's term do where the state store gives its answers in parts, forgets, or
-// answers late, and where the process stalled.
+// Tests of the actors of a leader's term when the state store splits its answers into pages, drops its
+// history of changes or answers late, and when the process stalled.
 #include <gtest/gtest.h>
 
 #include "cancel_acknowledgements.h"
@@ -29,7 +29,7 @@
   Settings settings;
   Term term;
   std::unique_ptr<Scheduler> scheduler;
-  std::vector<std::string> vanished;
+  std::vector<std::string> missing_records;
   TermCallbacks callbacks{[] {}, [](StepDownReason) {}, [](RecordUpgradeReason) {}};
 
   void SetUp() override {
@@ -54,7 +54,7 @@
   }
   std::unique_ptr<JobWatcher> job_watcher() {
     return std::make_unique<JobWatcher>(loop, client, term, *scheduler, callbacks,
-                                        [this](const std::string& id) { vanished.push_back(id); });
+                                        [this](const std::string& id) { missing_records.push_back(id); });
   }
   static Json record(const std::string& id) {
     JobSpec spec;
@@ -68,18 +68,18 @@
   static std::string id(int n) { return "run-" + std::to_string(1000 + n); }
   Heartbeat heartbeat_of(const std::string& machine, std::uint64_t seq) {
     Heartbeat heartbeat = test::heartbeat_of(machine, 1, seq);
-    heartbeat.fencing_token = (std::uint64_t{1} << 20) + 1000;  // of the term, beyond what the scheduler gave
+    heartbeat.fencing_token = (std::uint64_t{1} << 20) + 1000;  // of the term; above all issued ones
     return heartbeat;
   }
 };
 
-// Accepted jobs must be seen however the service cuts its pages, also after it has forgotten what changed;
-// and a record that went away meanwhile must be noticed.
-TEST_F(TermTest, JobsAreSeenWhereverAPageEndsAndWhateverIsForgotten) {
+// Guards against missed jobs: all accepted jobs are loaded whatever the page size, also after the store has
+// dropped its history of changes, and a record that was removed meanwhile is reported.
+TEST_F(TermTest, AllJobsAreReadAtAnyPageSizeAndAfterTheHistoryIsDropped) {
   for (std::size_t page : {1, 2, 7, 1000}) {
     SCOPED_TRACE(page);
     SetUp();
-    vanished.clear();
+    missing_records.clear();
     state.limits.page_items = page;
     for (int i = 0; i < 25; ++i) state.put("a/" + id(i), record(id(i)));
     auto jobs = job_watcher();
@@ -91,13 +91,13 @@
     for (int i = 25; i < 60; ++i) state.put("a/" + id(i), record(id(i)));
     state.forget_history();
     jobs->follow();
-    ASSERT_TRUE(wait_for([&] { return scheduler->jobs().size() == 60 && !vanished.empty(); }))
+    ASSERT_TRUE(wait_for([&] { return scheduler->jobs().size() == 60 && !missing_records.empty(); }))
         << scheduler->jobs().size();
-    EXPECT_EQ(vanished, std::vector<std::string>{id(3)});
-    // And it follows from there on.
+    EXPECT_EQ(missing_records, std::vector<std::string>{id(3)});
+    // Later changes are watched again.
     state.put("a/" + id(60), record(id(60)));
     EXPECT_TRUE(wait_for([&] { return scheduler->job(id(60)) != nullptr; }));
-    EXPECT_EQ(vanished.size(), 1u);
+    EXPECT_EQ(missing_records.size(), 1u);
     term.end();
     term = Term{};
     for (int i = 0; i <= 60; ++i) state.erase("a/" + id(i));
@@ -105,9 +105,10 @@
   }
 }
 
-// Guards against a start after a confirmed cancel: another controller has stored the end, and this leader has
-// not heard of it when it assigns a task. Ends beside a long record, which stays as it is, count as well.
-TEST_F(TermTest, NothingIsAssignedOnceAnEndIsStoredElsewhere) {
+// Guards against starting a task after a confirmed cancel: another controller has stored the job's end, and
+// this leader has not received it when it assigns the task. Ends of long records, which stay unchanged, count
+// as well.
+TEST_F(TermTest, NoTaskIsAssignedOnceAnotherControllerHasStoredTheEnd) {
   scheduler->use_v2_records();
   for (bool beside : {false, true}) {
     auto gone = id(beside ? 1 : 2), stays = id(beside ? 3 : 4);
@@ -120,7 +121,7 @@
     cancelled["c"] = 1;
     if (!beside) state.put("a/" + gone, cancelled);
     state.put("f/" + gone, {{"p", "cancelled"}, {"n", 0}});
-    term.revision = 0;  // nobody holds the leader's record here
+    term.revision = 0;  // there is no leader's record in this test
     double now = steady_now();
     scheduler->on_heartbeat(heartbeat_of("n-1", beside ? 2 : 1), Scheduler::Channel::Heartbeat, now);
     scheduler->schedule(now);
@@ -133,7 +134,7 @@
                                            [](const codec::JobView&) {});
     writer->pump();
     ASSERT_TRUE(wait_for([&] { return !scheduler->job(gone) || scheduler->job(gone)->cancelled; }));
-    // The other is stored all the same, in a transaction of its own.
+    // The task record of the other job is stored nevertheless, in a separate transaction.
     ASSERT_TRUE(wait_for([&] { return state.values().contains("t/" + stays + "/000000"); }));
     EXPECT_EQ(state.values().count("t/" + gone + "/000000"), 0u);
     EXPECT_TRUE(!scheduler->job(gone) || scheduler->job(gone)->active.empty());
@@ -142,7 +143,8 @@
   }
 }
 
-// Guards against `ran_twice`: a lease proxy named on a page that was not read would look like none.
+// Guards against `ran_twice`: a lease proxy whose record is on an unread page would count as absent, and the
+// tasks of its machines would be started again.
 TEST_F(TermTest, ALeaseProxyOnALaterPageKeepsItsMachinesFromCountingAsGone) {
   state.limits.page_items = 2;
   for (int i = 0; i < 9; ++i)
@@ -152,8 +154,7 @@
   bool loaded = false;
   jobs->load([&] { loaded = true; });
   ASSERT_TRUE(wait_for([&] { return loaded; }));
-  // A stored task on the machine that the last proxy names; its lease ran out long ago as far as the leader
-  // knows.
+  // A stored task on the machine that the last proxy record lists. For the leader its lease expired long ago.
   double now = steady_now();
   scheduler->on_heartbeat(heartbeat_of("n-8", 1), Scheduler::Channel::Heartbeat, now);
   scheduler->schedule(now);
@@ -175,27 +176,28 @@
   for (int i = 0; i < 9; ++i) state.erase("k/c" + std::to_string(i));
 }
 
-// A process that stalled judges nothing by its own silence, and deletes no machine before the
-// state store has confirmed that it still leads.
+// Guards against a stalled leader that takes missing heartbeats for failed machines: it deletes no machine
+// before the state store has confirmed that it still leads.
 TEST_F(TermTest, AfterAStallNothingIsDeletedUntilTheTermIsConfirmed) {
   double now = steady_now();
   for (int i = 0; i < 10; ++i)
     scheduler->on_heartbeat(heartbeat_of("n-" + std::to_string(i), 1), Scheduler::Channel::Heartbeat,
                             now - 60);
-  auto heard = [&](double at) {
+  auto receive_heartbeats = [&](double at) {
     for (int i = 0; i < 8; ++i)
       scheduler->on_heartbeat(heartbeat_of("n-" + std::to_string(i), 2), Scheduler::Channel::Heartbeat, at);
   };
-  // Eight speak at once, before the first tick; two of ten are too few silent ones to blame the network.
-  heard(now);
+  // Eight machines send heartbeats before the first tick; the two of ten without one are too few to attribute
+  // it to the network.
+  receive_heartbeats(now);
   scheduler->process_stalled(now);
   scheduler->tick(now);
   EXPECT_TRUE(scheduler->decommissioning().empty());
-  // Whatever was to be returned before stays until the term is confirmed.
+  // A machine that was to be returned before the stall stays until the term is confirmed.
   scheduler->decommission("n-9", now);
   term.since = now - 100;
-  term.contact = now - 33;
-  term.woke_at = now;
+  term.confirmed_until = now - 33;
+  term.stall_detected_at = now;
   MachineProvisioner provisioner(loop, settings, {0.5, 600, 2, true}, cloud_client, term, *scheduler,
                                  callbacks, [](const std::string&) {});
   provisioner.start();
@@ -205,25 +207,29 @@
   EXPECT_TRUE(wait_for([&] { return cloud.deletion_requests() == 1; }));
 }
 
-// The leader may renew leases only as long as it knows every cancel: by the store, as far as both its term
-// and its watch are confirmed, or else by all peers, none of which has begun a new life since then.
-TEST_F(TermTest, CancelsAreKnownUpToTheStoresWordOrAllPeersAcknowledgement) {
+// The leader may renew leases only as long as it has received every cancel: from the store, up to the time
+// for which both its term and its watch are confirmed, or else from all peers, if none of them has begun a
+// new incarnation since then.
+TEST_F(TermTest, CancelsAreCompleteUpToTheStoreWatchOrTheAcknowledgementOfAllPeers) {
   auto jobs = job_watcher();
   CancelAcknowledgements cancels(term, *jobs);
   term.confirmed(steady_now());
-  EXPECT_EQ(cancels.complete_until(), kLongAgo) << "a confirmed term says nothing of cancels";
+  EXPECT_EQ(cancels.complete_until(), kLongAgo)
+      << "a confirmed term does not show that all cancels were received";
   double before_load = steady_now();
   bool loaded = false;
   jobs->load([&] { loaded = true; });
   ASSERT_TRUE(wait_for([&] { return loaded; }));
-  EXPECT_EQ(cancels.complete_until(), std::min(term.contact, jobs->seen_at()));
+  EXPECT_EQ(cancels.complete_until(), std::min(term.confirmed_until, jobs->observed_until()));
   double by_store = cancels.complete_until();
   cancels.peers_acknowledged(before_load + 100, before_load + 50);
-  EXPECT_EQ(cancels.complete_until(), by_store) << "a peer began a new life since the store was heard";
+  EXPECT_EQ(cancels.complete_until(), by_store)
+      << "a peer began a new incarnation after the store was last confirmed";
   cancels.peers_acknowledged(before_load + 100, before_load - 50);
   EXPECT_EQ(cancels.complete_until(), before_load + 100);
   cancels.peers_acknowledged(before_load + 90, before_load - 50);
-  EXPECT_EQ(cancels.complete_until(), before_load + 100) << "what was once known stays known";
+  EXPECT_EQ(cancels.complete_until(), before_load + 100)
+      << "an older acknowledgement does not replace a newer one";
 }
 
 TEST_F(TermTest, TheHeartbeatsOfUnknownMachinesAreForgotten) {
@@ -233,20 +239,20 @@
                  {"tick", 3}};
     return fanin::ForwardedHeartbeat{1, fanin::FullHeartbeat{codec::pack(body)}};
   };
-  auto knows = [&](const std::string& machine) {
+  auto holds_full_heartbeat = [&](const std::string& machine) {
     auto completed = cache.complete({2, fanin::HeartbeatDelta{machine, 1, 3, 4}});
     return std::holds_alternative<Heartbeat>(completed);
   };
   scheduler->on_heartbeat(heartbeat_of("n-1", 3), Scheduler::Channel::Heartbeat, steady_now());
   for (const char* machine : {"n-1", "n-2"}) cache.complete(full(machine));
-  ASSERT_TRUE(knows("n-1") && knows("n-2"));
+  ASSERT_TRUE(holds_full_heartbeat("n-1") && holds_full_heartbeat("n-2"));
   cache.forget_unknown_machines(*scheduler);
-  EXPECT_TRUE(knows("n-1"));
-  EXPECT_FALSE(knows("n-2"));
+  EXPECT_TRUE(holds_full_heartbeat("n-1"));
+  EXPECT_FALSE(holds_full_heartbeat("n-2"));
 }
 
-// What a takeover reads grows with unfinished work alone.
-TEST_F(TermTest, ATakeoverReadsNoMoreForTenTimesTheFinishedJobs) {
+// Guards against a slow failover: the number of pages read depends on unfinished work only.
+TEST_F(TermTest, AFailoverReadsNoMoreForTenTimesTheFinishedJobs) {
   for (int i = 0; i < 150; ++i) state.put("a/" + id(i), record(id(i)));
   std::vector<int> pages;
   int finished = 0;
@@ -265,22 +271,22 @@
     pages.push_back(state.counters().pages - before);
   }
   EXPECT_EQ(pages[0], pages[1]);
-  EXPECT_LE(pages[0], 4);  // two of jobs, one each of both formats of task records
+  EXPECT_LE(pages[0], 4);  // two of jobs, one of task records in each format
 }
 
-TEST(OutageLog, SaysOnceWhatIsWaitedForAgainInGrowingIntervalsAndWhenItIsThere) {
+TEST(OutageLog, LogsTheStartOfAnOutageThenGrowingIntervalsThenTheEnd) {
   OutageLog log("the state service", "10.0.0.1:2379");
-  std::vector<double> said;
+  std::vector<double> logged_at;
   for (double t = 0; t < 100; t += 0.5)
     if (auto line = log.failed(t, "connection refused")) {
       EXPECT_NE(line->find("10.0.0.1:2379"), std::string::npos);
       EXPECT_NE(line->find("connection refused"), std::string::npos);
-      said.push_back(t);
+      logged_at.push_back(t);
     }
-  EXPECT_EQ(said, (std::vector<double>{0, 5, 15, 35, 75}));
+  EXPECT_EQ(logged_at, (std::vector<double>{0, 5, 15, 35, 75}));
   EXPECT_NE(log.answered(100)->find("answers"), std::string::npos);
   EXPECT_FALSE(log.answered(101));
-  // Later, one lost answer is not worth a line.
+  // After the first answer, a single lost answer is not logged.
   EXPECT_FALSE(log.failed(200, "no answer in time"));
   EXPECT_FALSE(log.answered(200.5));
   EXPECT_FALSE(log.failed(300, "no answer in time"));
