--- a/src/leader/state_loader.cc
+++ b/src/leader/state_loader.cc
@@ -29,7 +29,7 @@
   auto loaded = scheduler_.load_record(stored.key, stored.value, stored.revision);
   if (loaded == Scheduler::Loaded::Garbage) garbage_.push_back(stored.key);
   // Guards against starting a second time what a newer version's record says is running.
-  if (loaded == Scheduler::Loaded::Unknown) too_new_ = stored.key;
+  if (loaded == Scheduler::Loaded::TooNew) too_new_ = stored.key;
 }
 
 void StateLoader::records_read(const std::string& prefix, const ReadEnd& end) {
--- a/src/scheduler/command_queue.cc
+++ b/src/scheduler/command_queue.cc
@@ -56,7 +56,7 @@
       continue;
     }
     task->stage = Stage::Sent;
-    task->minimum_token = kTokenOfNoWorker;
+    task->minimum_token = kTokenNeverIssued;
     machine.worker.last_launch = now;
     out.launches.push_back(id);
     out.attempts.push_back(task->attempt);
--- a/src/scheduler/dependency_barrier.cc
+++ b/src/scheduler/dependency_barrier.cc
@@ -5,24 +5,25 @@
 
 namespace corkmux {
 
-double DependencyBarrier::advance(double seen, const std::vector<std::string>& pending, bool unclear) {
-  if (!can_advance(seen)) return settled_until_;
-  // What was not pending the last time came of a cancel after that; or of one whose job was being looked up,
-  // which may be older, though not older than what was settled then.
-  const double earliest_new_cancel = unclear_ ? settled_until_ : seen_;
+double DependencyBarrier::advance(double observed_until, const std::vector<std::string>& pending,
+                                  bool outcomes_missing) {
+  if (!can_advance(observed_until)) return barrier_at_;
+  // A job that was not pending at the last call was cancelled after that call. If an outcome was missing
+  // then, the cancel may be older, but not older than the barrier was at that time.
+  const double earliest_new_cancel = outcomes_missing_ ? barrier_at_ : observed_until_;
   std::map<std::string, double> pending_since;
-  double oldest = unclear ? earliest_new_cancel : seen;
+  double oldest = outcomes_missing ? earliest_new_cancel : observed_until;
   for (const auto& job : pending) {
-    auto known = pending_since_.find(job);
-    const double since = known == pending_since_.end() ? earliest_new_cancel : known->second;
+    auto previous = pending_since_.find(job);
+    const double since = previous == pending_since_.end() ? earliest_new_cancel : previous->second;
     oldest = std::min(oldest, since);
     pending_since.emplace(job, since);
   }
   pending_since_ = std::move(pending_since);
-  seen_ = seen;
-  unclear_ = unclear;
-  settled_until_ = std::max(settled_until_, oldest);
-  return settled_until_;
+  observed_until_ = observed_until;
+  outcomes_missing_ = outcomes_missing;
+  barrier_at_ = std::max(barrier_at_, oldest);
+  return barrier_at_;
 }
 
 }  // namespace corkmux
--- a/src/scheduler/dependency_graph.cc
+++ b/src/scheduler/dependency_graph.cc
@@ -11,10 +11,10 @@
 
 namespace {
 
-/// s from the moment a job may start until its dependents may, as its owner estimates.
-double duration_s(const Job& job) { return std::max(1.0, job.spec.estimate_s); }
+/// s from a job's earliest start until its dependents may start, as estimated by the job's owner.
+double estimated_duration_s(const Job& job) { return std::max(1.0, job.spec.estimate_s); }
 
-std::string waiting_for(const Job& job) {
+std::string waiting_reason(const Job& job) {
   if (job.unmet_dependencies.empty()) return "";
   const std::string others = job.unmet_dependencies.size() > 1 ? " and others" : "";
   return "waiting for " + *job.unmet_dependencies.begin() + others;
@@ -24,20 +24,20 @@
 
 void DependencyGraph::add(Job& job) {
   const std::string& id = job.spec.id;
-  unknown_.erase(id);
+  unknown_outcomes_.erase(id);
   for (const std::string& dependency : job.spec.dependencies) add_dependency(job, dependency);
-  job.why = waiting_for(job);
+  job.why = waiting_reason(job);
   if (job.dependency_cancelled) {
     lifecycle_.note_ending(id);
     cancel_dependents(id);
   }
-  inherit(job);
+  propagate_urgency(job);
 }
 
 void DependencyGraph::add_dependency(Job& job, const std::string& dependency) {
   if (auto ended = outcomes_.find(dependency); ended != outcomes_.end()) {
-    if (ended->second.how == JobOutcome::Done)
-      job.ready_at = std::max(job.ready_at, ended->second.at);
+    if (ended->second.outcome == JobOutcome::Done)
+      job.ready_at = std::max(job.ready_at, ended->second.ended_at);
     else
       job.dependency_cancelled = true;
     return;
@@ -46,17 +46,17 @@
   dependents_[dependency].push_back(job.spec.id);
   const Job* other = state_.job(dependency);
   if (!other)
-    unknown_.insert(dependency);
+    unknown_outcomes_.insert(dependency);
   else if (other->cancelled || other->dependency_cancelled)
     job.dependency_cancelled = true;
 }
 
 void DependencyGraph::remove(const std::string& id, const std::vector<std::string>& dependencies) {
-  // What still depends on it learns of its end from the store.
-  if (dependents_.contains(id) && !outcomes_.contains(id)) unknown_.insert(id);
+  // Jobs that still depend on the removed job get its outcome from the state store.
+  if (dependents_.contains(id) && !outcomes_.contains(id)) unknown_outcomes_.insert(id);
   for (const std::string& dependency : dependencies) {
     remove_edge(id, dependency);
-    if (Job* job = state_.job(dependency)) inherit(*job);
+    if (Job* job = state_.job(dependency)) propagate_urgency(*job);
   }
 }
 
@@ -66,16 +66,16 @@
   std::erase(found->second, id);
   if (!found->second.empty()) return;
   dependents_.erase(found);
-  unknown_.erase(dependency);
+  unknown_outcomes_.erase(dependency);
 }
 
-// ---------------------------------------------------------------- ends
+// ---------------------------------------------------------------- outcomes
 
-void DependencyGraph::met(Job& job, const std::string& dependency, double at) {
+void DependencyGraph::mark_met(Job& job, const std::string& dependency, double ended_at) {
   if (!job.unmet_dependencies.erase(dependency)) return;
-  job.ready_at = std::max(job.ready_at, at);
+  job.ready_at = std::max(job.ready_at, ended_at);
   remove_edge(job.spec.id, dependency);
-  job.why = waiting_for(job);
+  job.why = waiting_reason(job);
   state_.mark_changed(job.spec.id);
   if (job.unmet_dependencies.empty()) state_.request_cycle();
   state_.reindex(job);
@@ -83,27 +83,27 @@
 
 void DependencyGraph::assume_met(Job& job) {
   for (const std::string& dependency : std::unordered_set<std::string>(job.unmet_dependencies))
-    met(job, dependency, job.accepted_at);
+    mark_met(job, dependency, job.accepted_at);
 }
 
-void DependencyGraph::record_outcome(const std::string& id, JobOutcome how, double ended_at) {
-  if (outcomes_.try_emplace(id, Ended{how, ended_at}).second) outcome_order_.push_back(id);
+void DependencyGraph::record_outcome(const std::string& id, JobOutcome outcome, double ended_at) {
+  if (outcomes_.try_emplace(id, StoredOutcome{outcome, ended_at}).second) outcome_order_.push_back(id);
   if (outcome_order_.size() > c::kFinalCache) {
     outcomes_.erase(outcome_order_.front());
     outcome_order_.pop_front();
   }
-  unknown_.erase(id);
-  if (how == JobOutcome::Cancelled) {
+  unknown_outcomes_.erase(id);
+  if (outcome == JobOutcome::Cancelled) {
     cancel_dependents(id);
     return;
   }
   auto found = dependents_.find(id);
   if (found == dependents_.end()) return;
   for (const std::string& dependent : std::vector<std::string>(found->second))
-    if (Job* job = state_.job(dependent)) met(*job, id, ended_at);
+    if (Job* job = state_.job(dependent)) mark_met(*job, id, ended_at);
 }
 
-// They have no task anywhere: none of them could start.
+// No task has to be stopped: a job cannot start before all of its dependencies are done.
 void DependencyGraph::cancel_dependents(const std::string& id) {
   std::vector<std::string> cancelled{id};
   while (!cancelled.empty()) {
@@ -144,13 +144,13 @@
     if (!dependent || dependent->cancelled || dependent->dependency_cancelled) continue;
     urgency.priority = std::max(urgency.priority, dependent->priority);
     if (dependent->due_at < kNever)
-      urgency.due_at = std::min(urgency.due_at, dependent->due_at - duration_s(*dependent));
+      urgency.due_at = std::min(urgency.due_at, dependent->due_at - estimated_duration_s(*dependent));
   }
   return urgency;
 }
 
-// The highest priority and the tightest deadline of its dependents, through any number of steps.
-void DependencyGraph::inherit(Job& first) {
+// A job inherits the highest priority and the tightest deadline of its direct and indirect dependents.
+void DependencyGraph::propagate_urgency(Job& first) {
   std::vector<Job*> pending{&first};
   bool is_first = true;
   while (!pending.empty()) {
--- a/src/scheduler/dependency_graph.h
+++ b/src/scheduler/dependency_graph.h
@@ -1,9 +1,9 @@
-// Jobs that depend on jobs: when one may start, what a cancellation takes with it, and what a job inherits
-// from its dependents. Graphs may be deep or wide, so nothing here recurses.
+// Dependencies between jobs: when a job may start, which jobs a cancellation ends, and which priority and
+// deadline a job inherits from its dependents. Graphs may be deep or wide, so no function here recurses.
 //
-// Owns who depends on whom among unfinished jobs, how finished jobs ended as far as remembered, and of which
-// jobs that has to be looked up. It needs the cluster's state, and TaskLifecycle for the order of ends. It
-// never stops a task: a job that depends on another has none yet.
+// Owns the dependency edges between unfinished jobs, the outcomes of recently finished jobs, and the set of
+// jobs whose outcome has to be read from the state store. Uses the cluster state, and TaskLifecycle for the
+// order in which jobs end. It never stops a task: a job with unmet dependencies has none yet.
 #pragma once
 #include <deque>
 #include <set>
@@ -15,41 +15,42 @@
 #include "task_lifecycle.h"
 
 namespace corkmux {
-/// How a job ended, as it is stored.
+/// How a job ended, as stored in the state store.
 enum class JobOutcome { Done, Cancelled };
 
 class DependencyGraph {
  public:
   DependencyGraph(ClusterState& state, TaskLifecycle& lifecycle) : state_(state), lifecycle_(lifecycle) {}
 
-  /// The job is new.
+  /// Adds a new job, with its dependencies.
   void add(Job& job);
-  /// The job's end is stored, or its record is gone; it depended on those.
+  /// Removes a job whose end is stored or whose record is gone. `dependencies`: the jobs it depended on.
   void remove(const std::string& id, const std::vector<std::string>& dependencies);
-  /// All that the job depends on was done; the moment is not known.
+  /// Marks all dependencies of the job as done. When they were done is unknown, so the job counts as ready
+  /// from its acceptance on.
   void assume_met(Job& job);
-  /// How a job ended.
-  void record_outcome(const std::string& id, JobOutcome how, double ended_at);
-  /// Cancels all that depend on a cancelled job, directly or through others.
+  /// Records how and when a job ended, and releases or cancels its dependents.
+  void record_outcome(const std::string& id, JobOutcome outcome, double ended_at);
+  /// Cancels all direct and indirect dependents of a cancelled job.
   void cancel_dependents(const std::string& id);
-  /// Dependencies of which nothing is known, to be looked up in the store.
-  const std::set<std::string>& unknown() const { return unknown_; }
-  /// Whether any job depends on others.
+  /// Dependencies without a known outcome, to be looked up in the state store.
+  const std::set<std::string>& unknown_outcomes() const { return unknown_outcomes_; }
+  /// Whether any unfinished job has an unmet dependency.
   bool any() const { return !dependents_.empty(); }
-  /// Jobs that need a cancelled one and whose end is not stored yet.
+  /// Jobs that depend on a cancelled job and whose end is not stored yet.
   std::vector<std::string> dependents_of_cancelled() const;
 
  private:
-  struct Ended {
-    JobOutcome how;
-    double at = 0;
+  struct StoredOutcome {
+    JobOutcome outcome;
+    double ended_at = 0;
   };
   void add_dependency(Job& job, const std::string& dependency);
   void remove_edge(const std::string& id, const std::string& dependency);
-  void met(Job& job, const std::string& dependency, double at);
-  /// Gives the job, and through it what it depends on, the urgency of its dependents.
-  void inherit(Job& first);
-  /// What a job has of its own and of its dependents.
+  void mark_met(Job& job, const std::string& dependency, double ended_at);
+  /// Passes the urgency of the job's dependents on to the job and to its direct and indirect dependencies.
+  void propagate_urgency(Job& first);
+  /// Priority and due time of a job, the more urgent of its own and its dependents'.
   struct Urgency {
     Priority priority;
     double due_at;
@@ -58,9 +59,9 @@
 
   ClusterState& state_;
   TaskLifecycle& lifecycle_;
-  std::unordered_map<std::string, std::vector<std::string>> dependents_;  // of unfinished jobs
-  std::set<std::string> unknown_;
-  std::unordered_map<std::string, Ended> outcomes_;
+  std::unordered_map<std::string, std::vector<std::string>> dependents_;  // dependency -> unfinished jobs
+  std::set<std::string> unknown_outcomes_;
+  std::unordered_map<std::string, StoredOutcome> outcomes_;
   std::deque<std::string> outcome_order_;
 };
 
--- a/src/scheduler/heartbeat_reconciler.cc
+++ b/src/scheduler/heartbeat_reconciler.cc
@@ -98,7 +98,7 @@
   const std::uint64_t epoch = heartbeat.worker_epoch;
   if (machine.worker.epoch)
     state_.note("machine " + machine.name + " began worker epoch " + std::to_string(epoch));
-  lifecycle_.lose_all(machine, "lost its lease", now, epoch);
+  lifecycle_.mark_all_lost(machine, "lost its lease", now, epoch);
   state_.clear_images(machine);
   machine.worker.epoch = epoch;
   machine.worker.seq = 0;
@@ -153,7 +153,7 @@
                                      bool assigned) {
   if (assigned) {
     pass.present.insert({status.job, status.index});
-    lifecycle_.exited(*job, status, pass.machine, pass.now);
+    lifecycle_.task_exited(*job, status, pass.machine, pass.now);
   }
   if (!must_keep(status, job)) pass.ended.push_back(command(TaskCommand::Op::Forget, status));
 }
@@ -196,7 +196,7 @@
   for (const TaskId& id : absent) {
     Job* job = state_.job(id.job);
     const ActiveTask* task = job ? job->find_active(id.index) : nullptr;
-    if (task && proves_absence(pass, *task)) lifecycle_.lost(id, "no longer has it", pass.now);
+    if (task && proves_absence(pass, *task)) lifecycle_.mark_lost(id, "no longer has it", pass.now);
   }
 }
 
--- a/src/scheduler/job_index.cc
+++ b/src/scheduler/job_index.cc
@@ -5,14 +5,14 @@
 namespace corkmux {
 namespace {
 
-/// Of all its tasks. Memory is not metered.
-Resources metered_need(const Job& job) {
+/// Need of all the job's tasks that counts against quota. Memory does not count.
+Resources quota_need(const Job& job) {
   const auto tasks = static_cast<double>(job.spec.tasks);
   return {job.spec.need.cpus * tasks, job.spec.need.gpus * tasks, 0};
 }
 
-/// The job is in the set from now on, or no longer.
-void set_member(JobSet& set, Job& job, bool& indexed, bool member) {
+/// Inserts the job into the set or erases it; `indexed` is whether the set has it.
+void update_membership(JobSet& set, Job& job, bool& indexed, bool member) {
   if (indexed == member) return;
   indexed = member;
   if (member)
@@ -29,13 +29,13 @@
   return job.guarantee_admission == Admission::Granted;
 }
 
-std::optional<Priority> priority_if(const Job& job, bool counts) {
-  return counts ? std::optional(job.priority) : std::nullopt;
+std::optional<Priority> priority_if(const Job& job, bool counted) {
+  return counted ? std::optional(job.priority) : std::nullopt;
 }
 
 }  // namespace
 
-bool ByOrder::operator()(const Job* left, const Job* right) const {
+bool ByAcceptanceOrder::operator()(const Job* left, const Job* right) const {
   return left->order != right->order ? left->order < right->order : left->spec.id < right->spec.id;
 }
 
@@ -43,50 +43,53 @@
   for (const auto& team : teams) teams_.try_emplace(team.name, team);
 }
 
-void JobIndex::set_guaranteed(Ledger& ledger, Job& job, bool guaranteed) {
+void JobIndex::set_guaranteed(TeamJobs& team_jobs, Job& job, bool guaranteed) {
   ++items_examined_;
   if (job.indexed.running) {
-    ledger.running[job.indexed.guaranteed].erase(&job);
-    ledger.running[guaranteed].insert(&job);
+    team_jobs.running[job.indexed.guaranteed].erase(&job);
+    team_jobs.running[guaranteed].insert(&job);
   }
   job.indexed.guaranteed = guaranteed;
 }
 
-void JobIndex::enter(Ledger& ledger, Job& job) {
+void JobIndex::add_ready(TeamJobs& team_jobs, Job& job) {
   ++items_examined_;
-  ledger.jobs.insert(&job);
-  // Behind the first that is over the guarantee, it is over it as well.
-  if (ledger.over_guarantee != ledger.jobs.end() && !ByOrder{}(&job, *ledger.over_guarantee)) return;
-  ledger.within += metered_need(job);
-  set_guaranteed(ledger, job, true);
-  // What it pushes out is the latest of those within; that may be itself.
-  while (!ledger.team.guarantees(ledger.within) && ledger.over_guarantee != ledger.jobs.begin()) {
-    --ledger.over_guarantee;
-    Job& latest = **ledger.over_guarantee;
-    ledger.within -= metered_need(latest);
-    set_guaranteed(ledger, latest, false);
+  team_jobs.jobs.insert(&job);
+  // A job accepted after the first one over the guarantee is over the guarantee as well.
+  if (team_jobs.first_over_guarantee != team_jobs.jobs.end() &&
+      !ByAcceptanceOrder{}(&job, *team_jobs.first_over_guarantee))
+    return;
+  team_jobs.guaranteed_need += quota_need(job);
+  set_guaranteed(team_jobs, job, true);
+  // The new job displaces the latest jobs from the guarantee, possibly itself.
+  while (!team_jobs.team.guarantees(team_jobs.guaranteed_need) &&
+         team_jobs.first_over_guarantee != team_jobs.jobs.begin()) {
+    --team_jobs.first_over_guarantee;
+    Job& latest = **team_jobs.first_over_guarantee;
+    team_jobs.guaranteed_need -= quota_need(latest);
+    set_guaranteed(team_jobs, latest, false);
   }
-  if (ledger.over_guarantee == ledger.jobs.begin()) ledger.within = {};
+  if (team_jobs.first_over_guarantee == team_jobs.jobs.begin()) team_jobs.guaranteed_need = {};
 }
 
-void JobIndex::leave(Ledger& ledger, Job& job) {
+void JobIndex::remove_ready(TeamJobs& team_jobs, Job& job) {
   ++items_examined_;
   if (job.indexed.guaranteed) {
-    ledger.within -= metered_need(job);
-    set_guaranteed(ledger, job, false);
+    team_jobs.guaranteed_need -= quota_need(job);
+    set_guaranteed(team_jobs, job, false);
   }
-  auto left = ledger.jobs.find(&job);
-  if (left == ledger.jobs.end()) return;
-  if (ledger.over_guarantee == left) ++ledger.over_guarantee;
-  ledger.jobs.erase(left);
-  if (ledger.over_guarantee == ledger.jobs.begin()) ledger.within = {};
-  for (; ledger.over_guarantee != ledger.jobs.end(); ++ledger.over_guarantee) {
-    Job& next = **ledger.over_guarantee;
-    Resources with_next = ledger.within;
-    with_next += metered_need(next);
-    if (!ledger.team.guarantees(with_next)) break;
-    ledger.within = with_next;
-    set_guaranteed(ledger, next, true);
+  auto removed = team_jobs.jobs.find(&job);
+  if (removed == team_jobs.jobs.end()) return;
+  if (team_jobs.first_over_guarantee == removed) ++team_jobs.first_over_guarantee;
+  team_jobs.jobs.erase(removed);
+  if (team_jobs.first_over_guarantee == team_jobs.jobs.begin()) team_jobs.guaranteed_need = {};
+  for (; team_jobs.first_over_guarantee != team_jobs.jobs.end(); ++team_jobs.first_over_guarantee) {
+    Job& next = **team_jobs.first_over_guarantee;
+    Resources with_next = team_jobs.guaranteed_need;
+    with_next += quota_need(next);
+    if (!team_jobs.team.guarantees(with_next)) break;
+    team_jobs.guaranteed_need = with_next;
+    set_guaranteed(team_jobs, next, true);
   }
 }
 
@@ -105,14 +108,14 @@
   auto team = teams_.find(job.spec.team);
   if (ready != indexed.ready) {
     indexed.ready = ready;
-    if (team != teams_.end()) ready ? enter(team->second, job) : leave(team->second, job);
+    if (team != teams_.end()) ready ? add_ready(team->second, job) : remove_ready(team->second, job);
   }
   if (team != teams_.end())
-    set_member(team->second.running[indexed.guaranteed], job, indexed.running, running);
+    update_membership(team->second.running[indexed.guaranteed], job, indexed.running, running);
   else
     indexed.running = running;
-  set_member(waiting_, job, indexed.waiting, ready && job.queued > 0);
-  set_member(admission_candidates_, job, indexed.admission_candidate, is_admission_candidate(job));
+  update_membership(waiting_, job, indexed.waiting, ready && job.queued > 0);
+  update_membership(admission_candidates_, job, indexed.admission_candidate, is_admission_candidate(job));
   count(accelerator_users_, indexed.accelerator_user, priority_if(job, ready && job.spec.need.gpus > 0));
   count(stoppable_, indexed.stoppable, priority_if(job, running && !job.is_gang()));
 }
@@ -120,7 +123,7 @@
 void JobIndex::remove(Job& job) {
   Indexed& indexed = job.indexed;
   if (auto team = teams_.find(job.spec.team); team != teams_.end()) {
-    if (indexed.ready) leave(team->second, job);
+    if (indexed.ready) remove_ready(team->second, job);
     if (indexed.running) team->second.running[indexed.guaranteed].erase(&job);
   }
   waiting_.erase(&job);
@@ -131,12 +134,12 @@
 }
 
 const JobSet& JobIndex::running(const std::string& team, bool guaranteed) const {
-  static const JobSet none;
+  static const JobSet empty;
   auto found = teams_.find(team);
-  return found == teams_.end() ? none : found->second.running[guaranteed];
+  return found == teams_.end() ? empty : found->second.running[guaranteed];
 }
 
-std::optional<Priority> JobIndex::accelerator_users() const {
+std::optional<Priority> JobIndex::highest_accelerator_priority() const {
   for (std::size_t priority = accelerator_users_.size(); priority-- > 0;)
     if (accelerator_users_[priority] > 0) return static_cast<Priority>(priority);
   return std::nullopt;
--- a/src/scheduler/job_index.h
+++ b/src/scheduler/job_index.h
@@ -1,9 +1,10 @@
-// Which jobs a scheduling cycle has to look at, kept up as jobs and tasks change, so that a cycle costs what
-// the queue is long, however much runs.
+// Index of the jobs that a scheduling cycle has to examine. It is updated as jobs and tasks change, so the
+// cost of a cycle grows with the length of the queue and not with the number of running tasks.
 //
-// Owns the sets of jobs that wait, of those whose admission within a guarantee is open or granted, and per
-// team of those that run, within its guarantee and over it. It is told of every change and decides nothing.
-// Teams are given once. A job is in the index under its address until it is removed.
+// Owns the set of waiting jobs, the set of jobs whose admission within a guarantee is undecided or granted,
+// and per team the running jobs within and over its guarantee. Callers report every change by update() and
+// remove(); the index takes no decisions. The teams are fixed at construction. The index holds a job by its
+// address until the job is removed.
 #pragma once
 #include <array>
 #include <cstdint>
@@ -20,64 +21,64 @@
 
 struct Job;
 
-/// As they were accepted; of the same moment by name.
-struct ByOrder {
+/// Orders jobs by acceptance, and by id where that is equal.
+struct ByAcceptanceOrder {
   bool operator()(const Job* left, const Job* right) const;
 };
-using JobSet = std::set<Job*, ByOrder>;
+using JobSet = std::set<Job*, ByAcceptanceOrder>;
 
 class JobIndex {
  public:
-  /// What the index holds of a job; kept in the job, written by the index only.
+  /// The index's entry for a job. It is stored in the job and written only by the index.
   struct Indexed {
     bool ready = false;
     bool waiting = false;
     bool admission_candidate = false;
     bool running = false;
-    bool guaranteed = false;  // with all its team accepted before, it is within the team's guarantee
+    bool guaranteed = false;  // within the guarantee together with its team's earlier ready jobs
     std::optional<Priority> accelerator_user;  // the priority it counts under
     std::optional<Priority> stoppable;         // the priority it counts under
   };
 
   explicit JobIndex(const std::vector<Team>& teams);
-  /// Something of it has changed.
+  /// Reindexes a job after any change of its fields.
   void update(Job& job);
-  /// The job is gone.
+  /// Removes a job from all sets, before the job is destroyed.
   void remove(Job& job);
 
   const JobSet& waiting() const { return waiting_; }
-  /// Jobs whose admission within a guarantee is granted, or open while they could run.
+  /// Jobs whose admission within a guarantee is granted, or undecided while the job is ready.
   const JobSet& admission_candidates() const { return admission_candidates_; }
-  /// Of a team's jobs with tasks on machines, those within its guarantee or those over it.
+  /// The team's jobs with tasks on machines: those within its guarantee, or those over it.
   const JobSet& running(const std::string& team, bool guaranteed) const;
-  /// The highest priority of what could use accelerators; none if nothing could.
-  std::optional<Priority> accelerator_users() const;
-  /// The lowest priority of arrays and services that have tasks on machines.
+  /// The highest priority of ready jobs that need accelerators; nullopt if there is none.
+  std::optional<Priority> highest_accelerator_priority() const;
+  /// The lowest priority of arrays and services that have tasks on machines; nullopt if there is none.
   std::optional<Priority> lowest_stoppable() const;
-  /// Jobs entered, taken out or moved over the edge of a guarantee so far.
+  /// Number of jobs added, removed or moved into or out of a guarantee so far.
   std::uint64_t items_examined() const { return items_examined_; }
 
  private:
   using CountByPriority = std::array<int, 4>;
-  /// A team's jobs that could run, in order. Those from the first on that the guarantee holds together are
-  /// within it.
-  struct Ledger {
+  /// A team's ready jobs in acceptance order. The longest run of jobs from the first one on whose total need
+  /// fits the team's guarantee is within the guarantee.
+  struct TeamJobs {
     Team team;
     JobSet jobs;
-    JobSet::iterator over_guarantee;  // the first that is not within
-    Resources within;                 // what those within need together
-    std::array<JobSet, 2> running;    // over the guarantee, and within it
-    explicit Ledger(Team of) : team(std::move(of)), over_guarantee(jobs.end()) {}
-    Ledger(const Ledger&) = delete;
-    Ledger& operator=(const Ledger&) = delete;
+    JobSet::iterator first_over_guarantee;  // the first job that is not within the guarantee
+    Resources guaranteed_need;              // total need of the jobs within the guarantee
+    std::array<JobSet, 2> running;          // [0]: over the guarantee, [1]: within it
+    explicit TeamJobs(Team owner) : team(std::move(owner)), first_over_guarantee(jobs.end()) {}
+    TeamJobs(const TeamJobs&) = delete;
+    TeamJobs& operator=(const TeamJobs&) = delete;
   };
-  void enter(Ledger& ledger, Job& job);
-  void leave(Ledger& ledger, Job& job);
-  void set_guaranteed(Ledger& ledger, Job& job, bool guaranteed);
+  void add_ready(TeamJobs& team_jobs, Job& job);
+  void remove_ready(TeamJobs& team_jobs, Job& job);
+  void set_guaranteed(TeamJobs& team_jobs, Job& job, bool guaranteed);
   static void count(CountByPriority& counts, std::optional<Priority>& counted_under,
                     std::optional<Priority> priority);
 
-  std::map<std::string, Ledger> teams_;
+  std::map<std::string, TeamJobs> teams_;
   JobSet waiting_;
   JobSet admission_candidates_;
   CountByPriority accelerator_users_{};
--- a/src/scheduler/machine_lifecycle.cc
+++ b/src/scheduler/machine_lifecycle.cc
@@ -83,7 +83,7 @@
     Machine* machine = state_.machine(name);
     if (!machine) continue;
     // The cloud's 200 is proof: the machine and everything on it are gone.
-    lifecycle_.lose_all(*machine, "was returned", now);
+    lifecycle_.mark_all_lost(*machine, "was returned", now);
     state_.remove_machine(name);
     returned_.insert(name);
     // Names rise with creation: the oldest are the first that nobody speaks of any more.
@@ -211,7 +211,7 @@
   Machine* machine = state_.machine(name);
   if (!machine) return;
   state_.note("machine " + name + " is silent past its lease: its tasks start elsewhere");
-  lifecycle_.lose_all(*machine, "was silent past its lease", now);
+  lifecycle_.mark_all_lost(*machine, "was silent past its lease", now);
 }
 
 }  // namespace corkmux
--- a/src/scheduler/scheduler.h
+++ b/src/scheduler/scheduler.h
@@ -39,7 +39,7 @@
 
 class Scheduler {
  public:
-  using Loaded = RecordLoad;
+  using Loaded = RecordLoadResult;
   using Outcome = JobOutcome;
   using Channel = HeartbeatChannel;
   using HeartbeatResult = corkmux::HeartbeatResult;
@@ -76,7 +76,7 @@
     dependencies_.record_outcome(id, how, ended_at);
   }
   /// Dependencies of which nothing is known, to be looked up in the store.
-  const std::set<std::string>& unknown_dependencies() const { return dependencies_.unknown(); }
+  const std::set<std::string>& unknown_dependencies() const { return dependencies_.unknown_outcomes(); }
   /// Whether any job depends on others.
   bool has_dependencies() const { return dependencies_.any(); }
   /// Jobs that need a cancelled one and whose end is not stored yet.
--- a/src/scheduler/scheduling_cycle.cc
+++ b/src/scheduler/scheduling_cycle.cc
@@ -89,7 +89,7 @@
     const JobSpec& spec = bid.job->spec;
     return spec.need.gpus > 0 && state_.within_limit(spec.team, spec.need);
   });
-  search_.set_accelerator_demand(wanted, state_.job_index().accelerator_users());
+  search_.set_accelerator_demand(wanted, state_.job_index().highest_accelerator_priority());
 }
 
 void SchedulingCycle::note_waiting_at_limit(const Job& job, Progress& progress) const {
--- a/src/scheduler/task_lifecycle.cc
+++ b/src/scheduler/task_lifecycle.cc
@@ -13,7 +13,7 @@
 
 namespace {
 
-/// Stages from sent until running.
+/// Whether a launch was sent and the task does not run yet.
 bool has_not_started(const ActiveTask& task) {
   return task.stage == Stage::Sent || task.stage == Stage::Fetching || task.stage == Stage::Waiting;
 }
@@ -29,7 +29,7 @@
   task.zone = machine.zone;
   task.worker_epoch = machine.worker.epoch;
   task.since = now;
-  task.minimum_token = kTokenOfNoWorker;
+  task.minimum_token = kTokenNeverIssued;
   task.reservation_expires_at = now + c::kReservationTimeout + 2 * state_.fetch_time(job.spec, machine);
   task.generation = records_.mark_dirty(job, index, Urgency::Launch, now);
   state_.occupy(job, index, std::move(task), machine);
@@ -49,7 +49,7 @@
     phase = TaskPhase::Queued;
     ++job.queued;
     job.cursor = std::min(job.cursor, index);
-    records_.mark_dirty(job, index, Urgency::Rest, now);
+    records_.mark_dirty(job, index, Urgency::Deferrable, now);
   }
   if (job.active.empty()) job.draining = false;
   state_.mark_changed(job.spec.id);
@@ -80,7 +80,7 @@
   for (const TaskRecordWrite& write : batch) {
     Job* job = state_.job(write.job);
     if (!job) continue;
-    const TaskRecord* record = records_.written(*job, write, revision, now);
+    const TaskRecord* record = records_.mark_written(*job, write, revision, now);
     if (record) release_launches(*job, write, record->count, now);
   }
 }
@@ -112,7 +112,7 @@
   if (!withdrawn.empty() && job.is_gang()) abort_gang(job, now);
 }
 
-// ---------------------------------------------------------------- ends of tasks
+// ---------------------------------------------------------------- task ends
 
 void TaskLifecycle::finish(Job& job, int index, double now) {
   TaskPhase& phase = job.phase[static_cast<std::size_t>(index)];
@@ -122,27 +122,28 @@
   ++job.done;
   unassign(job, index, now);
   state_.reindex(job);
-  records_.mark_dirty(job, index, Urgency::Rest, now);
+  records_.mark_dirty(job, index, Urgency::Deferrable, now);
 }
 
 void TaskLifecycle::task_done(Job& job, int index, double now) {
-  if (job.spec.kind == JobKind::Service) {  // a replica that ended is started again
+  if (job.spec.kind == JobKind::Service) {  // a replica that ended is restarted
     unassign(job, index, now);
     return;
   }
   finish(job, index, now);
-  // PROTOCOL "Gangs": they complete together. Guards against quota that is taken for free: that one member is
-  // done does not say that the others have left machines which hang or cannot be reached. So each counts as
-  // done, and its place as empty, by its own heartbeat or another proof that it is gone.
-  const bool all = mutation_enabled("a gang that is done has left all machines");
+  // Gang members complete together, see "Gangs" in the protocol. Guards against freeing quota that is still
+  // in use: one member being done does not prove that the others have left machines that hang or are
+  // unreachable. So each member counts as done, and its slot as free, only by its own heartbeat or by other
+  // proof that it is gone.
+  const bool complete_all = mutation_enabled("a gang that is done has left all machines");
   for (int i = 0; job.gang_completed() && i < job.spec.tasks; ++i)
-    if (all || job.phase[static_cast<std::size_t>(i)] == TaskPhase::Queued) finish(job, i, now);
+    if (complete_all || job.phase[static_cast<std::size_t>(i)] == TaskPhase::Queued) finish(job, i, now);
   job.why.clear();
   if (job.over() && note_ending(job.spec.id))
     reserved_capacity_.served(job.spec.job_class, job.spec.team, now);
 }
 
-void TaskLifecycle::exited(Job& job, const TaskStatus& status, Machine& machine, double now) {
+void TaskLifecycle::task_exited(Job& job, const TaskStatus& status, Machine& machine, double now) {
   if (!job.find_active(status.index)) return;
   if ((status.why == ExitReason::Done || job.gang_completed()) && !job.cancelled) {
     failures_.task_completed(machine, job);
@@ -167,7 +168,7 @@
   withdraw(job, status.index, now);
 }
 
-void TaskLifecycle::lost(const TaskId& id, const char* why, double now) {
+void TaskLifecycle::mark_lost(const TaskId& id, const char* why, double now) {
   Job* job = state_.job(id.job);
   if (!job) return;
   if (job->gang_completed()) {
@@ -178,12 +179,12 @@
   withdraw(*job, id.index, now);
 }
 
-void TaskLifecycle::lose_all(Machine& machine, const char* why, double now, std::uint64_t before_epoch) {
+void TaskLifecycle::mark_all_lost(Machine& machine, const char* why, double now, std::uint64_t before_epoch) {
   const std::set<TaskId> tasks = machine.tasks;
   for (const TaskId& id : tasks) {
     Job* job = state_.job(id.job);
     const ActiveTask* task = job ? job->find_active(id.index) : nullptr;
-    if (task && task->worker_epoch < before_epoch) lost(id, why, now);
+    if (task && task->worker_epoch < before_epoch) mark_lost(id, why, now);
   }
   std::erase_if(machine.commands.outbox, [&](const TaskId& id) { return !machine.tasks.contains(id); });
 }
@@ -210,8 +211,8 @@
     std::uint64_t order;
     std::string id;
   };
-  // In the order in which they came. Guards against an end that is last again and again while changes are
-  // few.
+  // In the order in which the jobs ended. Guards against starvation of one job's end while the state store
+  // accepts few changes.
   std::vector<Finished> finished;
   for (const auto& [id, order] : ending_) {
     const Job* job = std::as_const(state_).job(id);
--- a/src/scheduler/task_lifecycle.h
+++ b/src/scheduler/task_lifecycle.h
@@ -1,9 +1,9 @@
-// A task's way from assigned to finished or lost, and a gang's: all or none.
+// State transitions of tasks, from assigned to finished or lost. A gang starts and stops as a whole.
 //
-// Owns which jobs may have come to their end, in order. It needs the cluster's state, the task records that a
-// change of a task makes dirty, and those who have to know of ends: failures, freed places, reserved
-// capacity. It is the only code that assigns a task to a machine or takes it off. It decides neither where a
-// task goes nor whether it is absent.
+// Owns the ordered set of jobs that may have ended. Uses the cluster state, the task records that a task's
+// change makes dirty, and the modules that are notified of task and job ends: failure tracking, freed
+// capacity, reserved capacity. It is the only code that assigns a task to a machine or removes it from one.
+// It decides neither where a task is placed nor whether it is absent from its machine.
 #pragma once
 #include <cstdint>
 #include <map>
@@ -29,39 +29,42 @@
         reserved_capacity_(reserved_capacity) {}
 
   // --- tasks ---
-  /// The queued task goes to the machine, once its record is stored.
+  /// Assigns the queued task to the machine. The launch is sent once the task's record is stored.
   void assign(Job& job, int index, Machine& machine, std::uint64_t attempt, double now);
-  /// The task is on no machine any more; unless it is done it is queued again.
+  /// Removes the task from its machine, and queues it again unless it is done.
   void unassign(Job& job, int index, double now);
-  /// The worker reports the task's end.
-  void exited(Job& job, const TaskStatus& status, Machine& machine, double now);
-  /// The task is proven to be gone from its machine; `why` says what the machine did.
-  void lost(const TaskId& id, const char* why, double now);
-  /// So are all that were assigned to the machine in an epoch before that one.
-  void lose_all(Machine& machine, const char* why, double now, std::uint64_t before_epoch = kAllEpochs);
-  /// Of a gang what is not sent yet is taken back and the rest is stopped: all start or all release.
+  /// Handles a task's end that its worker reported.
+  void task_exited(Job& job, const TaskStatus& status, Machine& machine, double now);
+  /// Handles a task that is proven to be gone from its machine. `why`: what the machine did, for the user.
+  void mark_lost(const TaskId& id, const char* why, double now);
+  /// Marks as lost all tasks that were assigned to the machine in a worker epoch before `before_epoch`.
+  void mark_all_lost(Machine& machine, const char* why, double now, std::uint64_t before_epoch = kAllEpochs);
+  /// Withdraws the gang's assignments that were not sent yet and stops its other members: either all members
+  /// start or all release their machines.
   void abort_gang(Job& job, double now);
-  /// The assignment did not get to its machine, or must not: of a gang none does.
+  /// Takes back an assignment that did not reach its machine or must not reach it. A gang is aborted with it.
   void withdraw(Job& job, int index, double now);
-  /// The batch of records is stored: what they assign may be sent.
+  /// Handles a stored batch of records: launches of the assignments in it may be sent.
   void records_written(const std::vector<TaskRecordWrite>& batch, std::uint64_t revision, double now);
 
   // --- jobs ---
-  /// Its user cancels the job.
+  /// Cancels the job at its user's request.
   void cancel(Job& job, double now);
-  /// The job's end is stored, or its record is gone.
+  /// Removes a job whose end is stored or whose record is gone.
   void forget(Job& job);
-  /// The job may have come to its end; whether that is news.
-  bool note_ending(const std::string& job) { return ending_.try_emplace(job, ++endings_).second; }
-  /// Such jobs, and their place in the order in which they came.
+  /// Notes that the job may have ended. Returns false if that was noted before.
+  bool note_ending(const std::string& job) { return ending_.try_emplace(job, ++ending_count_).second; }
+  /// Jobs that may have ended, with their position in the order in which they were noted.
   const std::map<std::string, std::uint64_t>& ending() const { return ending_; }
-  /// Jobs whose end can be stored now: every task done, or cancelled and off every machine.
+  /// Jobs whose end can be stored now, in that order: all tasks done, or the job cancelled with no task left
+  /// on a machine.
   std::vector<std::string> finished_jobs() const;
 
   // --- time ---
-  /// Stops tasks that did not start within their reservation, and ends pauses of jobs.
+  /// Stops tasks that did not start within their reservation, ends retry delays of jobs, and logs changed
+  /// wait reasons.
   void tick(double now);
-  /// Nobody listened for a while: no reservation expires before that moment.
+  /// Extends all reservations to `until` at least, after this process has stalled and received no heartbeats.
   void extend_reservations(double until);
 
   static constexpr std::uint64_t kAllEpochs = ~std::uint64_t{0};
@@ -82,7 +85,7 @@
   FreedCapacity& freed_capacity_;
   ReservedCapacity& reserved_capacity_;
   std::map<std::string, std::uint64_t> ending_;
-  std::uint64_t endings_ = 0;
+  std::uint64_t ending_count_ = 0;
 };
 
 }  // namespace corkmux
--- a/src/scheduler/task_record_codec.cc
+++ b/src/scheduler/task_record_codec.cc
@@ -16,16 +16,16 @@
 
 namespace {
 
-// Fields of a V2 record.
+// JSON fields of a V2 record.
 constexpr const char* kFormat = "f";
 constexpr const char* kStride = "c";
 constexpr const char* kCount = "n";
 constexpr const char* kZones = "z";
-// Fields of both formats.
+// JSON fields of both formats.
 constexpr const char* kDone = "d";
 constexpr const char* kTasks = "t";
 
-/// Rising numbers as text, "0-3,7".
+/// Builds the text form of ascending numbers, such as "0-3,7".
 class RangeText {
  public:
   void add(int number) {
@@ -77,11 +77,11 @@
   return job.phase[static_cast<std::size_t>(index)] == TaskPhase::Done;
 }
 
-/// Tasks that share these stand together in a V2 record.
+/// A V2 record groups tasks that share these fields.
 struct AssignmentGroup {
   std::string machine;
   std::uint64_t worker_epoch = 0;
-  std::size_t zone = 0;  // position in the record's list
+  std::size_t zone = 0;  // position in the record's list of zones
   std::uint64_t attempt = 0;
   auto operator<=>(const AssignmentGroup&) const = default;
 };
@@ -126,7 +126,8 @@
   return {{kDone, std::move(done)}, {kTasks, std::move(tasks)}};
 }
 
-// Tasks of one attempt on one machine stand together, so the size goes with the machines, not the tasks.
+// Tasks of one attempt on one machine are grouped, so the record's size grows with the number of machines,
+// not with the number of tasks.
 Json encode_task_record_v2(const Job& job, int from, int count) {
   RangeText done;
   for (int i = 0; i < count; ++i)
@@ -163,8 +164,8 @@
     assignment.task.machine = fields.at(1);
     assignment.task.worker_epoch = fields.at(2);
     assignment.task.zone = fields.at(3);
-    const int at = std::stoi(index);
-    assignment.ranges.push_back({at, at});
+    const int offset = std::stoi(index);
+    assignment.ranges.push_back({offset, offset});
     out.assignments.push_back(std::move(assignment));
   }
   return out;
@@ -190,6 +191,6 @@
 
 int task_record_format(const Json& value) { return value.value(kFormat, 0); }
 int task_record_count(const Json& value) { return value.value(kCount, 0); }
-int task_record_stride(const Json& value, int otherwise) { return value.value(kStride, otherwise); }
+int task_record_stride(const Json& value, int default_stride) { return value.value(kStride, default_stride); }
 
 }  // namespace corkmux
--- a/src/scheduler/task_record_store.cc
+++ b/src/scheduler/task_record_store.cc
@@ -21,7 +21,7 @@
   return found == job.task_records.end() ? nullptr : &found->second;
 }
 
-/// Whether the record may still say something of the task.
+/// Whether the task may be recovered from a record: the job has it, and no record has changed its phase yet.
 bool can_recover(const Job& job, int index) {
   return index >= 0 && index < job.spec.tasks &&
          job.phase[static_cast<std::size_t>(index)] == TaskPhase::Queued;
@@ -35,9 +35,9 @@
   record_limit_ = static_cast<std::size_t>(limit_kb * 1024 * c::kRecordShare);
 }
 
-// ---------------------------------------------------------------- records and what changed in them
+// ---------------------------------------------------------------- records and their changes
 
-TaskRecordStore::RecordEntry TaskRecordStore::record_of(Job& job, int index) {
+TaskRecordStore::RecordEntry TaskRecordStore::record_containing(Job& job, int index) {
   auto next = job.task_records.upper_bound(index);
   int earliest = 0;
   if (next != job.task_records.begin()) {
@@ -58,11 +58,11 @@
 }
 
 std::deque<TaskRecordStore::DirtyRecord>& TaskRecordStore::queue_of(const TaskRecord& record) {
-  return record.urgent_generation > record.persisted_generation ? urgent_ : rest_;
+  return record.urgent_generation > record.persisted_generation ? urgent_ : deferrable_;
 }
 
 std::uint64_t TaskRecordStore::mark_dirty(Job& job, int index, Urgency urgency, double now) {
-  auto [from, record] = record_of(job, index);
+  auto [from, record] = record_containing(job, index);
   const bool queued = record.generation != record.persisted_generation || record.in_flight;
   ++record.generation;
   if (urgency == Urgency::Launch) {
@@ -70,18 +70,18 @@
     record.urgent_generation = record.generation;
     if (first && !record.in_flight) urgent_.push_back({job.spec.id, from, now});
   } else if (!queued) {
-    rest_.push_back({job.spec.id, from, now});
+    deferrable_.push_back({job.spec.id, from, now});
   }
   return record.generation;
 }
 
 bool TaskRecordStore::is_persisted(Job& job, int index) {
-  const TaskRecord& record = record_of(job, index).record;
+  const TaskRecord& record = record_containing(job, index).record;
   return record.persisted_generation >= record.generation;
 }
 
-// The upper half becomes a record of its own. It is stored first: until then the stored record of both halves
-// speaks for it, from then on only for what lies below.
+// The upper half becomes a separate record, which is stored first. Until then the stored record covers both
+// halves; from then on it covers only the lower half.
 void TaskRecordStore::split(Job& job, int from, TaskRecord& record) {
   const int lower = record.count / 2;
   ++record.generation;
@@ -101,16 +101,17 @@
 
 // ---------------------------------------------------------------- writing
 
-std::vector<TaskRecordWrite> TaskRecordStore::next_writes(int most, bool spare, double now) {
+std::vector<TaskRecordWrite> TaskRecordStore::next_writes(int max_writes, bool has_spare_capacity,
+                                                          double now) {
   std::vector<TaskRecordWrite> out;
-  take_writes(urgent_, kNever, most, out);
-  take_writes(rest_, spare ? kNever : now - c::kRestWait, most, out);
+  take_writes(urgent_, kNever, max_writes, out);
+  take_writes(deferrable_, has_spare_capacity ? kNever : now - c::kDeferrableWait, max_writes, out);
   return out;
 }
 
 bool TaskRecordStore::needs_write(const Job& job, const TaskRecord& record) {
   if (record.in_flight || record.persisted_generation == record.generation) return false;
-  // A job that is over needs no more records: its end is stored instead.
+  // A job that has ended needs no more record writes: its end is stored instead.
   return !job.over() || !job.active.empty();
 }
 
@@ -140,10 +141,10 @@
   return write;
 }
 
-void TaskRecordStore::take_writes(std::deque<DirtyRecord>& queue, double not_after, int most,
+void TaskRecordStore::take_writes(std::deque<DirtyRecord>& queue, double not_after, int max_writes,
                                   std::vector<TaskRecordWrite>& out) {
-  std::deque<DirtyRecord> deferred;
-  while (!queue.empty() && static_cast<int>(out.size()) < most && queue.front().since <= not_after) {
+  std::deque<DirtyRecord> waiting;
+  while (!queue.empty() && static_cast<int>(out.size()) < max_writes && queue.front().since <= not_after) {
     DirtyRecord entry = std::move(queue.front());
     queue.pop_front();
     Job* job = state_.job(entry.job);
@@ -151,7 +152,7 @@
     TaskRecord* record = find_record(*job, entry.from);
     if (!record || !needs_write(*job, *record)) continue;
     if (waits_for_split_off(*job, *record)) {
-      deferred.push_back(std::move(entry));
+      waiting.push_back(std::move(entry));
       continue;
     }
     TaskRecordWrite write = encode(*job, entry.from, *record);
@@ -165,12 +166,12 @@
     record->in_flight = true;
     out.push_back(std::move(write));
   }
-  queue.insert(queue.begin(), std::make_move_iterator(deferred.begin()),
-               std::make_move_iterator(deferred.end()));
+  queue.insert(queue.begin(), std::make_move_iterator(waiting.begin()),
+               std::make_move_iterator(waiting.end()));
 }
 
-const TaskRecord* TaskRecordStore::written(Job& job, const TaskRecordWrite& write, std::uint64_t revision,
-                                           double now) {
+const TaskRecord* TaskRecordStore::mark_written(Job& job, const TaskRecordWrite& write,
+                                                std::uint64_t revision, double now) {
   TaskRecord* record = find_record(job, write.from);
   if (!record) return nullptr;
   record->in_flight = false;
@@ -212,25 +213,27 @@
 
 // ---------------------------------------------------------------- loading
 
-RecordLoad TaskRecordStore::load(const std::string& key, const Json& value, std::uint64_t revision) {
+RecordLoadResult TaskRecordStore::load(const std::string& key, const Json& value, std::uint64_t revision) {
   const std::optional<TaskRecordKey> parsed = parse_task_record_key(key);
-  if (!parsed) return RecordLoad::Garbage;
+  if (!parsed) return RecordLoadResult::Garbage;
   return parsed->format == RecordFormat::V2 ? load_v2(*parsed, value, revision)
                                             : load_v1(*parsed, value, revision);
 }
 
-RecordLoad TaskRecordStore::load_v2(const TaskRecordKey& key, const Json& value, std::uint64_t revision) {
-  // Only controllers that read this format are left, or there were none.
+RecordLoadResult TaskRecordStore::load_v2(const TaskRecordKey& key, const Json& value,
+                                          std::uint64_t revision) {
+  // A stored V2 record shows that every controller reads V2: none that reads only V1 is left, if there ever
+  // was one.
   use_format(RecordFormat::V2);
-  if (task_record_format(value) > c::kRecordFormat) return RecordLoad::Unknown;
+  if (task_record_format(value) > c::kRecordFormat) return RecordLoadResult::TooNew;
   if (key.job != loading_job_) load_pending_v2();
-  if (!state_.job(key.job)) return RecordLoad::Garbage;
+  if (!state_.job(key.job)) return RecordLoadResult::Garbage;
   loading_job_ = key.job;
   loading_[key.number] = {value, revision};
-  return RecordLoad::Yes;
+  return RecordLoadResult::Loaded;
 }
 
-// A record speaks for its tasks up to where the job's next one begins: see split().
+// A record covers its tasks up to the first task of the job's next record, see split().
 void TaskRecordStore::load_pending_v2() {
   Job* job = state_.job(loading_job_);
   for (auto it = loading_.begin(); job && it != loading_.end(); ++it) {
@@ -248,18 +251,19 @@
   loading_job_.clear();
 }
 
-RecordLoad TaskRecordStore::load_v1(const TaskRecordKey& key, const Json& value, std::uint64_t revision) {
+RecordLoadResult TaskRecordStore::load_v1(const TaskRecordKey& key, const Json& value,
+                                          std::uint64_t revision) {
   load_pending_v2();
   Job* job = state_.job(key.job);
-  if (!job || key.number < 0) return RecordLoad::Garbage;
+  if (!job || key.number < 0) return RecordLoadResult::Garbage;
   if (!job->tasks_per_record) job->tasks_per_record = state_.config().tasks_per_v1_record();
   const int base = key.number * job->tasks_per_record;
-  if (base >= job->spec.tasks) return RecordLoad::Garbage;
-  auto [from, record] = record_of(*job, base);
-  if (from != base || record.revision) return RecordLoad::Garbage;
+  if (base >= job->spec.tasks) return RecordLoadResult::Garbage;
+  auto [from, record] = record_containing(*job, base);
+  if (from != base || record.revision) return RecordLoadResult::Garbage;
   record.v1_revision = revision;
   recover(*job, base, record.count, decode_task_record_v1(value));
-  return RecordLoad::Yes;
+  return RecordLoadResult::Loaded;
 }
 
 void TaskRecordStore::recover(Job& job, int from, int count, const DecodedTaskRecord& record) {
@@ -286,7 +290,7 @@
   task.reservation_expires_at = now + c::kReservationTimeout * 4;
   Machine& machine = state_.add_machine(task.machine, now).machine;
   // Guards against a second start: a launch of the former leader may still arrive, so only a heartbeat that
-  // already carries our token can show that the task is absent.
+  // carries this leader's token can prove that the task is absent.
   task.minimum_token = machine.worker.fencing_token;
   state_.occupy(job, index, std::move(task), machine);
   if (job.cancelled) state_.request_stop(job, index, 0);
--- a/src/scheduler/task_record_store.h
+++ b/src/scheduler/task_record_store.h
@@ -1,9 +1,9 @@
-// Write-ahead records of tasks in the state service: what is to be written when, and loading them.
+// Write-ahead records of tasks in the state store: which records to write when, and how to load them.
 //
-// Owns which records have changed since they were stored, the format they are written in, and records that
-// others have replaced. It needs the cluster's state, where each job keeps its records' bounds and revisions.
-// It never talks to the state service, and never moves a task of its own accord: what follows from a record's
-// being stored is TaskLifecycle's.
+// Owns the records changed since they were stored, the format that records are written in, and the keys of
+// records replaced by others. Uses the cluster state, where each job has the bounds and revisions of its
+// records. It sends no requests to the state store and changes no assignment by itself: TaskLifecycle acts on
+// stored records.
 #pragma once
 #include <cstddef>
 #include <cstdint>
@@ -21,58 +21,61 @@
 namespace corkmux {
 namespace constants {
 
-inline constexpr double kRestWait = 1.0;     // s that ends of tasks wait for writes that launches need
-inline constexpr int kTasksPerRecord = 256;  // before any split
+inline constexpr double kDeferrableWait = 1.0;  // s that task ends wait behind writes that launches need
+inline constexpr int kTasksPerRecord = 256;     // before any split
 
 }  // namespace constants
 
-/// What became of a stored record that was given to load.
-enum class RecordLoad {
-  Yes,      // loaded
-  Garbage,  // it says nothing any more
-  Unknown,  // a newer version wrote it
+/// Result of loading a stored record.
+enum class RecordLoadResult {
+  Loaded,
+  Garbage,  // obsolete: it has nothing that is still needed
+  TooNew,   // written by a newer version
 };
 
 class TaskRecordStore {
  public:
-  enum class Urgency { Launch, Rest };
+  /// Launch: a launch waits for the write. Deferrable: see kDeferrableWait.
+  enum class Urgency { Launch, Deferrable };
 
   explicit TaskRecordStore(ClusterState& state);
 
-  /// From now on records are written in this format: every controller reads it.
+  /// Sets the format of all later writes. Every controller must be able to read it.
   void use_format(RecordFormat format) { format_ = format; }
   RecordFormat format() const { return format_; }
 
-  /// The task's record has to be written. Returns its generation from which on that is stored.
+  /// Queues a write of the task's record. Returns the record's generation from which on it contains the
+  /// task's present state.
   std::uint64_t mark_dirty(Job& job, int index, Urgency urgency, double now);
-  /// Whether everything that was said of the task is stored.
+  /// Whether the task's record is stored with all its changes.
   bool is_persisted(Job& job, int index);
 
-  /// What launches wait for comes first; the rest is written while there are changes to spare, or once it has
-  /// waited for a while.
-  std::vector<TaskRecordWrite> next_writes(int most, bool spare, double now);
-  /// The write is stored under that revision. Returns the record; none if it is no longer there.
-  const TaskRecord* written(Job& job, const TaskRecordWrite& write, std::uint64_t revision, double now);
-  /// None of the writes is known to be stored.
+  /// Returns the next writes, `max_writes` at most: first the records that launches wait for, then the
+  /// deferrable ones, if the store writer has spare capacity or once they have waited for kDeferrableWait.
+  std::vector<TaskRecordWrite> next_writes(int max_writes, bool has_spare_capacity, double now);
+  /// Notes that the write is stored under `revision`. Returns the record, or nullptr if it no longer exists.
+  const TaskRecord* mark_written(Job& job, const TaskRecordWrite& write, std::uint64_t revision, double now);
+  /// Queues the batch again: none of its writes is known to be stored.
   void write_failed(const std::vector<TaskRecordWrite>& batch);
-  /// The stored record has another revision than was thought.
+  /// Sets the revision of the stored record, which differs from the one assumed by the write.
   void set_revision(const TaskRecordWrite& write, std::uint64_t revision);
-  /// A record was refused as too large although it kept to the limits that we know of.
+  /// Halves the maximum record size, after the state store refused a record as too large that was within the
+  /// known limits.
   void halve_record_size();
-  /// The keys of a job's records, for their removal.
+  /// Keys of the job's stored records, for their removal.
   std::vector<std::string> keys(const Job& job) const;
-  /// Records that others have replaced, to be removed.
+  /// Returns and clears the keys of replaced records, which are to be removed.
   std::vector<std::string> take_replaced() { return std::exchange(replaced_, {}); }
 
-  /// Loads a record; those in format V2 in key order and before those in V1.
-  RecordLoad load(const std::string& key, const nlohmann::json& value, std::uint64_t revision);
-  /// All records have been given.
+  /// Loads a record. Call it for all V2 records in key order, then for the V1 records.
+  RecordLoadResult load(const std::string& key, const nlohmann::json& value, std::uint64_t revision);
+  /// Completes loading, after load() was called for all records.
   void finish_loading() { load_pending_v2(); }
-  /// The queued task is done, as a record says.
+  /// Marks a queued task as done because a record has it so.
   static void recover_done(Job& job, int index);
 
  private:
-  /// A record to write.
+  /// Queue entry of a record to write.
   struct DirtyRecord {
     std::string job;
     int from = 0;
@@ -83,21 +86,21 @@
     std::uint64_t revision = 0;
   };
 
-  /// A record in its job, with the task that it begins with.
+  /// A record of a job, with its first task.
   struct RecordEntry {
     int from;
     TaskRecord& record;
   };
-  RecordEntry record_of(Job& job, int index);
+  RecordEntry record_containing(Job& job, int index);
   std::deque<DirtyRecord>& queue_of(const TaskRecord& record);
-  void take_writes(std::deque<DirtyRecord>& queue, double not_after, int most,
+  void take_writes(std::deque<DirtyRecord>& queue, double not_after, int max_writes,
                    std::vector<TaskRecordWrite>& out);
   static bool needs_write(const Job& job, const TaskRecord& record);
   static bool waits_for_split_off(const Job& job, TaskRecord& record);
   TaskRecordWrite encode(const Job& job, int from, const TaskRecord& record) const;
   static void split(Job& job, int from, TaskRecord& record);
-  RecordLoad load_v1(const TaskRecordKey& key, const nlohmann::json& value, std::uint64_t revision);
-  RecordLoad load_v2(const TaskRecordKey& key, const nlohmann::json& value, std::uint64_t revision);
+  RecordLoadResult load_v1(const TaskRecordKey& key, const nlohmann::json& value, std::uint64_t revision);
+  RecordLoadResult load_v2(const TaskRecordKey& key, const nlohmann::json& value, std::uint64_t revision);
   void load_pending_v2();
   void recover(Job& job, int from, int count, const DecodedTaskRecord& record);
   void recover_active(Job& job, int index, ActiveTask task);
@@ -106,9 +109,9 @@
   RecordFormat format_ = RecordFormat::V1;
   std::size_t record_limit_;  // bytes
   std::deque<DirtyRecord> urgent_;
-  std::deque<DirtyRecord> rest_;
+  std::deque<DirtyRecord> deferrable_;
   std::vector<std::string> replaced_;
-  // Records in format V2 of one job, by first task: each ends where the next begins.
+  // V2 records of the job being loaded, by first task. Each ends where the next one begins.
   std::string loading_job_;
   std::map<int, LoadedValue> loading_;
 };
--- a/tests/dependency_graph_test.cc
+++ b/tests/dependency_graph_test.cc
@@ -1,4 +1,4 @@
-// DependencyGraph alone: when a job may start, what a cancellation takes with it, what dependents hand down.
+// DependencyGraph alone: when a job may start, which jobs a cancellation ends, and inherited urgency.
 #include "dependency_graph.h"
 
 #include <gtest/gtest.h>
@@ -25,21 +25,21 @@
   }
 };
 
-TEST_F(DependencyGraphTest, AJobIsReadyOnceAllItDependsOnIsDone) {
+TEST_F(DependencyGraphTest, AJobIsReadyOnceAllItsDependenciesAreDone) {
   Job& job = add("run-c", {"run-a", "run-b"});
-  EXPECT_EQ(graph.unknown(), (std::set<std::string>{"run-a", "run-b"}));
+  EXPECT_EQ(graph.unknown_outcomes(), (std::set<std::string>{"run-a", "run-b"}));
   graph.record_outcome("run-a", JobOutcome::Done, 7);
   EXPECT_FALSE(job.ready());
   EXPECT_EQ(job.why, "waiting for run-b");
   graph.record_outcome("run-b", JobOutcome::Done, 5);
   EXPECT_TRUE(job.ready());
   EXPECT_EQ(job.ready_at, 7);
-  EXPECT_TRUE(graph.unknown().empty());
+  EXPECT_TRUE(graph.unknown_outcomes().empty());
   EXPECT_FALSE(graph.any());
   EXPECT_TRUE(add("run-d", {"run-a"}).ready()) << "outcomes are remembered";
 }
 
-TEST_F(DependencyGraphTest, ACancellationEndsAllThatDependsOnItThroughAnyNumberOfJobs) {
+TEST_F(DependencyGraphTest, ACancellationEndsDirectAndIndirectDependents) {
   add("run-a", {});
   add("run-b", {"run-a"});
   Job& last = add("run-c", {"run-b"});
@@ -49,10 +49,10 @@
   EXPECT_FALSE(last.ready());
   EXPECT_TRUE(last.over());
   EXPECT_TRUE(other.ready());
-  EXPECT_TRUE(add("run-e", {"run-c"}).dependency_cancelled) << "one that comes later too";
+  EXPECT_TRUE(add("run-e", {"run-c"}).dependency_cancelled) << "added after the cancellation";
 }
 
-TEST_F(DependencyGraphTest, UrgencyGoesDownTheGraphAndBackUpWhenADependentIsGone) {
+TEST_F(DependencyGraphTest, UrgencyIsInheritedFromDependentsAndDroppedWhenTheyAreRemoved) {
   Job& first = add("run-a", {});
   Job& middle = add("run-b", {"run-a"}, Priority::Normal);
   add("run-c", {"run-b"}, Priority::High, 100);
--- a/tests/index_consistency_test.cc
+++ b/tests/index_consistency_test.cc
@@ -182,7 +182,7 @@
     }
     EXPECT_EQ(index.waiting().size(), waiting);
     EXPECT_EQ(index.admission_candidates().size(), admission_candidates);
-    EXPECT_EQ(index.accelerator_users(), accelerators);
+    EXPECT_EQ(index.highest_accelerator_priority(), accelerators);
     EXPECT_EQ(index.lowest_stoppable(), lowest);
     for (const auto& team : config.teams) {
       auto& all = by_team[team.name];
--- a/tests/task_record_codec_test.cc
+++ b/tests/task_record_codec_test.cc
@@ -1,4 +1,4 @@
-// The stored forms of task records, in the bytes that former versions wrote and read.
+// Stored formats of task records, byte for byte as earlier versions wrote and read them.
 #include "task_record_codec.h"
 
 #include <gtest/gtest.h>
@@ -46,7 +46,7 @@
   EXPECT_EQ(task_record_stride(nlohmann::json::object(), 9), 9);
 }
 
-TEST(TaskRecordCodec, RefusesWhatIsNoSuchRecord) {
+TEST(TaskRecordCodec, ThrowsOnMalformedRecords) {
   EXPECT_ANY_THROW(decode_task_record_v1(nlohmann::json::parse(R"({"t":{"2":[5]}})")));
   EXPECT_ANY_THROW(decode_task_record_v2(nlohmann::json::parse(R"({"t":[["n-1",7,3,5,"1"]],"z":["a"]})")));
 }
--- a/tests/upgrade_test.cc
+++ b/tests/upgrade_test.cc
@@ -214,7 +214,7 @@
 // Guards against leading on records that cannot be read: what they hold would start a second time.
 TEST_F(Upgrade, ANewerFormatIsNotTakenForAnEmptyRecord) {
   auto scheduler = leader(true);
-  EXPECT_EQ(scheduler->load_record("t/run-1/000000", {{"f", 3}, {"n", 150}}, 9), Scheduler::Loaded::Unknown);
+  EXPECT_EQ(scheduler->load_record("t/run-1/000000", {{"f", 3}, {"n", 150}}, 9), Scheduler::Loaded::TooNew);
 }
 
 }  // namespace
--- a/tests/write_ahead_test.cc
+++ b/tests/write_ahead_test.cc
@@ -1,4 +1,4 @@
-// What must have happened before a task is sent to a machine, and by which way it then goes.
+// Preconditions of sending a task to a machine, and the channel by which its launch is sent.
 #include <gtest/gtest.h>
 
 #include "scheduler.h"
@@ -52,22 +52,23 @@
   }
 };
 
-// A machine that obeys a former holder may still be sent work by it: nothing is placed there until its own
-// report shows that it obeys us.
-TEST_F(WriteAhead, NothingIsPlacedBeforeTheMachineObeysUs) {
+// A machine that still accepts a former leader's token may still be sent launches by that leader: no task is
+// placed there until its own heartbeat shows that it accepts this leader's token.
+TEST_F(WriteAhead, NothingIsPlacedBeforeTheMachineAcceptsThisLeader) {
   auto s = spec(1);
-  auto ours = heartbeat("n-1", 0).fencing_token;
-  heartbeat("n-1", ours - 1);  // the newest token it has seen is another's
+  auto own_token = heartbeat("n-1", 0).fencing_token;
+  heartbeat("n-1", own_token - 1);  // the newest token it has received is another leader's
   scheduler->schedule(0);
   EXPECT_TRUE(scheduler->job(s.id)->active.empty());
-  heartbeat("n-1", ours);
+  heartbeat("n-1", own_token);
   scheduler->schedule(0);
   EXPECT_EQ(scheduler->job(s.id)->active.size(), 1u);
 }
 
-// After an order without an answer the machine's token rises: until its report shows the new one, the lost
-// order may still arrive, and neither is the machine used nor the task started elsewhere.
-TEST_F(WriteAhead, NothingIsPlacedBehindAnOrderThatMayStillArrive) {
+// After an unanswered command batch the machine's token is raised. The lost batch may still arrive until the
+// machine's heartbeat carries the new token: until then the machine gets no other task, and the task is not
+// started elsewhere.
+TEST_F(WriteAhead, NothingIsPlacedWhileAnUnansweredLaunchMayStillArrive) {
   join("n-1");
   auto s = spec(1);
   scheduler->schedule(0);
@@ -76,17 +77,18 @@
   ASSERT_EQ(command_batch.launches.size(), 1u);
   scheduler->dispatch_done("n-1", command_batch, Outcome::Unanswered, 1);
   join("n-2");
-  auto raised = heartbeat("n-1", command_batch.fencing_token, 1).fencing_token;
-  EXPECT_GT(raised, command_batch.fencing_token);
+  auto raised_token = heartbeat("n-1", command_batch.fencing_token, 1).fencing_token;
+  EXPECT_GT(raised_token, command_batch.fencing_token);
   scheduler->schedule(1);
   EXPECT_EQ(scheduler->job(s.id)->active.at(0).machine, "n-1");
-  heartbeat("n-1", raised, 2);  // now its absence is proof
+  heartbeat("n-1", raised_token, 2);  // now its absence from the heartbeat is proof
   scheduler->schedule(2);
   EXPECT_NE(scheduler->job(s.id)->active.at(0).attempt, command_batch.attempts[0]);
 }
 
-// A record in flight may be older than the newest assignment in it: only what a stored record holds is sent.
-TEST_F(WriteAhead, OnlyWhatTheStoredRecordHoldsIsSent) {
+// A record in flight may be older than the newest assignment in it: a launch is sent only for assignments in
+// the stored record.
+TEST_F(WriteAhead, OnlyAssignmentsInTheStoredRecordAreSent) {
   join("n-1");
   auto s = spec(2);
   scheduler->schedule(0);
@@ -102,8 +104,9 @@
   EXPECT_EQ(sent(), (std::vector<TaskId>{{s.id, 1}}));
 }
 
-// Reports that come as mail mean that orders would run into a cut: launches then go with the answers.
-TEST_F(WriteAhead, BeyondReachLaunchesGoWithTheAnswer) {
+// Heartbeats that come as relayed messages show that commands sent directly would fail at a network
+// partition: launches then go in heartbeat answers.
+TEST_F(WriteAhead, LaunchesForAnUnreachableMachineGoInHeartbeatAnswers) {
   join("n-1");
   auto s = spec(1);
   scheduler->schedule(0);
@@ -116,14 +119,14 @@
   EXPECT_EQ(answer.commands[0].job, s.id);
 }
 
-TEST_F(WriteAhead, AReplicaThatEndsIsStartedAgainAndTheServiceIsNeverDone) {
+TEST_F(WriteAhead, AReplicaThatEndsIsRestartedAndTheServiceIsNeverDone) {
   join("n-1");
   auto s = spec(1, JobKind::Service);
   std::set<std::uint64_t> attempts;
-  for (int life = 0; life < 3; ++life) {
+  for (int run = 0; run < 3; ++run) {
     scheduler->schedule(0);
     store();
-    ASSERT_EQ(sent().size(), 1u) << life;
+    ASSERT_EQ(sent().size(), 1u) << run;
     auto attempt = scheduler->job(s.id)->active.at(0).attempt;
     attempts.insert(attempt);
     heartbeat("n-1", last["n-1"].fencing_token, 0,
@@ -134,36 +137,38 @@
   EXPECT_EQ(attempts.size(), 3u);
 }
 
-// Guards against `quota`: that one task of a gang is done says that all are, but not that they have left
-// their machines; one may hang or be cut off. A new leader knows it as well.
-TEST_F(WriteAhead, APlaceOfAGangThatIsDoneIsEmptyOnlyOnProof) {
+// Guards against `quota`: when one task of a gang is done, all its tasks count as completed, but they have
+// not necessarily left their machines; a machine may hang or be partitioned. A new leader treats the gang
+// alike.
+TEST_F(WriteAhead, ASlotOfACompletedGangIsFreedOnlyByProofOfAbsence) {
   join("n-1"), join("n-2");
   auto s = spec(2, JobKind::Gang);
   scheduler->schedule(0);
   store();
   ASSERT_EQ(sent().size(), 2u);
   const auto active = scheduler->job(s.id)->active;
-  auto is = [&](int i, TaskState state, ExitReason why) {
+  auto status = [&](int i, TaskState state, ExitReason why) {
     return TaskStatus{s.id, i, active.at(i).attempt, state, why, false};
   };
   for (int i : {0, 1})
     heartbeat(active.at(i).machine, last[active.at(i).machine].fencing_token, 1,
-              {is(i, TaskState::Running, ExitReason::None)});
+              {status(i, TaskState::Running, ExitReason::None)});
   heartbeat(active.at(0).machine, last[active.at(0).machine].fencing_token, 2,
-            {is(0, TaskState::Exited, ExitReason::Done)});
+            {status(0, TaskState::Exited, ExitReason::Done)});
   EXPECT_EQ(scheduler->team_use("x").cpus, 16);
   EXPECT_TRUE(scheduler->finished_jobs().empty());
-  // What is stored says the same to the next leader.
+  // A new leader recovers the same state from the stored record.
   auto batch = scheduler->next_writes(12, true, 100);
   ASSERT_EQ(batch.size(), 1u);
   scheduler->records_written(batch, ++revision, 2);
   Scheduler next(config, 3, 2, 12);
   next.upsert_job(s, 1, false, 2);
-  ASSERT_EQ(next.load_record(batch[0].key, batch[0].value, 5), Scheduler::Loaded::Yes);
+  ASSERT_EQ(next.load_record(batch[0].key, batch[0].value, 5), Scheduler::Loaded::Loaded);
   next.records_loaded();
   EXPECT_EQ(next.team_use("x").cpus, 16);
   EXPECT_EQ(next.job(s.id)->active.count(1), 1u);
-  // A new session has nothing of the former one: then all are done, whatever became of the task there.
+  // A new worker epoch has no task of the former one: then all tasks are done, whatever became of the task
+  // there.
   Heartbeat r = last[active.at(1).machine];
   r.worker_epoch = 2, r.seq = 1, r.tasks.clear();
   for (Scheduler* scheduler : {scheduler.get(), &next}) {
@@ -174,7 +179,7 @@
   }
 }
 
-TEST_F(WriteAhead, SpreadWorkWaitsRatherThanCrowdOneZone) {
+TEST_F(WriteAhead, ASpreadJobWaitsRatherThanExceedItsShareOfOneZone) {
   for (int i = 0; i < 5; ++i) join("n-" + std::to_string(i), "a");
   JobSpec s;
   s.id = "run-100", s.team = "x", s.tasks = 5, s.need = {16, 0, 1}, s.image = "i", s.spread = true;
@@ -186,19 +191,19 @@
   EXPECT_EQ(scheduler->job(s.id)->active.size(), 5u);
 }
 
-// Beyond a cut a keeper answers a machine that the leader does not hear: returning it would end tasks that
-// run on.
-TEST_F(WriteAhead, ASilentMachineIsNotReturnedWhileAKeeperAnswersIt) {
+// Beyond a network partition a lease proxy may renew a machine whose heartbeats do not reach the leader:
+// returning that machine would end tasks that keep running.
+TEST_F(WriteAhead, ASilentMachineIsNotReturnedWhileALeaseProxyRenewsIt) {
   for (const char* name : {"n-1", "n-2", "n-3", "n-4", "n-5", "n-6"}) join(name);
-  double dead = 3.6 * config.report_s + 0.1;
+  double dead_after_s = 3.6 * config.report_s + 0.1;
   for (const char* name : {"n-3", "n-4", "n-5", "n-6"})
-    for (double now : {dead, 2 * dead, 3 * dead})
+    for (double now : {dead_after_s, 2 * dead_after_s, 3 * dead_after_s})
       heartbeat(name, scheduler->machine(name)->worker.fencing_token, now);
-  scheduler->renewed_by_proxy("n-1", 3 * dead);
-  scheduler->tick(2 * dead);
+  scheduler->renewed_by_proxy("n-1", 3 * dead_after_s);
+  scheduler->tick(2 * dead_after_s);
   EXPECT_TRUE(scheduler->any_silent());
   EXPECT_EQ(scheduler->decommissioning(), std::vector<std::string>{"n-2"});
-  scheduler->tick(3 * dead);
+  scheduler->tick(3 * dead_after_s);
   EXPECT_EQ(scheduler->decommissioning().size(), 2u);
 }
 
