--- a/tests/write_ahead_test.cc
+++ b/tests/write_ahead_test.cc
@@ -167,8 +167,7 @@
   next.records_loaded();
   EXPECT_EQ(next.team_use("x").cpus, 16);
   EXPECT_EQ(next.job(s.id)->active.count(1), 1u);
-  // A new worker epoch has no task of the former one: then all tasks are done, whatever became of the task
-  // there.
+  // A new worker epoch has no task of the former one: then all tasks are done, however the task there ended.
   Heartbeat r = last[active.at(1).machine];
   r.worker_epoch = 2, r.seq = 1, r.tasks.clear();
   for (Scheduler* scheduler : {scheduler.get(), &next}) {
