--- a/src/scheduler/scheduler.h
+++ b/src/scheduler/scheduler.h
@@ -39,7 +39,7 @@
 
 class Scheduler {
  public:
-  using Loaded = RecordLoad;
+  using Loaded = RecordLoadResult;
   using Outcome = JobOutcome;
   using Channel = HeartbeatChannel;
   using HeartbeatResult = corkmux::HeartbeatResult;
@@ -76,7 +76,7 @@
     dependencies_.record_outcome(id, outcome, ended_at);
   }
   /// Dependencies with an unknown outcome, to be looked up in the state store.
-  const std::set<std::string>& unknown_dependencies() const { return dependencies_.unknown(); }
+  const std::set<std::string>& unknown_dependencies() const { return dependencies_.unknown_outcomes(); }
   /// Whether any job depends on others.
   bool has_dependencies() const { return dependencies_.any(); }
   /// Jobs that depend on a cancelled job and whose end is not stored yet.
--- a/tests/upgrade_test.cc
+++ b/tests/upgrade_test.cc
@@ -218,7 +218,7 @@
 // Guards against a leader that ignores records it cannot read: their tasks would be started a second time.
 TEST_F(Upgrade, ANewerFormatIsNotTakenForAnEmptyRecord) {
   auto scheduler = leader(true);
-  EXPECT_EQ(scheduler->load_record("t/run-1/000000", {{"f", 3}, {"n", 150}}, 9), Scheduler::Loaded::Unknown);
+  EXPECT_EQ(scheduler->load_record("t/run-1/000000", {{"f", 3}, {"n", 150}}, 9), Scheduler::Loaded::TooNew);
 }
 
 }  // namespace
