--- a/src/controller/job_status_cache.cc
+++ b/src/controller/job_status_cache.cc
@@ -22,7 +22,7 @@
   views_.erase(job);
   callbacks_.ended(job);
   end_order_.push_back(job);
-  if (end_order_.size() > constants::kFinalCache) {
+  if (end_order_.size() > constants::kFinishedJobsCached) {
     ends_.erase(end_order_.front());
     end_order_.pop_front();
   }
@@ -38,7 +38,7 @@
 }
 
 void JobStatusCache::note_accepted(const std::string& job) {
-  if (accepted_.size() >= constants::kFinalCache) accepted_.clear();
+  if (accepted_.size() >= constants::kFinishedJobsCached) accepted_.clear();
   accepted_.insert(job);
 }
 
--- a/src/scheduler/arrival_tracker.h
+++ b/src/scheduler/arrival_tracker.h
@@ -1,6 +1,6 @@
-// How often jobs come, for the decision how long idle machines are held.
+// Tracks how often jobs arrive; the result decides how long idle machines are held.
 //
-// Owns the smoothed gap between accepted jobs and when there was last any unfinished one.
+// Owns the smoothed gap between accepted jobs and the time at which a job was last unfinished.
 #pragma once
 #include <optional>
 
@@ -13,20 +13,20 @@
 
 class ArrivalTracker {
  public:
-  explicit ArrivalTracker(double now) : last_unfinished_at_(now) {}
+  explicit ArrivalTracker(double now) : last_unfinished_job_at_(now) {}
 
-  /// A job has come that was accepted so long ago; older ones were loaded, and say nothing of what comes
-  /// next.
+  /// Counts the arrival of a job that was accepted `age_s` ago. Jobs older than kFreshArrival were loaded
+  /// from the state store; they are ignored because they do not predict the next arrival.
   void job_added(double age_s, double now);
-  /// There is an unfinished job.
-  void unfinished_at(double now) { last_unfinished_at_ = now; }
-  /// s since there was last any unfinished job, where there is none now.
-  double idle_for(double now) const { return now - last_unfinished_at_; }
-  /// s between jobs as they have come of late; 0 while too few have.
+  /// Called while at least one job is unfinished.
+  void note_unfinished_job(double now) { last_unfinished_job_at_ = now; }
+  /// Seconds since a job was last unfinished; meaningful only while there is none.
+  double idle_for(double now) const { return now - last_unfinished_job_at_; }
+  /// Smoothed seconds between recent arrivals; 0 until two jobs have arrived.
   double gap() const { return gap_; }
 
  private:
-  double last_unfinished_at_;
+  double last_unfinished_job_at_;
   std::optional<double> last_arrival_;
   double gap_ = 0;
 };
--- a/src/scheduler/candidate_search.cc
+++ b/src/scheduler/candidate_search.cc
@@ -10,9 +10,9 @@
 
 constexpr double kRounding = 1e-6;
 constexpr double kNoLimit = std::numeric_limits<double>::infinity();
-/// No accelerator machine at all, not even one whose accelerators are all in use.
+/// Excludes every accelerator machine, even one whose accelerators are all in use.
 constexpr double kNoAcceleratorMachine = -1;
-constexpr std::size_t kMachinesCounted = 1000000;  // keeps the count of places within an int
+constexpr std::size_t kMaxMachinesCounted = 1000000;  // keeps the count of slots within an int
 
 void append(std::vector<CandidateGroup>& groups, std::vector<CandidateGroup>& more) {
   std::move(more.begin(), more.end(), std::back_inserter(groups));
@@ -22,8 +22,8 @@
 
 Machine& CandidateGroup::machine(std::size_t position) const {
   if (single) return *single;
-  for (std::size_t hole : excluded)
-    if (hole <= position) ++position;
+  for (std::size_t excluded_position : excluded)
+    if (excluded_position <= position) ++position;
   return *bucket->machines[position];
 }
 
@@ -54,23 +54,24 @@
   return shape;
 }
 
-bool CandidateSearch::has_view_of_its_own(const Job& job, double now) {
+bool CandidateSearch::has_individual_candidates(const Job& job, double now) {
   return now - job.preempted_at < c::kNominationTime || !job.active.empty();
 }
 
 bool CandidateSearch::known_not_to_fit(const Job& job, double now) const {
-  if (has_view_of_its_own(job, now)) return false;
+  if (has_individual_candidates(job, now)) return false;
   auto known = not_fitting_.find(shape_of(job));
   return known != not_fitting_.end() && (!job.is_gang() || job.spec.tasks >= known->second);
 }
 
 void CandidateSearch::note_not_fitting(const Job& job, double now) {
-  if (has_view_of_its_own(job, now)) return;
+  if (has_individual_candidates(job, now)) return;
   auto [known, added] = not_fitting_.try_emplace(shape_of(job), job.spec.tasks);
   if (!added) known->second = std::min(known->second, job.spec.tasks);
 }
 
-/// Accelerators never wait behind work that does not need them: it takes no machine with more of them free.
+/// The most free accelerators that a machine may have to be used by the job. Work without need of
+/// accelerators must not delay work that needs them, so it takes no machine with more of them free.
 double CandidateSearch::most_free_gpus(const Job& job) const {
   if (job.spec.need.gpus > 0 || !accelerator_users_ || job.priority > *accelerator_users_) return kNoLimit;
   if (accelerators_wanted_) return kNoAcceleratorMachine;
@@ -104,9 +105,10 @@
   return !spec.one_zone || job.active.empty() || job.active.begin()->second.zone == machine.zone;
 }
 
-/// The buckets of a pool that the job's tasks fit on. They are in falling order of accelerators and CPUs, so
-/// those with too little are not even looked at; and no more than kBucketsExamined once there is room for all
-/// that is placed at once, the emptiest.
+/// Adds the buckets of a pool that the job's tasks fit on. Buckets are sorted by descending free accelerators
+/// and CPUs, so the search stops before buckets with too little. Once the buckets found have capacity for all
+/// tasks that are placed at once, it examines no more than kBucketsExamined, those with the most free
+/// capacity.
 void CandidateSearch::add_buckets(const Query& query, const CapacityIndex::Pool& pool,
                                   const CapacityIndex::CapacityBuckets& buckets,
                                   const PositionsByBucket& excluded, std::vector<CandidateGroup>& groups) {
@@ -114,13 +116,14 @@
   const double most_free_gpus = pool.size.gpus > 0 ? query.most_free_gpus : kNoLimit;
   const int enough = query.job.is_gang() ? query.job.spec.tasks : 1;
   int examined = 0;
-  int places = 0;
+  int slots = 0;
   for (auto it = buckets.begin(); it != buckets.end();) {
     ++items_examined_;
     const auto& [free_capacity, bucket] = *it;
     if (need.gpus > bucket.free.gpus + kRounding) return;
-    if (examined >= c::kBucketsExamined && places >= enough) return;
-    if (need.cpus > bucket.free.cpus + kRounding) {  // nor do the next: on to those with fewer accelerators
+    if (examined >= c::kBucketsExamined && slots >= enough) return;
+    if (need.cpus > bucket.free.cpus + kRounding) {
+      // The following buckets have no more CPUs: skips to those with fewer accelerators.
       it = buckets.upper_bound({free_capacity[0], std::numeric_limits<long long>::min(), 0});
       continue;
     }
@@ -138,7 +141,7 @@
     }
     if (group.machine_count == 0) continue;
     ++examined;
-    places += static_cast<int>(std::min(group.machine_count, kMachinesCounted)) * group.tasks_per_machine;
+    slots += static_cast<int>(std::min(group.machine_count, kMaxMachinesCounted)) * group.tasks_per_machine;
     groups.push_back(std::move(group));
   }
 }
@@ -146,7 +149,7 @@
 void CandidateSearch::add_pool(const Query& query, const CapacityIndex::Pool& pool,
                                const PositionsByBucket& failed, Found& found) {
   const Job& job = query.job;
-  // Work that machines are reserved for fills these first, so that others find the rest.
+  // A starving job fills the machines reserved for it first, which leaves the other machines to other jobs.
   const bool reserved_for_it = query.starving && reservations_.is_reserved(pool.reservation_tier);
   const bool gpus_unneeded = job.spec.need.gpus <= 0 && pool.size.gpus > 0;
   std::vector<CandidateGroup>& groups = reserved_for_it && !job.is_gang() ? found.reserved
@@ -171,7 +174,8 @@
   groups.push_back(std::move(group));
 }
 
-/// Ready machines on which the job has failed are suspect to it: they are taken out of their buckets.
+/// Adds ready machines on which the job has failed: they are suspect for this job, so they are listed singly
+/// and excluded from their buckets. Returns their positions by bucket.
 CandidateSearch::PositionsByBucket CandidateSearch::add_failed_machines(const Query& query, Found& found) {
   PositionsByBucket failed;
   for (const auto& name : query.job.failed_on) {
@@ -208,7 +212,8 @@
   }
   add_nominated_machines(query, found);
   if (job.is_gang()) {
-    // Whole machines for gangs: all fitting machines are candidates, those without accelerators first.
+    // A gang needs many machines at once, so all fitting ones are candidates, those without accelerators
+    // first.
     append(found.ordinary, found.with_unneeded_gpus);
     if (suspects == Suspects::Included) append(found.ordinary, found.suspect);
     return std::move(found.ordinary);
--- a/src/scheduler/candidate_search.h
+++ b/src/scheduler/candidate_search.h
@@ -1,8 +1,9 @@
-// Machines that a job's next task fits on.
+// Finds the machines that a job's next task fits on.
 //
-// Owns what one scheduling cycle has learned: which requests found no room, which zones are held for gangs,
-// and who wants accelerators. It reads the index of free capacity by buckets of equal free capacity, so a
-// search costs what there are buckets, however many machines. It never changes a job or a machine.
+// Owns the findings of one scheduling cycle: which request shapes did not fit, which zones are held for
+// gangs, and which priorities want accelerators. It reads the capacity index by buckets of equal free
+// capacity, so the cost of a search grows with the number of buckets, not of machines. It never changes a job
+// or a machine.
 #pragma once
 #include <compare>
 #include <cstdint>
@@ -18,28 +19,27 @@
 namespace corkmux {
 namespace constants {
 
-inline constexpr int kBucketsExamined = 64;  // per pool of machines; bounds a decision
-/// Work without need of accelerators takes such a machine only while this share of all accelerators stays
-/// free.
+inline constexpr int kBucketsExamined = 64;  // per pool; bounds the cost of a search
+/// Share of all accelerators that stays free when work without need of accelerators takes such a machine.
 inline constexpr double kAcceleratorReserve = 0.25;
 
 }  // namespace constants
 
-/// Machines that a task fits on and that are alike to a placement: a bucket less some of its machines, or a
-/// single machine.
+/// Machines that a task fits on and that are equivalent for placement: a bucket without its excluded
+/// machines, or a single machine.
 struct CandidateGroup {
   const CapacityIndex::Pool* pool = nullptr;
   const CapacityIndex::CapacityBucket* bucket = nullptr;  // none: a single machine
   Machine* single = nullptr;
-  std::vector<std::size_t> excluded;  // positions in the bucket, rising
+  std::vector<std::size_t> excluded;  // positions in the bucket, ascending
   std::size_t machine_count = 0;
   int tasks_per_machine = 0;
 
-  /// One of its machines; `position` is less than machine_count.
+  /// Returns one of the machines; `position` must be less than machine_count.
   Machine& machine(std::size_t position) const;
 };
 
-/// Machines on which something failed lately: only when nothing else fits, or for a gang as good as others.
+/// How machines with recent failures are used: only when nothing else fits, or (for gangs) like any other.
 enum class Suspects { LastResort, Included };
 
 class CandidateSearch {
@@ -47,36 +47,37 @@
   CandidateSearch(ClusterState& state, const MachineReservations& reservations)
       : state_(state), reservations_(reservations) {}
 
-  /// Forgets what the last cycle has learned.
+  /// Discards the findings of the previous cycle.
   void begin_cycle();
-  /// `wanted`: whether a waiting job could use accelerators now. `users`: the highest priority of jobs that
-  /// could use any at all.
+  /// `wanted`: whether a waiting job could use accelerators now. `users`: the highest priority of the jobs
+  /// that can use accelerators, empty if there are none.
   void set_accelerator_demand(bool wanted, std::optional<Priority> users);
   bool accelerators_wanted() const { return accelerators_wanted_; }
 
-  /// Room only shrinks within a cycle: what found none leaves none for the like of it.
+  /// Whether a job of the same shape was noted as not fitting in this cycle. Free capacity only shrinks
+  /// within a cycle, so the job cannot fit either.
   bool known_not_to_fit(const Job& job, double now) const;
   void note_not_fitting(const Job& job, double now);
 
-  /// Until the cycle ends only this job is placed in the zone.
+  /// Reserves the zone for the job: until the cycle ends, only this job is placed in it.
   void hold_zone(const std::string& zone, const std::string& job) { held_zones_[zone] = job; }
   bool is_held(const std::string& zone) const { return held_zones_.contains(zone); }
 
-  /// Machines that the job's next task fits on, of its best class: reserved for it, ordinary, with
-  /// accelerators that it does not need, suspect. A gang gets all classes, suspects only if included.
-  /// `only_zone`: none, or the one zone to search.
+  /// Returns the machines that the job's next task fits on, from the best class that has any: reserved for
+  /// it, ordinary, with accelerators that it does not need, suspect. A gang gets all classes, suspects only
+  /// if included. `only_zone`: the only zone to search, or null for all zones.
   std::vector<CandidateGroup> find(const Job& job, Suspects suspects, double now,
                                    const std::string* only_zone = nullptr);
-  /// Whether the job's tasks may go to machines of the pool.
+  /// Whether the job's tasks may run on machines of the pool.
   bool may_use_pool(const Job& job, const CapacityIndex::Pool& pool) const;
-  /// Whether the job's tasks may go there once there is room.
+  /// Whether the job's tasks may run on the machine once it has enough free capacity.
   bool may_use(const Job& job, const Machine& machine, double now) const;
 
-  /// Buckets, pools and machines looked at so far.
+  /// Buckets, pools and machines examined so far.
   std::uint64_t items_examined() const { return items_examined_; }
 
  private:
-  /// What of a job decides whether it fits.
+  /// The properties of a job that decide whether it fits.
   struct RequestShape {
     double cpus = 0;
     double gpus = 0;
@@ -93,9 +94,9 @@
   };
   struct Query {
     const Job& job;
-    const std::string* only_zone;  // none: any
+    const std::string* only_zone;  // null: all zones
     double most_free_gpus;         // machines with more are left to work that needs accelerators
-    bool starving;                 // machines are reserved for it
+    bool starving;                 // machines are reserved for the job
     double now;
   };
   struct Found {
@@ -107,9 +108,9 @@
   using PositionsByBucket = std::map<const CapacityIndex::CapacityBucket*, std::vector<std::size_t>>;
 
   RequestShape shape_of(const Job& job) const;
-  /// A job that machines are nominated for sees machines that others do not; nor is one bound to a zone by
-  /// its own tasks like the rest.
-  static bool has_view_of_its_own(const Job& job, double now);
+  /// Whether the job's candidates differ from those of other jobs of its shape: machines may be nominated for
+  /// it, or its running tasks bind it to a zone.
+  static bool has_individual_candidates(const Job& job, double now);
   double most_free_gpus(const Job& job) const;
   bool zone_closed(const Query& query, const std::string& zone) const;
   bool pool_open(const Query& query, const CapacityIndex::Pool& pool) const;
@@ -124,7 +125,7 @@
 
   ClusterState& state_;
   const MachineReservations& reservations_;
-  std::map<RequestShape, int> not_fitting_;        // the fewest tasks at once that found no room
+  std::map<RequestShape, int> not_fitting_;        // value: the fewest tasks at once that did not fit
   std::map<std::string, std::string> held_zones_;  // zone -> the job it is held for
   bool accelerators_wanted_ = false;
   std::optional<Priority> accelerator_users_;
--- a/src/scheduler/capacity_index.cc
+++ b/src/scheduler/capacity_index.cc
@@ -17,13 +17,13 @@
           std::llround(free.memory_gb * kUnitsPerOne)};
 }
 
-/// What is at zero does not fall below it.
-CapacityIndex::Drift drift(double value, double slope, double heard_at) {
+/// A value at zero or below does not fall any further.
+CapacityIndex::Drift drift(double value, double slope, double heartbeat_at) {
   if (value <= 0 && slope < 0) slope = 0;
-  return {value, slope, slope * heard_at};
+  return {value, slope, slope * heartbeat_at};
 }
 
-/// The lowest priority of tasks that may be stopped there; none if there are none.
+/// The lowest priority of stoppable tasks on the machine; nullopt if there are none.
 std::optional<std::size_t> lowest_stoppable(const Machine& machine) {
   for (std::size_t priority = 0; priority < machine.stoppable.size(); ++priority)
     if (machine.stoppable[priority] > 0) return priority;
@@ -37,16 +37,16 @@
 void CapacityIndex::Drift::add(const Drift& other) {
   value += other.value;
   slope += other.slope;
-  slope_heard += other.slope_heard;
+  slope_times_heartbeat += other.slope_times_heartbeat;
 }
 
 void CapacityIndex::Drift::subtract(const Drift& other) {
   value -= other.value;
   slope -= other.slope;
-  slope_heard -= other.slope_heard;
+  slope_times_heartbeat -= other.slope_times_heartbeat;
 }
 
-void CapacityIndex::take_out(Machine& machine) {
+void CapacityIndex::remove_from_bucket(Machine& machine) {
   IndexEntry& entry = machine.index_entry;
   if (!entry.bucket) return;
   CapacityBucket& bucket = *entry.bucket;
@@ -62,7 +62,7 @@
   bucket.machines[entry.position] = last;
   last->index_entry.position = entry.position;
   bucket.machines.pop_back();
-  // An empty bucket goes, and with it what its sums have lost in rounding.
+  // Erasing an empty bucket also discards the rounding errors that its sums have accumulated.
   if (bucket.machines.empty()) entry.buckets->erase(free_capacity_of(bucket.free));
   entry.buckets = nullptr;
   entry.bucket = nullptr;
@@ -77,7 +77,7 @@
   pool.reservation_tier = reservation_tier;
   if (machine.size.cpus > 0) pool.size = machine.size;
   machine.index_entry.pool = &pool;
-  note_tasks(machine);
+  update_stoppable(machine);
 }
 
 void CapacityIndex::update_wake_up(Machine& machine, double at) {
@@ -99,12 +99,12 @@
   if (!job.empty()) nominated_[job].insert(&machine);
 }
 
-void CapacityIndex::update_totals(Machine& machine, bool counts) {
+void CapacityIndex::update_totals(Machine& machine, bool counted) {
   IndexEntry& entry = machine.index_entry;
   free_ -= entry.counted_free;
   size_ -= entry.counted_size;
-  entry.counted_free = counts ? machine.free : Resources{};
-  entry.counted_size = counts ? machine.size : Resources{};
+  entry.counted_free = counted ? machine.free : Resources{};
+  entry.counted_size = counted ? machine.size : Resources{};
   free_ += entry.counted_free;
   size_ += entry.counted_size;
 }
@@ -135,7 +135,7 @@
                              : state.use == Use::Suspect ? &entry.pool->suspect
                                                          : nullptr;
   if (!buckets) {
-    take_out(machine);
+    remove_from_bucket(machine);
     return;
   }
   const bool stays =
@@ -144,7 +144,7 @@
     entry.bucket->slack.subtract(entry.slack);
     entry.bucket->heat.subtract(entry.heat);
   } else {
-    take_out(machine);
+    remove_from_bucket(machine);
     enter_bucket(machine, *buckets);
   }
   entry.slack = drift(slack, machine.load.slack_slope, machine.worker.last_heard);
@@ -157,12 +157,12 @@
   IndexEntry& entry = machine.index_entry;
   if (!entry.pool) return;
   update(machine, {}, 0);
-  list_stoppable(machine, std::nullopt);
+  set_lowest_stoppable(machine, std::nullopt);
   entry.pool->stopping.erase(&machine);
   entry.pool = nullptr;
 }
 
-void CapacityIndex::list_stoppable(Machine& machine, std::optional<std::size_t> priority) {
+void CapacityIndex::set_lowest_stoppable(Machine& machine, std::optional<std::size_t> priority) {
   IndexEntry& entry = machine.index_entry;
   if (entry.lowest_stoppable == priority) return;
   if (entry.lowest_stoppable) {
@@ -178,10 +178,10 @@
   into.push_back(&machine);
 }
 
-void CapacityIndex::note_tasks(Machine& machine) {
+void CapacityIndex::update_stoppable(Machine& machine) {
   Pool* pool = machine.index_entry.pool;
   if (!pool) return;
-  list_stoppable(machine, lowest_stoppable(machine));
+  set_lowest_stoppable(machine, lowest_stoppable(machine));
   if (machine.stopping > 0)
     pool->stopping.insert(&machine);
   else
--- a/src/scheduler/capacity_index.h
+++ b/src/scheduler/capacity_index.h
@@ -1,10 +1,10 @@
-// Which machines have how much free capacity, kept up as heartbeats and assignments come, so that a placement
-// looks at buckets of equal free capacity instead of at machines.
+// Indexes machines by free capacity. It is updated with each heartbeat and assignment, so that a placement
+// examines buckets of equal free capacity instead of every machine.
 //
-// Owns pools (machines of one type, zone, kind and reservation tier) and in each the buckets of machines that
-// have exactly the same free capacity. It is told of every change; it never reads the clock and decides
-// nothing: the zone draw and the sampled pick read sums of buckets and single machines from it. A machine is
-// in the index under its address, which must not change.
+// Owns pools (machines of one type, zone, kind and reservation tier) and in each pool the buckets of machines
+// that have exactly the same free capacity. ClusterState reports every change to it; it never reads the clock
+// and makes no decisions: the zone draw and the sampled pick read bucket sums and single machines from it. A
+// machine is in the index under its address, which must not change.
 #pragma once
 #include <array>
 #include <compare>
@@ -23,18 +23,18 @@
 
 struct Machine;
 
-/// By name, so that no choice depends on where machines are in memory.
+/// Orders machines by name, so that no choice depends on memory addresses.
 struct ByName {
   bool operator()(const Machine* left, const Machine* right) const;
 };
 using MachineSet = std::set<Machine*, ByName>;
 
-/// Where new work may go as things stand, and until when that holds if nothing else changes.
+/// Whether a machine takes new work, and until when that holds if nothing else changes.
 struct MachineCapacity {
   enum class Use {
     Out,        // takes no new work
-    Ready,      // takes any
-    Suspect,    // failed lately: takes work only where nothing else has room
+    Ready,      // takes any work
+    Suspect,    // had recent failures: takes work only when it fits nowhere else
     Nominated,  // takes work only of the job that it is nominated for
   } use = Use::Out;
   std::string nominated_job;
@@ -43,24 +43,25 @@
 
 class CapacityIndex {
  public:
-  /// A sum over machines of values that drift between heartbeats.
+  /// A sum over machines of values that change linearly between heartbeats.
   struct Drift {
     double value = 0;
-    double slope = 0;        // per s
-    double slope_heard = 0;  // slope times the moment of the heartbeat
-    /// The sum as it would be by now.
-    double at(double now) const { return value + slope * now - slope_heard; }
+    double slope = 0;                  // per s
+    double slope_times_heartbeat = 0;  // slope times the time of the heartbeat
+    /// The sum extrapolated to `now`.
+    double at(double now) const { return value + slope * now - slope_times_heartbeat; }
     void add(const Drift& other);
     void subtract(const Drift& other);
   };
   struct CapacityBucket {
     Resources free;  // of each of its machines
     std::vector<Machine*> machines;
-    Drift slack;                                  // of all of them together
-    Drift heat;                                   // of all of them together
-    std::unordered_map<std::string, int> images;  // how many of them hold each
+    Drift slack;                                  // sum over the machines
+    Drift heat;                                   // sum over the machines
+    std::unordered_map<std::string, int> images;  // image -> how many of the machines hold it
   };
-  /// In units of 1e-6, less than what Resources::fits() lets pass. Most accelerators and CPUs first.
+  /// Accelerators, CPUs and memory in units of 1e-6, finer than the tolerance of Resources::fits(). Sorted by
+  /// most accelerators, then most CPUs.
   using FreeCapacity = std::array<long long, 3>;
   using CapacityBuckets = std::map<FreeCapacity, CapacityBucket, std::greater<>>;
   struct Pool {
@@ -71,9 +72,9 @@
     Resources size;            // of each machine
     CapacityBuckets ready;
     CapacityBuckets suspect;
-    /// Machines by the lowest priority of what may be stopped there: arrays and services, gangs apart.
+    /// Machines by the lowest priority of their stoppable tasks: those of arrays and services, not of gangs.
     std::array<std::vector<Machine*>, 4> stoppable;
-    MachineSet stopping;  // something there is on its way out
+    MachineSet stopping;  // machines with a task that is stopping
   };
   struct PoolKey {
     std::string type;
@@ -83,10 +84,10 @@
     auto operator<=>(const PoolKey&) const = default;
   };
 
-  /// What the index holds of a machine; kept in the machine, written by the index only.
+  /// The index's data about a machine; stored in the machine, written only by the index.
   struct IndexEntry {
     Pool* pool = nullptr;
-    CapacityBuckets* buckets = nullptr;  // none: not in any bucket
+    CapacityBuckets* buckets = nullptr;  // null: not in any bucket
     CapacityBucket* bucket = nullptr;
     std::size_t position = 0;  // in its bucket
     Drift slack;
@@ -94,34 +95,35 @@
     MachineCapacity::Use use = MachineCapacity::Use::Out;
     std::string nominated_job;
     double wake_at = kNever;
-    Resources counted_free;  // in the totals
+    Resources counted_free;  // its share of the totals
     Resources counted_size;
-    std::optional<std::size_t> lowest_stoppable;  // its list in `stoppable`: a priority
+    std::optional<std::size_t> lowest_stoppable;  // the index of its list in Pool::stoppable
     std::size_t stoppable_position = 0;           // in that list
   };
 
-  /// Its state, free capacity, heat or images have changed, or it is new. `slack` is the share of it that is
-  /// free.
+  /// Called when a machine is new or its state, free capacity, heat or images have changed. `slack` is the
+  /// free share of the machine.
   void update(Machine& machine, const MachineCapacity& state, double slack);
-  /// Out of its bucket until the next update: its images must not change while it is in one.
-  void take_out(Machine& machine);
-  /// The machine is gone.
+  /// Removes the machine from its bucket until the next update. Needed before a change of its images, which
+  /// must not change while it is in a bucket.
+  void remove_from_bucket(Machine& machine);
+  /// Removes a machine that is gone.
   void remove(Machine& machine);
-  /// What may be stopped on it has changed.
-  void note_tasks(Machine& machine);
-  /// Machines whose state was to hold until now: each has to be updated.
+  /// Called when the machine's stoppable or stopping tasks have changed.
+  void update_stoppable(Machine& machine);
+  /// Returns the machines whose state expires by `now`; the caller has to update each.
   std::vector<Machine*> due(double now);
 
   const std::map<PoolKey, Pool>& pools() const { return pools_; }
-  /// Machines nominated for a job, few.
+  /// Machines nominated for a job; a small set.
   const MachineSet& nominated_for(const std::string& job) const;
-  /// Of machines that take work.
+  /// Totals over the machines that take work.
   double free_gpus() const { return free_.gpus; }
   double all_gpus() const { return size_.gpus; }
   double all_cpus() const { return size_.cpus; }
 
  private:
-  /// When a machine's state ceases to hold.
+  /// When a machine's state expires.
   struct WakeUp {
     double at = 0;
     Machine* machine = nullptr;
@@ -130,9 +132,9 @@
   void enter_pool(Machine& machine);
   void update_wake_up(Machine& machine, double at);
   void update_nomination(Machine& machine, const std::string& job);
-  void update_totals(Machine& machine, bool counts);
+  void update_totals(Machine& machine, bool counted);
   void enter_bucket(Machine& machine, CapacityBuckets& buckets);
-  void list_stoppable(Machine& machine, std::optional<std::size_t> priority);
+  void set_lowest_stoppable(Machine& machine, std::optional<std::size_t> priority);
 
   std::map<PoolKey, Pool> pools_;
   std::map<std::string, MachineSet> nominated_;  // by job
--- a/src/scheduler/cluster_state.cc
+++ b/src/scheduler/cluster_state.cc
@@ -150,7 +150,7 @@
 }
 
 void ClusterState::clear_images(Machine& machine) {
-  capacity_index_.take_out(machine);
+  capacity_index_.remove_from_bucket(machine);
   machine.images.clear();
 }
 
@@ -160,7 +160,7 @@
     machine.images.push_front(spec.image);
     return;
   }
-  capacity_index_.take_out(machine);
+  capacity_index_.remove_from_bucket(machine);
   machine.images.push_front(spec.image);
   machine.image_gb[spec.image] = spec.image_gb;
   const MachineType* type = this->type(machine.type);
@@ -249,7 +249,7 @@
     machine.stopping += by;
   else if (!job.is_gang())
     machine.stoppable[static_cast<std::size_t>(job.priority)] += by;
-  capacity_index_.note_tasks(machine);
+  capacity_index_.update_stoppable(machine);
 }
 
 const Resources& ClusterState::team_use(const std::string& team) const { return find_use(team_use_, team); }
--- a/src/scheduler/dependency_graph.cc
+++ b/src/scheduler/dependency_graph.cc
@@ -88,7 +88,7 @@
 
 void DependencyGraph::record_outcome(const std::string& id, JobOutcome how, double ended_at) {
   if (outcomes_.try_emplace(id, Ended{how, ended_at}).second) outcome_order_.push_back(id);
-  if (outcome_order_.size() > c::kFinalCache) {
+  if (outcome_order_.size() > c::kFinishedJobsCached) {
     outcomes_.erase(outcome_order_.front());
     outcome_order_.pop_front();
   }
--- a/src/scheduler/freed_capacity.cc
+++ b/src/scheduler/freed_capacity.cc
@@ -8,7 +8,7 @@
 
 void FreedCapacity::note(const std::string& zone, const Resources& need, double now) {
   Sum& sum = zones_[zone];
-  const double kept = std::exp(-std::max(0.0, now - sum.at) / c::kFreeingWindow);
+  const double kept = std::exp(-std::max(0.0, now - sum.at) / c::kFreedCapacityWindow);
   sum.resources.cpus = kept * sum.resources.cpus + need.cpus;
   sum.resources.gpus = kept * sum.resources.gpus + need.gpus;
   sum.at = std::max(sum.at, now);
@@ -18,7 +18,8 @@
   auto found = zones_.find(zone);
   if (found == zones_.end()) return std::nullopt;
   const Sum& sum = found->second;
-  const double decay = std::exp(-std::max(0.0, now - sum.at) / c::kFreeingWindow) / c::kFreeingWindow;
+  const double decay =
+      std::exp(-std::max(0.0, now - sum.at) / c::kFreedCapacityWindow) / c::kFreedCapacityWindow;
   return Resources{decay * sum.resources.cpus, decay * sum.resources.gpus, 0};
 }
 
--- a/src/scheduler/freed_capacity.h
+++ b/src/scheduler/freed_capacity.h
@@ -1,7 +1,7 @@
-// How fast the places of each zone have become free of late.
+// Measures how fast capacity of each zone has become free recently.
 //
-// Owns a decaying sum per zone of the CPUs and accelerators that tasks gave back. It needs to be told of each
-// task that leaves a machine; it knows neither jobs nor machines.
+// Owns a decaying sum per zone of the CPUs and accelerators that tasks have freed. Its caller notes each task
+// that leaves a machine; it has no access to jobs or machines.
 #pragma once
 #include <map>
 #include <optional>
@@ -13,15 +13,15 @@
 namespace corkmux {
 namespace constants {
 
-inline constexpr double kFreeingWindow = 10.0;  // s over which a zone's rate of places becoming free is taken
+inline constexpr double kFreedCapacityWindow = 10.0;  // s; time constant of the decay of freed capacity
 
 }  // namespace constants
 
 class FreedCapacity {
  public:
-  /// A task of that need has given back its place.
+  /// Counts a task with that need that has freed its capacity in the zone.
   void note(const std::string& zone, const Resources& need, double now);
-  /// CPUs and accelerators that become free each second; none if nothing has yet.
+  /// CPUs and accelerators that become free per second; nullopt if none has become free yet.
   std::optional<Resources> rate(const std::string& zone, double now) const;
 
  private:
--- a/src/scheduler/guarantee_claims.cc
+++ b/src/scheduler/guarantee_claims.cc
@@ -17,7 +17,7 @@
 
 std::size_t index_of(int position) { return static_cast<std::size_t>(position); }
 
-/// What a team runs over its guarantee, without what is stopping. Memory does not count.
+/// The team's use beyond its guarantee, without tasks that are stopping. Memory does not count.
 Resources over_guarantee(const ClusterState& state, const Team& team) {
   Resources use = state.team_use(team.name);
   use -= state.team_stopping(team.name);
@@ -26,15 +26,15 @@
           gpus_metered ? std::max(0.0, use.gpus - team.gpus) : kUnmeteredGpus, 0};
 }
 
-/// s of work that a stop of a task costs which has run for so long.
+/// Seconds of work lost by stopping a task that has run for `ran_s`.
 double lost_s(const JobSpec& spec, double ran_s) {
   if (saves_when_stopped(spec)) return spec.save_s;
   return spec.checkpoint_s > 0 ? std::fmod(ran_s, spec.checkpoint_s) : ran_s;
 }
 
-/// Describes a claim: the places that it could get are as many as it needs of those with room, those where
-/// something is stopping, and those of the work that may be stopped for it. Of that at most
-/// kPreemptionCandidatesExamined tasks are looked at, of each team those of the latest jobs.
+/// Builds the input of choose_reclaim() for a claim. Its machines are: as many as the claim needs of those
+/// with enough free capacity, those where tasks are stopping, and those that run work that may be stopped for
+/// it. Of each team at most about kPreemptionCandidatesExamined tasks are examined, those of the latest jobs.
 class CaseBuilder {
  public:
   CaseBuilder(ClusterState& state, CandidateSearch& search, const Job& job, double now, std::uint64_t& steps)
@@ -45,13 +45,14 @@
   }
 
   QuotaReclaimCase build() {
-    add_machines_with_room();
+    add_fitting_machines();
     add_machines_with_stopping_tasks();
     int team_index = 0;
     for (const auto& [name, team] : state_.teams()) {
       const Resources over = over_guarantee(state_, team);
       case_.input.over_guarantee.push_back(over);
-      if (name != job_.spec.team && over.cpus > 0) add_units_of(name, team_index);  // each task takes CPUs
+      // Each task takes CPUs, so a team that is not over its guaranteed CPUs has nothing to stop.
+      if (name != job_.spec.team && over.cpus > 0) add_units_of_team(name, team_index);
       ++team_index;
     }
     return std::move(case_);
@@ -63,15 +64,15 @@
     double lost = 0;  // CPU seconds
   };
 
-  void add_machines_with_room() {
+  void add_fitting_machines() {
     for (const auto& group : search_.find(job_, Suspects::Included, now_)) {
       if (group.single) {
-        place_of(*group.single);
+        machine_index(*group.single);
         continue;
       }
       const auto& machines = group.bucket->machines;
       for (std::size_t i = 0; i < machines.size() && static_cast<int>(i) < job_.queued; ++i)
-        place_of(*machines[i]);
+        machine_index(*machines[i]);
     }
   }
 
@@ -80,37 +81,38 @@
       std::size_t examined = 0;
       for (Machine* machine : pool.stopping) {
         if (examined++ == c::kPreemptionCandidatesExamined) break;
-        place_of(*machine);
+        machine_index(*machine);
       }
     }
   }
 
-  /// The position of the machine's place, added when it is first asked for.
-  int place_of(Machine& machine) {
-    auto [found, added] = place_by_machine_.try_emplace(&machine, static_cast<int>(case_.machines.size()));
+  /// The machine's index in the case; the machine is added on first use.
+  int machine_index(Machine& machine) {
+    auto [found, added] = index_by_machine_.try_emplace(&machine, static_cast<int>(case_.machines.size()));
     if (!added) return found->second;
-    QuotaReclaimInput::Place place;
-    place.free = machine.free;
-    place.zone =
+    QuotaReclaimInput::CandidateMachine candidate;
+    candidate.free = machine.free;
+    candidate.zone =
         zone_numbers_.try_emplace(machine.zone, static_cast<int>(zone_numbers_.size())).first->second;
-    place.open = open(machine);
+    candidate.usable = usable(machine);
     for (const TaskId& id : machine.tasks) {
       ++items_examined_;
       const Job& other = *state_.job(id.job);
-      if (other.active.at(id.index).stop) place.free += other.spec.need;
+      if (other.active.at(id.index).stop) candidate.free += other.spec.need;
     }
-    case_.input.places.push_back(place);
+    case_.input.machines.push_back(candidate);
     case_.machines.push_back(&machine);
     return found->second;
   }
 
-  /// Work without need of accelerators gets no such machine while they are wanted, see CandidateSearch.
-  bool open(const Machine& machine) const {
+  /// Whether the claim may use the machine. Work without need of accelerators gets no accelerator machine
+  /// while accelerators are wanted, see CandidateSearch.
+  bool usable(const Machine& machine) const {
     if (!search_.may_use(job_, machine, now_)) return false;
     return job_.spec.need.gpus > 0 || machine.size.gpus <= 0 || !search_.accelerators_wanted();
   }
 
-  void add_units_of(const std::string& team, int team_index) {
+  void add_units_of_team(const std::string& team, int team_index) {
     std::size_t examined = 0;
     const JobSet& running = state_.job_index().running(team, false);
     for (auto it = running.rbegin(); it != running.rend() && examined < c::kPreemptionCandidatesExamined;
@@ -119,13 +121,13 @@
       const Job& other = **it;
       if (other.draining) continue;
       examined += other.active.size();
-      add_units_of(other, team_index);
+      add_units_of_job(other, team_index);
     }
   }
 
-  void add_units_of(const Job& other, int team_index) {
+  void add_units_of_job(const Job& other, int team_index) {
     const std::vector<StoppableTask> stoppable = stoppable_tasks(other);
-    // A gang of which some task may not be stopped stays whole.
+    // A gang stops as a whole, so it is left alone if any of its tasks may not be stopped.
     if (other.is_gang() && stoppable.size() != static_cast<std::size_t>(other.spec.tasks)) return;
     bool first = true;
     for (const StoppableTask& task : stoppable) {
@@ -136,7 +138,7 @@
       first = false;
       auto& unit = case_.input.units.back();
       unit.lost += task.lost;
-      unit.members.push_back(place_of(*state_.machine(other.active.at(task.index).machine)));
+      unit.members.push_back(machine_index(*state_.machine(other.active.at(task.index).machine)));
     }
   }
 
@@ -144,7 +146,8 @@
     std::vector<StoppableTask> stoppable;
     for (const auto& [index, task] : other.active) {
       ++items_examined_;
-      // Nothing just started is stopped: PROTOCOL counts a start only if it is left alone for kFreshStart.
+      // A task that has just started is not stopped: the protocol counts a start only if the task runs
+      // undisturbed for kFreshStart.
       if (task.stop || !task.running_at || now_ - *task.running_at < c::kFreshStart) continue;
       if (!state_.machine(task.machine)) continue;
       const double lost = lost_s(other.spec, now_ - *task.running_at);
@@ -160,22 +163,22 @@
   std::uint64_t& items_examined_;
   QuotaReclaimCase case_;
   std::map<std::string, int> zone_numbers_;
-  std::unordered_map<const Machine*, int> place_by_machine_;
+  std::unordered_map<const Machine*, int> index_by_machine_;
 };
 
-/// Of the zones in which all that is left fits the one with the most places; none if there is none.
-std::optional<int> zone_with_most_places(const std::vector<QuotaReclaimInput::Place>& places,
-                                         const Resources& need, int left) {
-  std::map<int, int> places_in_zone;
-  for (const auto& place : places)
-    if (place.open) places_in_zone[place.zone] += need.times_in(place.free);
+/// The zone with the most slots among those that have slots for all `left` tasks; nullopt if there is none.
+std::optional<int> zone_with_most_slots(const std::vector<QuotaReclaimInput::CandidateMachine>& machines,
+                                        const Resources& need, int left) {
+  std::map<int, int> slots_in_zone;
+  for (const auto& machine : machines)
+    if (machine.usable) slots_in_zone[machine.zone] += need.times_in(machine.free);
   std::optional<int> best;
-  for (const auto& [zone, count] : places_in_zone)
-    if (count >= left && (!best || count > places_in_zone[*best])) best = zone;
+  for (const auto& [zone, count] : slots_in_zone)
+    if (count >= left && (!best || count > slots_in_zone[*best])) best = zone;
   return best;
 }
 
-bool started_and_left_alone(const Job& job, double now) {
+bool started_and_undisturbed(const Job& job, double now) {
   return job.queued == 0 && std::all_of(job.active.begin(), job.active.end(), [&](const auto& entry) {
            const ActiveTask& task = entry.second;
            return task.running_at && now - *task.running_at > c::kFreshStart;
@@ -193,14 +196,14 @@
       const bool fresh = now - job->ready_at < c::kFreshArrival;
       job->guarantee_admission = job->indexed.guaranteed && fresh ? Admission::Granted : Admission::None;
     }
-    if (job->guarantee_admission == Admission::Granted && started_and_left_alone(*job, now))
+    if (job->guarantee_admission == Admission::Granted && started_and_undisturbed(*job, now))
       job->guarantee_admission = Admission::None;
     state_.reindex(*job);
   }
 }
 
-/// A claim is made by a job within its team's guarantee, for all that it still needs to start, while its
-/// team's use together with that stays within the guarantee.
+/// A job may claim its team's guarantee while the team's use plus all queued tasks of the job stays within
+/// the guarantee.
 bool GuaranteeClaims::within_guarantee(const Job& job) const {
   auto team = state_.teams().find(job.spec.team);
   if (team == state_.teams().end()) return false;
@@ -209,24 +212,24 @@
   return team->second.guarantees(wanted);
 }
 
-/// The claim's places are kept for it until what is stopped has saved and gone.
-void GuaranteeClaims::nominate_places(const Job& job, const QuotaReclaimCase& claim,
-                                      const std::vector<int>& chosen, double now) {
+/// Nominates the claim's machines for the job until the stopped tasks have saved and exited.
+void GuaranteeClaims::nominate_machines(const Job& job, const QuotaReclaimCase& claim,
+                                        const std::vector<int>& chosen, double now) {
   const JobSpec& spec = job.spec;
-  auto places = claim.input.places;
+  auto machines = claim.input.machines;
   double longest_save_s = 0;
   for (int position : chosen) {
     const auto& unit = claim.input.units[index_of(position)];
-    for (int place : unit.members) places[index_of(place)].free += unit.need;
+    for (int machine : unit.members) machines[index_of(machine)].free += unit.need;
     longest_save_s = std::max(longest_save_s, state_.job(claim.tasks[index_of(position)].job)->spec.save_s);
   }
   int left = spec.tasks - job.done - static_cast<int>(job.active.size());
   const std::optional<int> zone =
-      spec.one_zone ? zone_with_most_places(places, spec.need, left) : std::nullopt;
+      spec.one_zone ? zone_with_most_slots(machines, spec.need, left) : std::nullopt;
   const double until = now + longest_save_s + state_.config().gang_peer_s + c::kCancelReserve;
-  for (std::size_t i = 0; i < places.size() && left > 0; ++i) {
-    if (!places[i].open || (zone && places[i].zone != *zone)) continue;
-    const int tasks = spec.need.times_in(places[i].free);
+  for (std::size_t i = 0; i < machines.size() && left > 0; ++i) {
+    if (!machines[i].usable || (zone && machines[i].zone != *zone)) continue;
+    const int tasks = spec.need.times_in(machines[i].free);
     if (tasks == 0) continue;
     left -= tasks;
     preemption_.nominate(*claim.machines[i], job, until, now);
@@ -235,13 +238,13 @@
 
 bool GuaranteeClaims::reclaim(Job& job, double now) {
   const JobSpec& spec = job.spec;
-  // Guards against stopping work for places that the job would then not get: a job that is spread over zones
-  // needs them in the right ones, which is not looked at here.
+  // Avoids stopping work for capacity that the job could not use: a job that is spread over zones needs
+  // capacity in specific zones, and choose_reclaim() does not take that into account.
   if (job.queued == 0 || spec.spread || !within_guarantee(job)) return false;
   const QuotaReclaimCase claim = CaseBuilder(state_, search_, job, now, items_examined_).build();
   const auto chosen = choose_reclaim(claim.input);
-  if (!chosen || chosen->empty()) return false;  // empty: room is about to be free anyway
-  nominate_places(job, claim, *chosen, now);
+  if (!chosen || chosen->empty()) return false;  // empty: enough capacity is about to be free anyway
+  nominate_machines(job, claim, *chosen, now);
   for (int position : *chosen)
     preemption_.stop(
         claim.tasks[index_of(position)],
--- a/src/scheduler/guarantee_claims.h
+++ b/src/scheduler/guarantee_claims.h
@@ -1,9 +1,10 @@
-// Teams' guarantees: which jobs were admitted within one, and what is stopped of other teams so that these
-// start.
+// Enforces teams' guarantees: decides which jobs are admitted within one, and stops work of other teams so
+// that admitted jobs start.
 //
-// Owns no state but a count of the work done: admission stands in the job. It describes a claim as the pure
-// function choose_reclaim() needs it, and carries that function's choice out by Preemption. It never stops
-// what is within a guarantee, so no stopped work could claim anything back and two teams cannot take turns.
+// Owns no state except a count of the work done: the admission is stored in the job. It builds the input of
+// the pure function choose_reclaim() and carries out the result through Preemption. It never stops work
+// within a guarantee, so stopped work cannot claim its capacity back and two teams cannot preempt each other
+// in turns.
 #pragma once
 #include <cstdint>
 #include <vector>
@@ -15,10 +16,10 @@
 
 namespace corkmux {
 
-/// What choose_reclaim() is asked, and what its places and units are in the scheduler's state.
+/// The input of choose_reclaim(), with the machine or task in the scheduler state behind each index.
 struct QuotaReclaimCase {
   QuotaReclaimInput input;
-  std::vector<Machine*> machines;  // of each place
+  std::vector<Machine*> machines;  // of each candidate machine
   std::vector<TaskId> tasks;       // of each unit, one of its tasks
 };
 
@@ -27,20 +28,20 @@
   GuaranteeClaims(ClusterState& state, CandidateSearch& search, Preemption& preemption)
       : state_(state), search_(search), preemption_(preemption) {}
 
-  /// Decides which new jobs came within their team's guarantee, and ends the admission of those that have
-  /// been started and left alone as a whole.
+  /// Decides which new jobs arrived within their team's guarantee, and ends the admission of jobs whose tasks
+  /// have all started and run undisturbed for kFreshStart.
   void update_admissions(double now);
-  /// Stops what other teams run over their guarantees for a job within its team's. Returns whether anything
-  /// is.
+  /// Stops work that other teams run over their guarantees, for a job within its team's guarantee. Returns
+  /// whether any work is stopped.
   bool reclaim(Job& job, double now);
 
-  /// Jobs, tasks and machines looked at so far.
+  /// Jobs, tasks and machines examined so far.
   std::uint64_t items_examined() const { return items_examined_; }
 
  private:
   bool within_guarantee(const Job& job) const;
-  void nominate_places(const Job& job, const QuotaReclaimCase& claim, const std::vector<int>& chosen,
-                       double now);
+  void nominate_machines(const Job& job, const QuotaReclaimCase& claim, const std::vector<int>& chosen,
+                         double now);
 
   ClusterState& state_;
   CandidateSearch& search_;
--- a/src/scheduler/machine_reservations.cc
+++ b/src/scheduler/machine_reservations.cc
@@ -23,20 +23,21 @@
   const Resources all{std::max(1.0, state_.capacity_index().all_cpus()),
                       std::max(1.0, state_.capacity_index().all_gpus()), 0};
   std::vector<ReservedCapacity::WaitingJob> waits;
-  Resources ahead;  // processor and accelerator seconds
+  Resources work_ahead;  // CPU and accelerator seconds of the jobs ahead in the queue
   for (const Job* job : waiting) {
     const JobSpec& spec = job->spec;
-    // What its own team's limit holds back waits for no other; what fails is not kept from being served.
+    // A job held back by its own team's limit does not wait for other jobs' capacity, and a job that fails by
+    // itself is not starved by other jobs: neither counts towards a deficit.
     if (state_.within_limit(spec.team, spec.at_once()) && !job->fails_by_itself) {
-      double wait_s = ahead.cpus / all.cpus;
-      if (spec.need.gpus > 0) wait_s = std::max(wait_s, ahead.gpus / all.gpus);
+      double wait_s = work_ahead.cpus / all.cpus;
+      if (spec.need.gpus > 0) wait_s = std::max(wait_s, work_ahead.gpus / all.gpus);
       const double waited_s = now - job->ready_at;
       waits.push_back({&spec.job_class, &spec.team, waited_s, waited_s + wait_s + run_s(spec),
                        largest_share(state_.class_use(spec.job_class), all),
                        largest_share(state_.team_use(spec.team), all)});
     }
     const double seconds = job->queued * run_s(spec);
-    ahead += {seconds * spec.need.cpus, seconds * spec.need.gpus, 0};
+    work_ahead += {seconds * spec.need.cpus, seconds * spec.need.gpus, 0};
   }
   return waits;
 }
@@ -51,14 +52,15 @@
   }
   std::string names;
   for (const auto& name : noted_starving_) names += (names.empty() ? "" : ", ") + name;
-  state_.note("less than half would be served of " + names + ": machines are reserved for them");
+  state_.note("starving, less than half of the jobs would be served: " + names +
+              "; machines are reserved for them");
 }
 
 void MachineReservations::add_usable_types(const JobSpec& spec) {
   auto usable = [&](const MachineType& type) {
     return spec.allows_type(type.name) && spec.need.fits(type.size);
   };
-  // A job that fits on a type without accelerators needs none with them.
+  // No accelerator machines are reserved for a job that fits on a type without accelerators.
   const auto& types = state_.catalog();
   const bool fits_without_gpus = std::any_of(types.begin(), types.end(), [&](const MachineType& type) {
     return usable(type) && type.size.gpus <= 0;
--- a/src/scheduler/machine_reservations.h
+++ b/src/scheduler/machine_reservations.h
@@ -1,7 +1,7 @@
-// Which machines are reserved for starving classes and teams, and which work is kept out of them.
+// Decides which machines are reserved for starving classes and teams, and which jobs are excluded from them.
 //
-// Owns the machine types that starving jobs can use. It tells ReservedCapacity, which it needs, what waits in
-// the order in which it is placed, and applies what that says. It never places work.
+// Owns the set of machine types that starving jobs can use. It passes the waiting jobs, in the order in which
+// they are placed, to ReservedCapacity and applies the tiers that this returns. It never places work.
 #pragma once
 #include <set>
 #include <string>
@@ -13,7 +13,7 @@
 namespace corkmux {
 namespace constants {
 
-inline constexpr double kDefaultJobEstimate = 60.0;  // s that a task without an estimate is taken to run
+inline constexpr double kDefaultJobEstimate = 60.0;  // s; assumed run time of a task without an estimate
 
 }  // namespace constants
 
@@ -21,16 +21,16 @@
  public:
   MachineReservations(ClusterState& state, ReservedCapacity& capacity) : state_(state), capacity_(capacity) {}
 
-  /// Estimates how long each waiting job will have waited, and reserves machines for those who starve by
-  /// that. `waiting`: in the order in which they are placed.
+  /// Estimates each waiting job's total time until its end, and reserves machines for classes and teams that
+  /// starve by these estimates. `waiting`: in the order in which the jobs are placed.
   void update(const std::vector<const Job*>& waiting, double now);
-  /// Whether machines are reserved for such jobs.
+  /// Whether machines are reserved for the job's class or team.
   bool is_starving(const Job& job) const { return capacity_.is_starving(job.spec.job_class, job.spec.team); }
   /// Whether machines in the tier are reserved at present.
   bool is_reserved(int reservation_tier) const {
     return reservation_tier > 0 && reservation_tier <= capacity_.reservation_tiers();
   }
-  /// Whether machines of the type in the tier are reserved for others than this job.
+  /// Whether machines of the type in the tier are reserved for other jobs, so that this job may not use them.
   bool excludes(const Job& job, const std::string& type, int reservation_tier) const;
 
  private:
--- a/src/scheduler/placement.cc
+++ b/src/scheduler/placement.cc
@@ -10,10 +10,10 @@
 namespace c = constants;
 namespace {
 
-/// Tasks of the job that one zone may take.
+/// The most tasks of the job that may run in one zone.
 int most_in_zone(const JobSpec& spec) { return spec.spread ? (spec.tasks + 1) / 2 : spec.tasks; }
 
-/// A value that drifts between heartbeats, as it would be by now.
+/// A value that changes linearly between heartbeats, extrapolated to `now`.
 double extrapolated(double value, double slope, const Machine& machine, double now) {
   const double age = std::max(0.0, now - machine.worker.last_heard);
   return std::max(0.0, value + age * slope);
@@ -22,16 +22,16 @@
 double utility(const Machine& machine, double fetch_s, double now) {
   const double slack = extrapolated(machine.slack(), machine.load.slack_slope, machine, now);
   const double heat = extrapolated(machine.load.heat, machine.load.heat_slope, machine, now);
-  return std::log2(1 + slack) - c::kGamma * std::log2(1 + heat) - c::kFetchWeight * fetch_s;
+  return std::log2(1 + slack) - c::kHeatWeight * std::log2(1 + heat) - c::kFetchWeight * fetch_s;
 }
 
-bool gang_waits(Job& job) {
+bool set_gang_waiting_reason(Job& job) {
   job.why = std::string("waiting: no ") + (job.spec.one_zone ? "zone has" : "zones have") +
             " room for all its tasks at once";
   return false;
 }
 
-/// The first task that is queued; none if there is none.
+/// The index of the first queued task; nullopt if none is queued.
 std::optional<int> next_queued(Job& job) {
   while (job.cursor < job.spec.tasks && job.phase[static_cast<std::size_t>(job.cursor)] != TaskPhase::Queued)
     ++job.cursor;
@@ -54,7 +54,7 @@
                           ZoneCapacity& zone) const {
   const auto machines = static_cast<double>(group.machine_count);
   zone.machines += machines;
-  zone.places += static_cast<int>(machines) * group.tasks_per_machine;
+  zone.slots += static_cast<int>(machines) * group.tasks_per_machine;
   zone.fetch_s = std::min(zone.fetch_s, fetch_time(spec, group));
   if (group.single) {
     const Machine& machine = *group.single;
@@ -75,18 +75,18 @@
   return zones;
 }
 
-/// All zones, drawn one after the other by softmax of their utility. A gang that keeps to one zone is drawn
-/// only such as have room for all of it.
+/// All zones in random order, drawn one after the other by softmax of their utility. For a gang that must
+/// stay in one zone, only zones with slots for all its tasks are included.
 std::vector<std::string> Placement::draw_zones(const JobSpec& spec, const CapacityByZone& zones) {
   const bool needs_whole_zone = spec.kind == JobKind::Gang && spec.one_zone;
   std::vector<std::string> names;
   std::vector<double> weights;
   for (const auto& [name, zone] : zones) {
-    if (needs_whole_zone && zone.places < spec.tasks) continue;
+    if (needs_whole_zone && zone.slots < spec.tasks) continue;
     const double zone_utility = std::log2(1 + zone.slack / zone.machines) -
-                                c::kGamma * std::log2(1 + zone.heat) - c::kFetchWeight * zone.fetch_s;
+                                c::kHeatWeight * std::log2(1 + zone.heat) - c::kFetchWeight * zone.fetch_s;
     names.push_back(name);
-    weights.push_back(std::exp2(zone_utility / c::kTau));
+    weights.push_back(std::exp2(zone_utility / c::kZoneDrawTemperature));
   }
   std::vector<std::string> order;
   while (!names.empty()) {
@@ -100,10 +100,10 @@
 
 // ---------------------------------------------------------------- machines
 
-/// The best of a sample of the candidates, with a little noise so that not all leaders of a moment choose
-/// alike.
-Placement::Choice Placement::pick(const JobSpec& spec, const std::vector<CandidateGroup>& groups,
-                                  double now) {
+/// The best of a sample of the candidates. A little noise keeps leaders that act at the same time from
+/// choosing the same machine.
+Placement::Choice Placement::pick_machine(const JobSpec& spec, const std::vector<CandidateGroup>& groups,
+                                          double now) {
   std::normal_distribution<double> noise(0, c::kScoreNoise);
   Choice best;
   double best_score = -std::numeric_limits<double>::infinity();
@@ -132,21 +132,22 @@
     job.why = "waiting: the team's limit leaves no room for the whole gang";
     return false;
   }
-  if (search_.known_not_to_fit(job, now)) return gang_waits(job);
-  // Machines on which something failed lately are better than waiting for ever.
+  if (search_.known_not_to_fit(job, now)) return set_gang_waiting_reason(job);
+  // Suspect machines are included in the second pass: using them is better than waiting without end.
   for (Suspects suspects : {Suspects::LastResort, Suspects::Included}) {
     const CapacityByZone zones = capacity_by_zone(spec, search_.find(job, suspects, now), now);
     const std::vector<std::string> order = draw_zones(spec, zones);
-    // Its tasks are alike, so a zone takes as many as it has places, whichever machine comes first.
-    int places = 0;
+    // All tasks of a gang are equal, so the number of slots in a zone does not depend on the order of
+    // machines.
+    int slots = 0;
     for (const auto& zone : order) {
-      const int in_zone = std::min(most_in_zone(spec), zones.at(zone).places);
-      places = spec.one_zone ? std::max(places, in_zone) : places + in_zone;
+      const int in_zone = std::min(most_in_zone(spec), zones.at(zone).slots);
+      slots = spec.one_zone ? std::max(slots, in_zone) : slots + in_zone;
     }
-    if (places >= spec.tasks) return assign_gang(job, suspects, order, now);
+    if (slots >= spec.tasks) return assign_gang(job, suspects, order, now);
   }
   search_.note_not_fitting(job, now);
-  return gang_waits(job);
+  return set_gang_waiting_reason(job);
 }
 
 bool Placement::assign_gang(Job& job, Suspects suspects, const std::vector<std::string>& zones, double now) {
@@ -157,7 +158,7 @@
   for (const auto& zone : zones)
     for (int in_zone = 0; in_zone < most_in_zone(spec) && assigned < spec.tasks; ++in_zone) {
       const auto groups = search_.find(job, suspects, now, &zone);
-      const Choice choice = pick(spec, groups, now);
+      const Choice choice = pick_machine(spec, groups, now);
       if (!choice.machine) break;
       slowest_fetch_s = std::max(slowest_fetch_s, choice.fetch_s);
       lifecycle_.assign(job, assigned, *choice.machine, attempt, now);
@@ -165,7 +166,7 @@
     }
   if (assigned < spec.tasks) {
     lifecycle_.abort_gang(job, now);
-    return gang_waits(job);
+    return set_gang_waiting_reason(job);
   }
   note_gang_placed(job, slowest_fetch_s, now);
   return true;
@@ -178,26 +179,26 @@
                                  job.active.begin()->second.zone, now - job.ready_at, slowest_fetch_s));
 }
 
-/// A gang of many waits for as many places at once, and work that needs fewer takes each as it becomes free.
-/// Once it is due, one zone is held for it if the missing places will be free soon, at the rate at which the
-/// zone's have been of late: where many tasks end each second that costs next to nothing, where few do it
-/// would idle half a zone.
+/// A large gang needs many slots at once, while smaller work takes each slot as it becomes free. Once the
+/// gang is due, one zone is held for it if the missing capacity is expected to be free within kMaxZoneHold,
+/// at the zone's recent rate of freed capacity. Where many tasks end each second the hold costs almost
+/// nothing; where few end it would leave half a zone idle.
 void Placement::hold_zone_for_gang(const Job& job, double now) {
   const JobSpec& spec = job.spec;
   if (!job.is_gang() || !spec.one_zone || !job.active.empty()) return;
   std::string best;
-  int most_places = 0;
+  int most_slots = 0;
   for (const auto& [name, zone] : capacity_by_zone(spec, search_.find(job, Suspects::LastResort, now), now)) {
-    if (zone.places <= most_places || search_.is_held(name)) continue;
+    if (zone.slots <= most_slots || search_.is_held(name)) continue;
     best = name;
-    most_places = zone.places;
+    most_slots = zone.slots;
   }
   const auto freed_per_s = freed_capacity_.rate(best, now);
   if (!freed_per_s) return;
   const bool by_gpus = spec.need.gpus > 0;
   const double rate = by_gpus ? freed_per_s->gpus : freed_per_s->cpus;
-  const double missing = (spec.tasks - most_places) * (by_gpus ? spec.need.gpus : spec.need.cpus);
-  if (missing <= rate * c::kZoneHoldLimit) search_.hold_zone(best, spec.id);
+  const double missing = (spec.tasks - most_slots) * (by_gpus ? spec.need.gpus : spec.need.cpus);
+  if (missing <= rate * c::kMaxZoneHold) search_.hold_zone(best, spec.id);
 }
 
 // ---------------------------------------------------------------- single tasks
@@ -220,9 +221,9 @@
   int placed = 0;
   std::map<std::string, int> tasks_in_zone;
   for (const auto& [index, task] : job.active) ++tasks_in_zone[task.zone];
-  // One attempt for all that this call places: a task is placed at most once in it.
+  // All tasks placed in this call share one attempt number: each task is placed at most once per call.
   const std::uint64_t attempt = state_.next_number();
-  // What fails by itself shows it with one task as well as with all.
+  // A job that fails by itself runs one task at a time: one task shows the failure as well as all would.
   if (job.fails_by_itself) budget = job.active.empty() ? 1 : 0;
   while (placed < budget && job.queued > 0) {
     if (!state_.within_limit(spec.team, spec.need)) {
@@ -237,7 +238,7 @@
     }
     const std::string zone = draw_zones(spec, capacity_by_zone(spec, groups, now)).front();
     std::erase_if(groups, [&](const CandidateGroup& group) { return group.pool->zone != zone; });
-    const Choice choice = pick(spec, groups, now);
+    const Choice choice = pick_machine(spec, groups, now);
     const std::optional<int> index = next_queued(job);
     if (!choice.machine || !index) break;
     lifecycle_.assign(job, *index, *choice.machine, attempt, now);
--- a/src/scheduler/placement.h
+++ b/src/scheduler/placement.h
@@ -1,9 +1,10 @@
-// Places waiting tasks on machines: a zone drawn by softmax of its utility, then the best of a sample of its
-// machines (DESIGN's zone draw and sampled pick). Gangs start as a whole or not at all.
+// Places waiting tasks on machines: draws a zone by softmax of its utility, then picks the best of a sample
+// of the zone's machines (the design page's zone draw and sampled pick). Gangs start as a whole or not at
+// all.
 //
-// Owns the lines for the debug log and a count of the work done. It needs the machines that fit from
-// CandidateSearch, the rates at which zones' places become free from FreedCapacity, and TaskLifecycle, which
-// assigns. It never stops anything and decides no order of jobs.
+// Owns the lines for the debug log and a count of the work done. It takes the fitting machines from
+// CandidateSearch and the zones' rates of freed capacity from FreedCapacity, and assigns through
+// TaskLifecycle. It never stops work and does not decide the order of jobs.
 #pragma once
 #include <cstdint>
 #include <map>
@@ -21,14 +22,14 @@
 namespace corkmux {
 namespace constants {
 
-// DESIGN's figures; docs/design.md says which were measured.
-inline constexpr double kTau = 1.0;          // paper III-D: temperature of the zone draw
-inline constexpr double kGamma = 0.5;        // weight of heat against slack
-inline constexpr double kFetchWeight = 0.5;  // utility lost per second of image fetch
-inline constexpr int kSampleSize = 12;       // machines looked at per pick
-inline constexpr double kScoreNoise = 0.05;  // standard deviation of the pick's jitter, in units of utility
+// Parameters of the zone draw and the sampled pick, see docs/design.md.
+inline constexpr double kZoneDrawTemperature = 1.0;  // paper III-D: temperature of the zone draw
+inline constexpr double kHeatWeight = 0.5;           // weight of heat against slack
+inline constexpr double kFetchWeight = 0.5;          // utility lost per second of image fetch
+inline constexpr int kSampleSize = 12;               // machines examined per pick
+inline constexpr double kScoreNoise = 0.05;  // standard deviation of the noise on a pick, in units of utility
 inline constexpr double kAcceleratorPenalty = 0.3;  // utility that an unneeded accelerator costs
-inline constexpr double kZoneHoldLimit = 5.0;       // s; a zone is held for a gang no longer than that
+inline constexpr double kMaxZoneHold = 5.0;  // s; longest expected time for which a zone is held for a gang
 
 }  // namespace constants
 
@@ -42,17 +43,18 @@
         freed_capacity_(freed_capacity),
         lifecycle_(lifecycle) {}
 
-  /// Places all tasks of the gang, or says in the job why it waits. Returns whether it was placed.
+  /// Places all tasks of the gang, or sets the job's `why` to the reason for which it waits. Returns whether
+  /// the gang was placed.
   bool place_gang(Job& job, double now);
-  /// Places up to `budget` queued tasks, and says in the job why the rest waits. Returns how many were
-  /// placed.
+  /// Places up to `budget` queued tasks and sets the job's `why` to the reason for which the rest waits.
+  /// Returns how many were placed.
   int place_tasks(Job& job, int budget, double now);
-  /// Holds a zone's free machines for a gang that is due, where the rest it needs is about to be free.
+  /// Holds a zone's free machines for a gang that is due, if the missing capacity is about to become free.
   void hold_zone_for_gang(const Job& job, double now);
 
-  /// One line per placed gang, when the configuration asks for it.
+  /// Returns and clears the debug log lines: one per placed gang, if SchedulerConfig::details is set.
   std::vector<std::string> take_details() { return std::exchange(details_, {}); }
-  /// Machines looked at so far.
+  /// Machines examined so far.
   std::uint64_t items_examined() const { return items_examined_; }
 
  private:
@@ -61,11 +63,11 @@
     double heat = 0;
     double fetch_s = kNever;  // the least of any machine
     double machines = 0;
-    int places = 0;
+    int slots = 0;
   };
   using CapacityByZone = std::map<std::string, ZoneCapacity>;
   struct Choice {
-    Machine* machine = nullptr;  // none: there are no candidates
+    Machine* machine = nullptr;  // null: there are no candidates
     double fetch_s = 0;
   };
 
@@ -74,7 +76,7 @@
   void add_group(const JobSpec& spec, const CandidateGroup& group, double now, ZoneCapacity& zone) const;
   double fetch_time(const JobSpec& spec, const CandidateGroup& group) const;
   std::vector<std::string> draw_zones(const JobSpec& spec, const CapacityByZone& zones);
-  Choice pick(const JobSpec& spec, const std::vector<CandidateGroup>& groups, double now);
+  Choice pick_machine(const JobSpec& spec, const std::vector<CandidateGroup>& groups, double now);
   bool assign_gang(Job& job, Suspects suspects, const std::vector<std::string>& zones, double now);
   void note_gang_placed(const Job& job, double slowest_fetch_s, double now);
   std::vector<CandidateGroup> candidates_for_task(const Job& job,
--- a/src/scheduler/preemption.cc
+++ b/src/scheduler/preemption.cc
@@ -11,20 +11,21 @@
 namespace c = constants;
 namespace {
 
-/// Starts that have just been counted are spared: they cost more than any that ran for longer.
+/// Added to the cost of a task that started within kFreshStart, so that any task that ran longer is stopped
+/// first.
 constexpr double kFreshStartCost = 1e6;  // s
 
-/// A place by how many more tasks have to be stopped there.
-struct PlaceByStops {
+/// A machine, ordered by how many more of its tasks have to be stopped.
+struct MachineByStops {
   std::size_t stops = 0;
-  std::size_t place = 0;
-  auto operator<=>(const PlaceByStops&) const = default;
+  std::size_t position = 0;
+  auto operator<=>(const MachineByStops&) const = default;
 };
 
 }  // namespace
 
 bool saves_when_stopped(const JobSpec& spec) {
-  return spec.checkpoint_s > 0 && spec.checkpoint_s / 2 > c::kCheckpointWorth * spec.save_s;
+  return spec.checkpoint_s > 0 && spec.checkpoint_s / 2 > c::kMinCheckpointToSaveRatio * spec.save_s;
 }
 
 bool Preemption::Preemptor::over_limit_with(const Resources& use_of_team) const {
@@ -54,8 +55,8 @@
 
 // ---------------------------------------------------------------- candidates
 
-/// Machines where something is stopping already, at most kPreemptionCandidatesExamined a pool, and lists of
-/// those that run less urgent work.
+/// Adds machines where tasks are already stopping, at most kPreemptionCandidatesExamined per pool, and the
+/// lists of machines that run lower-priority work.
 void Preemption::add_busy_machines(const Job& job, ExaminedGroups& groups) {
   for (const auto& [key, pool] : state_.capacity_index().pools()) {
     ++items_examined_;
@@ -71,7 +72,7 @@
   }
 }
 
-/// Machines with room as they are, as many as the job could use.
+/// Adds machines on which the job fits without a stop, as many as the job could use.
 void Preemption::add_fitting_machines(const Job& job, double now, ExaminedGroups& groups) {
   const auto wanted = static_cast<std::size_t>(job.is_gang() ? job.spec.tasks : 1);
   for (const auto& candidates : search_.find(job, Suspects::Included, now)) {
@@ -85,7 +86,7 @@
   }
 }
 
-/// Of the machines that run less urgent work all, or kPreemptionCandidatesExamined drawn from them.
+/// Adds the machines that run lower-priority work: all, or a random sample of kPreemptionCandidatesExamined.
 void Preemption::sample_stoppable(ExaminedGroup& group) {
   std::size_t all = 0;
   for (const auto* list : group.stoppable) all += list->size();
@@ -96,7 +97,7 @@
   }
 }
 
-/// A job that finds too little among these machines looks at others in a later cycle.
+/// The sample differs in each cycle: a job that finds too little among these machines examines others later.
 Preemption::ExaminedGroups Preemption::machines_to_examine(const Job& job, double now) {
   ExaminedGroups groups;
   add_busy_machines(job, groups);
@@ -105,120 +106,125 @@
   return groups;
 }
 
-/// None if the task may not be stopped for the job.
+/// Returns nullopt if the task may not be stopped for the job.
 std::optional<Preemption::PreemptionCandidate> Preemption::candidate(const Preemptor& preemptor,
                                                                      const Job& other, int index,
                                                                      const ActiveTask& task) {
   const Job& job = preemptor.job;
   if (task.stop || other.priority >= job.priority || other.is_gang()) return std::nullopt;
-  // Nothing is stopped that has not even been sent.
+  // A task whose start command has not been sent yet is not stopped.
   if (task.stage == ActiveTask::Stage::Assigned) return std::nullopt;
   const bool same_team = other.spec.team == job.spec.team;
   const bool over_guarantee = !job.indexed.guaranteed;
-  // Guards against two jobs that take turns: what is placed first, for its team's guarantee, is not stopped
-  // for another team's work over its own guarantee.
+  // Prevents two jobs from preempting each other in turns: work placed within its team's guarantee is not
+  // stopped for another team's work over that team's guarantee.
   if (!same_team && over_guarantee && other.indexed.guaranteed) return std::nullopt;
-  // And what came within the guarantee starts whatever others need, and whatever its own team needs beyond.
+  // A job admitted within its team's guarantee is not stopped for other teams' work, nor for its own team's
+  // work over the guarantee.
   if ((!same_team || over_guarantee) && other.guarantee_admission == Job::GuaranteeAdmission::Granted)
     return std::nullopt;
-  // What has run least costs least.
+  // The cost is the time since the task was assigned: the later it was assigned, the less work a stop loses.
   const double age = preemptor.now - task.since;
   const double cost = age + (age < c::kFreshStart ? kFreshStartCost : 0);
   return PreemptionCandidate{{other.spec.id, index}, other.spec.need, cost, same_team};
 }
 
-/// At the team's limit work of the same team goes first: it frees both room and limit.
+/// Whether `left` is stopped before `right`. At the team's limit, tasks of the same team are stopped first,
+/// because that frees both machine capacity and quota.
 bool Preemption::cheaper(const Preemptor& preemptor, const PreemptionCandidate& left,
                          const PreemptionCandidate& right) {
   if (preemptor.at_limit && left.same_team != right.same_team) return left.same_team;
   return left.cost != right.cost ? left.cost < right.cost : left.task < right.task;
 }
 
-Preemption::Place Preemption::examine(const Preemptor& preemptor, Machine& machine) {
-  Place place;
-  place.machine = &machine;
-  place.free = machine.free;
+Preemption::ExaminedMachine Preemption::examine(const Preemptor& preemptor, Machine& machine) {
+  ExaminedMachine examined;
+  examined.machine = &machine;
+  examined.free = machine.free;
   for (const TaskId& id : machine.tasks) {
     ++items_examined_;
     const Job& other = *state_.job(id.job);
     const ActiveTask& task = other.active.at(id.index);
     if (task.stop)
-      place.free += other.spec.need;
+      examined.free += other.spec.need;
     else if (auto stoppable = candidate(preemptor, other, id.index, task))
-      place.candidates.push_back(std::move(*stoppable));
+      examined.candidates.push_back(std::move(*stoppable));
   }
-  return place;
+  return examined;
 }
 
-Preemption::PlacesByGroup Preemption::collect_places(const Preemptor& preemptor) {
-  PlacesByGroup places;
+Preemption::ExaminedMachinesByGroup Preemption::examine_machines(const Preemptor& preemptor) {
+  ExaminedMachinesByGroup machines;
   for (const auto& [name, group] : machines_to_examine(preemptor.job, preemptor.now))
     for (Machine* machine : group.machines) {
       ++items_examined_;
       if (search_.may_use(preemptor.job, *machine, preemptor.now))
-        places[name].push_back(examine(preemptor, *machine));
+        machines[name].push_back(examine(preemptor, *machine));
     }
-  return places;
+  return machines;
 }
 
 // ---------------------------------------------------------------- what to stop
 
-/// How many more tasks have to be stopped until one more of the job's fits there; none if it never does.
-std::optional<std::size_t> Preemption::stops_until_fit(const Place& place, const Resources& need) {
-  Resources free = place.free;
-  std::size_t stopped = place.stopped;
+/// How many more tasks have to be stopped until one more task of the job fits on the machine; nullopt if
+/// stopping all candidates is not enough.
+std::optional<std::size_t> Preemption::stops_until_fit(const ExaminedMachine& machine,
+                                                       const Resources& need) {
+  Resources free = machine.free;
+  std::size_t stopped = machine.stopped;
   for (; !need.fits(free); ++stopped) {
     ++items_examined_;
-    if (stopped == place.candidates.size()) return std::nullopt;
-    free += place.candidates[stopped].need;
+    if (stopped == machine.candidates.size()) return std::nullopt;
+    free += machine.candidates[stopped].need;
   }
-  return stopped - place.stopped;
+  return stopped - machine.stopped;
 }
 
-/// Takes the place where the fewest tasks have to be stopped, task by task of the job. None if not all fit.
+/// For each task of the job, takes the machine where the fewest tasks have to be stopped. Returns nullopt if
+/// not all tasks fit.
 std::optional<Preemption::StopPlan> Preemption::plan_in_group(const Preemptor& preemptor,
-                                                              std::vector<Place>& places) {
+                                                              std::vector<ExaminedMachine>& machines) {
   const Resources& need = preemptor.job.spec.need;
-  std::priority_queue<PlaceByStops, std::vector<PlaceByStops>, std::greater<>> queue;
-  for (std::size_t i = 0; i < places.size(); ++i) {
-    auto& candidates = places[i].candidates;
+  std::priority_queue<MachineByStops, std::vector<MachineByStops>, std::greater<>> queue;
+  for (std::size_t i = 0; i < machines.size(); ++i) {
+    auto& candidates = machines[i].candidates;
     std::sort(candidates.begin(), candidates.end(),
               [&](const PreemptionCandidate& left, const PreemptionCandidate& right) {
                 return cheaper(preemptor, left, right);
               });
-    if (auto stops = stops_until_fit(places[i], need)) queue.push({*stops, i});
+    if (auto stops = stops_until_fit(machines[i], need)) queue.push({*stops, i});
   }
   StopPlan plan;
   while (static_cast<int>(plan.machines.size()) < preemptor.tasks() && !queue.empty()) {
-    const PlaceByStops next = queue.top();
+    const MachineByStops next = queue.top();
     queue.pop();
-    Place& place = places[next.place];
+    ExaminedMachine& machine = machines[next.position];
     for (std::size_t i = 0; i < next.stops; ++i) {
-      const PreemptionCandidate& stopped = place.candidates[place.stopped];
-      ++place.stopped;
-      place.free += stopped.need;
+      const PreemptionCandidate& stopped = machine.candidates[machine.stopped];
+      ++machine.stopped;
+      machine.free += stopped.need;
       plan.stopped.push_back(stopped);
     }
-    place.free -= need;
-    plan.machines.push_back(place.machine);
-    if (auto stops = stops_until_fit(place, need)) queue.push({*stops, next.place});
+    machine.free -= need;
+    plan.machines.push_back(machine.machine);
+    if (auto stops = stops_until_fit(machine, need)) queue.push({*stops, next.position});
   }
   if (static_cast<int>(plan.machines.size()) < preemptor.tasks()) return std::nullopt;
   return plan;
 }
 
-/// Of the groups the one where the fewest tasks are stopped.
+/// The plan of the group in which the fewest tasks are stopped; nullopt if the job fits in no group.
 std::optional<Preemption::StopPlan> Preemption::cheapest_plan(const Preemptor& preemptor) {
   std::optional<StopPlan> cheapest;
-  for (auto& [group, places] : collect_places(preemptor)) {
-    auto plan = plan_in_group(preemptor, places);
+  for (auto& [group, machines] : examine_machines(preemptor)) {
+    auto plan = plan_in_group(preemptor, machines);
     if (!plan || (cheapest && plan->stopped.size() >= cheapest->stopped.size())) continue;
     cheapest = std::move(plan);
   }
   return cheapest;
 }
 
-/// What may be stopped of the same team, wherever it is: the latest jobs' first.
+/// Stoppable tasks of the same team on any machine, collected from the latest jobs first and sorted by cost.
 std::vector<Preemption::PreemptionCandidate> Preemption::candidates_of_team(const Preemptor& preemptor) {
   std::vector<PreemptionCandidate> candidates;
   for (bool guaranteed : {false, true}) {
@@ -242,8 +248,8 @@
   return candidates;
 }
 
-/// Where the team's limit is in the way as well, adds work of the same team until it no longer is. Returns
-/// whether that was enough.
+/// If the job would exceed its team's limit, adds stops of the same team's tasks until it no longer does.
+/// Returns whether the job then stays within the limit.
 bool Preemption::add_stops_for_limit(const Preemptor& preemptor, StopPlan& plan) {
   Resources use = preemptor.use;
   std::set<TaskId> stopped;
@@ -265,7 +271,7 @@
   const JobSpec& spec = job.spec;
   auto team = state_.teams().find(spec.team);
   if (team == state_.teams().end()) return false;
-  // What is already stopping counts as free, so nothing is stopped twice over.
+  // Tasks that are already stopping count as free, so that no more are stopped than needed.
   Preemptor preemptor{job, team->second, state_.team_use(spec.team), false, now};
   preemptor.use -= state_.team_stopping(spec.team);
   preemptor.at_limit = preemptor.over_limit_with(preemptor.use);
--- a/src/scheduler/quota_reclaim.cc
+++ b/src/scheduler/quota_reclaim.cc
@@ -6,7 +6,7 @@
 namespace corkmux {
 namespace {
 
-using Place = QuotaReclaimInput::Place;
+using CandidateMachine = QuotaReclaimInput::CandidateMachine;
 using PreemptionUnit = QuotaReclaimInput::PreemptionUnit;
 
 std::size_t index_of(int position) { return static_cast<std::size_t>(position); }
@@ -17,19 +17,19 @@
   return total;
 }
 
-/// How many claimed tasks fit, kept up as units are taken and put back.
+/// Counts how many claimed tasks fit, updated as units are taken and put back.
 class ClaimedCapacity {
  public:
-  /// `zone`: the only one whose places count; none: all do.
+  /// `zone`: the only zone whose machines count; nullopt: all zones.
   ClaimedCapacity(const QuotaReclaimInput& input, std::optional<int> zone)
       : input_(input), zone_(zone), over_guarantee_(input.over_guarantee) {
-    for (const auto& place : input.places) free_.push_back(place.free);
+    for (const auto& machine : input.machines) free_.push_back(machine.free);
     for (std::size_t i = 0; i < free_.size(); ++i) fitting_tasks_ += tasks_fitting(static_cast<int>(i));
   }
 
   bool enough() const { return fitting_tasks_ >= input_.tasks; }
 
-  /// Whether its team stays at or above its guarantee without it.
+  /// Whether the unit's team stays at or above its guarantee without the unit.
   bool allowed(const PreemptionUnit& unit) const {
     constexpr double kRounding = 1e-6;
     const Resources total = total_need(unit);
@@ -37,33 +37,34 @@
     return total.cpus <= left.cpus + kRounding && total.gpus <= left.gpus + kRounding;
   }
 
-  /// Whether stopping it frees anything where the claim could use it.
-  bool frees_usable_place(const PreemptionUnit& unit) const {
-    return std::any_of(unit.members.begin(), unit.members.end(), [&](int place) { return usable(place); });
+  /// Whether stopping the unit frees capacity on a machine that the claim may use.
+  bool frees_usable_capacity(const PreemptionUnit& unit) const {
+    return std::any_of(unit.members.begin(), unit.members.end(),
+                       [&](int machine) { return usable(machine); });
   }
 
   void take(const PreemptionUnit& unit) {
-    for (int place : unit.members) {
-      fitting_tasks_ -= tasks_fitting(place);
-      free_[index_of(place)] += unit.need;
-      fitting_tasks_ += tasks_fitting(place);
+    for (int machine : unit.members) {
+      fitting_tasks_ -= tasks_fitting(machine);
+      free_[index_of(machine)] += unit.need;
+      fitting_tasks_ += tasks_fitting(machine);
     }
     over_guarantee_[index_of(unit.team)] -= total_need(unit);
   }
 
   void put_back(const PreemptionUnit& unit) {
-    for (int place : unit.members) {
-      fitting_tasks_ -= tasks_fitting(place);
-      free_[index_of(place)] -= unit.need;
-      fitting_tasks_ += tasks_fitting(place);
+    for (int machine : unit.members) {
+      fitting_tasks_ -= tasks_fitting(machine);
+      free_[index_of(machine)] -= unit.need;
+      fitting_tasks_ += tasks_fitting(machine);
     }
     over_guarantee_[index_of(unit.team)] += total_need(unit);
   }
 
  private:
   bool usable(int position) const {
-    const Place& place = input_.places[index_of(position)];
-    return place.open && (!zone_ || place.zone == *zone_);
+    const CandidateMachine& machine = input_.machines[index_of(position)];
+    return machine.usable && (!zone_ || machine.zone == *zone_);
   }
   int tasks_fitting(int position) const {
     return usable(position) ? input_.need.times_in(free_[index_of(position)]) : 0;
@@ -76,7 +77,7 @@
   int fitting_tasks_ = 0;
 };
 
-/// All units, those that lose least first.
+/// The indices of all units, those that lose the least work first.
 std::vector<int> units_by_loss(const QuotaReclaimInput& input) {
   std::vector<int> order(input.units.size());
   std::iota(order.begin(), order.end(), 0);
@@ -88,8 +89,9 @@
   return order;
 }
 
-/// Guards against stopping more than the claim needs: what was taken on the way and is not missed goes back,
-/// the dearest first. Room only grows with what is stopped, so one walk leaves none that could be left out.
+/// Avoids stopping more than the claim needs: puts back each taken unit without which the claim still fits,
+/// those that lose the most work first. Free capacity only grows with each stopped unit, so after one pass no
+/// remaining unit could be left out.
 void put_back_unneeded(const QuotaReclaimInput& input, ClaimedCapacity& capacity, std::vector<int>& taken) {
   for (auto it = taken.rbegin(); it != taken.rend();) {
     const PreemptionUnit& unit = input.units[index_of(*it)];
@@ -109,7 +111,7 @@
   for (int position : units_by_loss(input)) {
     if (capacity.enough()) break;
     const PreemptionUnit& unit = input.units[index_of(position)];
-    if (!capacity.allowed(unit) || !capacity.frees_usable_place(unit)) continue;
+    if (!capacity.allowed(unit) || !capacity.frees_usable_capacity(unit)) continue;
     capacity.take(unit);
     taken.push_back(position);
   }
@@ -129,7 +131,7 @@
 std::optional<std::vector<int>> choose_reclaim(const QuotaReclaimInput& input) {
   if (!input.one_zone) return choose_in_zone(input, std::nullopt);
   int zones = 0;
-  for (const auto& place : input.places) zones = std::max(zones, place.zone + 1);
+  for (const auto& machine : input.machines) zones = std::max(zones, machine.zone + 1);
   std::optional<std::vector<int>> cheapest;
   double least_lost = 0;
   for (int zone = 0; zone < zones; ++zone) {
--- a/src/scheduler/quota_reclaim.h
+++ b/src/scheduler/quota_reclaim.h
@@ -1,8 +1,8 @@
-// Which work is stopped so that a team gets its guarantee: PROTOCOL, "Preemption", allows it for work of any
-// priority that another team runs beyond its own guarantee.
+// Chooses which work is stopped so that a team gets its guarantee. The protocol ("Preemption") allows this
+// for work of any priority that another team runs beyond its own guarantee.
 //
-// Owns no state: a pure function of what is claimed, of the machines that the claim could use and of the work
-// that may be stopped for it. It never stops anything; the scheduler does, and decides who may claim.
+// Owns no state: a pure function of the claim, of the machines that the claim could use and of the work that
+// may be stopped for it. GuaranteeClaims decides which jobs may claim and stops the chosen work.
 #pragma once
 #include <optional>
 #include <vector>
@@ -11,33 +11,34 @@
 
 namespace corkmux {
 
-/// One claim, and what may be stopped for it.
+/// One claim, and the work that may be stopped for it.
 struct QuotaReclaimInput {
-  /// What is claimed: `tasks` places of this size, all in one zone or anywhere.
+  /// The claimed resources: `tasks` slots of this size, all in one zone or in any.
   Resources need;
   int tasks = 1;
   bool one_zone = false;
-  /// A machine that the claim may get room on.
-  struct Place {
-    Resources free;    // once all that is stopping already has stopped
-    int zone = 0;      // 0 and up
-    bool open = true;  // whether the claim may use it
+  /// A machine on which the claim may get capacity.
+  struct CandidateMachine {
+    Resources free;      // once all tasks that are already stopping have exited
+    int zone = 0;        // 0 and up
+    bool usable = true;  // whether the claim may use it
   };
-  std::vector<Place> places;
-  /// What can only be stopped together: a task, or a whole gang.
+  std::vector<CandidateMachine> machines;
+  /// The smallest unit that can be stopped: a task of an array or service, or a whole gang.
   struct PreemptionUnit {
     int team = 0;              // index into `over_guarantee`
-    double lost = 0;           // CPU seconds of work that the stop costs
+    double lost = 0;           // CPU seconds of work that the stop loses
     Resources need;            // of each member
-    std::vector<int> members;  // the place of each
+    std::vector<int> members;  // index into `machines` of each
   };
   std::vector<PreemptionUnit> units;
-  /// What each team runs over its guarantee: no more of it is stopped. Memory does not count.
+  /// Each team's use over its guarantee: no more than that is stopped. Memory does not count.
   std::vector<Resources> over_guarantee;
 };
 
-/// The units to stop, by index: those that lose least first, and none that the claim can do without. Empty:
-/// it fits as it is. nullopt: it cannot be met within what the teams run over their guarantees.
+/// Returns the indices of the units to stop: those that lose the least work first, and none that the claim
+/// does not need. Empty: the claim fits as it is. nullopt: the claim cannot be met within the teams' use over
+/// their guarantees.
 std::optional<std::vector<int>> choose_reclaim(const QuotaReclaimInput& input);
 
 }  // namespace corkmux
--- a/src/scheduler/random_source.cc
+++ b/src/scheduler/random_source.cc
@@ -12,7 +12,7 @@
     std::iota(positions.begin(), positions.end(), 0);
     return positions;
   }
-  // Floyd's: each set of `most` is as likely as any other, without a list of all.
+  // Floyd's algorithm: draws each set of `most` positions with equal probability, without a list of all.
   std::set<std::size_t> taken;
   for (std::size_t last = all - most; last < all; ++last) {
     const std::size_t drawn = std::uniform_int_distribution<std::size_t>(0, last)(generator_);
--- a/src/scheduler/random_source.h
+++ b/src/scheduler/random_source.h
@@ -1,7 +1,7 @@
-// Random choices of the scheduler.
+// Makes the scheduler's random choices.
 //
-// Owns the one generator that all of them are drawn from, so that a seed gives the same run again. The order
-// in which choices are drawn is part of that.
+// Owns the one generator that all choices are drawn from, so that a seed reproduces a run. Reproducing a run
+// also requires that choices are drawn in the same order.
 #pragma once
 #include <cstddef>
 #include <cstdint>
@@ -16,11 +16,11 @@
   RandomSource(const RandomSource&) = delete;
   RandomSource& operator=(const RandomSource&) = delete;
 
-  /// For a distribution of the caller's.
+  /// The generator, for the caller's own distribution.
   std::mt19937_64& generator() { return generator_; }
-  /// Of 0 and up to `all`, at most `most`, drawn without any twice.
+  /// Returns at most `most` distinct positions, drawn at random from 0 to `all` - 1.
   std::vector<std::size_t> sample(std::size_t all, std::size_t most);
-  /// A position, drawn in proportion to the weights, of which there is at least one.
+  /// Returns a position drawn with probability proportional to its weight; `weights` must not be empty.
   std::size_t draw_weighted(const std::vector<double>& weights);
 
  private:
--- a/src/scheduler/reserved_capacity.cc
+++ b/src/scheduler/reserved_capacity.cc
@@ -11,9 +11,9 @@
 namespace {
 
 constexpr double kRounding = 1e-9;
-constexpr double kNegligibleJobs = 0.01;  // served so long ago that it no longer counts
+constexpr double kNegligibleJobs = 0.01;  // fewer decayed served jobs than this no longer count
 
-/// FNV-1a: the same on every controller and in every process.
+/// FNV-1a, which gives the same value on every controller and in every process.
 std::uint64_t stable_hash(const std::string& text) {
   constexpr std::uint64_t kOffsetBasis = 1469598103934665603ull;
   constexpr std::uint64_t kPrime = 1099511628211ull;
@@ -40,39 +40,42 @@
   count_served(teams_, team, now);
 }
 
-/// 0 to 1. A group that is served enough, or that nothing of waits, has none.
+/// The deficit that the group's waiting jobs indicate, 0 to 1; 0 if the group is served enough or has no
+/// waiting jobs.
 double ReservedCapacity::target_deficit(Group& group, double now) {
-  if (!group.waits || group.share_used > kRounding)
+  if (!group.has_waiting_jobs || group.share_used > kRounding)
     group.idle_since.reset();
   else if (!group.idle_since)
     group.idle_since = now;
   const double done = decayed_served(group, now);
-  // Guards against a flood that counts as in deficit because of its own length: whoever uses more than is
-  // reserved has its share, and is what machines are reserved against.
+  // Prevents a flood of jobs from counting as in deficit because of the length of its own queue: a group that
+  // uses more than kReservationUsageCap has its share, and machines are reserved against just such groups.
   const bool enough =
       group.share_used > c::kReservationUsageCap || done >= c::kServedShareTarget * (done + group.unserved);
   if (group.unserved == 0 || enough) {
     group.starved = false;
     return 0;
   }
-  // Whoever gets nothing at all gets a little soon; it stays until enough is served, not until some of it
-  // runs.
+  // A group of which nothing runs gets one tier after kStarvedAfter. It keeps the tier until enough of its
+  // jobs are served, not only until some of them run.
   group.starved |= group.idle_since && now - *group.idle_since >= c::kStarvedAfter;
-  const double late = (group.ends_s / group.unserved - c::kDeficitFrom) / (c::kDeficitFull - c::kDeficitFrom);
-  return std::clamp(late, group.starved ? 1.0 / c::kReservationTiers : 0.0, 1.0);
+  const double deficit = (group.expected_end_s / group.unserved - c::kDeficitStartTime) /
+                         (c::kFullDeficitTime - c::kDeficitStartTime);
+  return std::clamp(deficit, group.starved ? 1.0 / c::kReservationTiers : 0.0, 1.0);
 }
 
 void ReservedCapacity::count_waiting(Group& group, const WaitingJob& job, double share_used) {
-  group.waits = true;
+  group.has_waiting_jobs = true;
   group.share_used = share_used;
-  if (job.ends_s < c::kDeficitFrom && job.waited_s < c::kStarvedAfter) return;
+  if (job.expected_end_s < c::kDeficitStartTime && job.waited_s < c::kStarvedAfter) return;
   ++group.unserved;
-  group.ends_s += job.ends_s;
+  group.expected_end_s += job.expected_end_s;
 }
 
 void ReservedCapacity::update_deficits(Groups& groups, double passed_s, double now) {
   for (auto& [name, group] : groups) {
-    // Slower than what it follows, and slower down than up, or it would come and go with each job.
+    // The deficit follows its target slowly, and falls more slowly than it rises; otherwise reservations
+    // would come and go with each job.
     const double lowest = group.deficit - passed_s / c::kReservationFall;
     const double highest = group.deficit + passed_s / c::kReservationRise;
     group.deficit = std::clamp(target_deficit(group, now), lowest, highest);
@@ -91,9 +94,9 @@
   updated_at_ = now;
   for (Groups* groups : {&classes_, &teams_})
     for (auto& [name, group] : *groups) {
-      group.waits = false;
+      group.has_waiting_jobs = false;
       group.unserved = 0;
-      group.ends_s = 0;
+      group.expected_end_s = 0;
     }
   for (const auto& job : waiting) {
     count_waiting(classes_[*job.job_class], job, job.class_share);
@@ -105,9 +108,9 @@
   for (Groups* groups : {&classes_, &teams_})
     std::erase_if(*groups, [&](const auto& entry) {
       const Group& group = entry.second;
-      return !group.waits && group.deficit <= 0 && decayed_served(group, now) < kNegligibleJobs;
+      return !group.has_waiting_jobs && group.deficit <= 0 && decayed_served(group, now) < kNegligibleJobs;
     });
-  if (mutation_enabled("nothing is kept for who is in arrears")) largest = 0;
+  if (mutation_enabled("no machines are kept for starving classes and teams")) largest = 0;
   reservation_tiers_ = static_cast<int>(std::ceil(largest * c::kReservationTiers - kRounding));
 }
 
@@ -119,16 +122,17 @@
 bool ReservedCapacity::is_starving(const std::string& job_class, const std::string& team) const {
   if (reservation_tiers_ == 0) return false;
   if (in_deficit(classes_, job_class)) return true;
-  // What is reserved for a team is not for what floods the fleet, of whichever team: it would fill what was
-  // reserved for others.
+  // Machines reserved for a team are not for a class that already uses more than kReservationUsageCap: the
+  // class would fill the machines that were reserved for others.
   auto own_class = classes_.find(job_class);
-  const bool floods = own_class != classes_.end() && own_class->second.share_used > c::kReservationUsageCap;
-  return !floods && in_deficit(teams_, team);
+  const bool exceeds_usage_cap =
+      own_class != classes_.end() && own_class->second.share_used > c::kReservationUsageCap;
+  return !exceeds_usage_cap && in_deficit(teams_, team);
 }
 
 int ReservedCapacity::reservation_tier(const std::string& machine) {
   std::uint64_t hash = stable_hash(machine);
-  hash ^= hash >> 29;  // names differ in their last bytes only
+  hash ^= hash >> 29;  // mixes the bits: machine names differ only in their last bytes
   const auto groups = static_cast<std::uint64_t>(std::lround(1 / c::kReservationTierShare));
   const int group = static_cast<int>(hash % groups);
   return group < c::kReservationTiers ? group + 1 : 0;
--- a/src/scheduler/scaling.cc
+++ b/src/scheduler/scaling.cc
@@ -9,7 +9,7 @@
 
 constexpr double kRounding = 1e-9;
 
-/// What there is of one machine type, and what the waiting work wants of it.
+/// The machines of one type, and how many more the waiting jobs need.
 struct TypeDemand {
   int busy = 0;
   int idle = 0;
@@ -24,18 +24,19 @@
 
 /// When idle machines are returned.
 struct IdlePolicy {
-  bool quiet = false;  // no job has come for long: nothing is kept in reserve
+  bool quiet = false;  // no job was there for long: no idle machine is kept in reserve
   double limit_s = 0;  // an idle machine is returned after that
 };
 
 IdlePolicy idle_policy(const Scheduler& scheduler, const OperatorChoices& choices, double now) {
-  const double usual_pause = std::max(c::kIdleMinimum, c::kIdleGaps * scheduler.arrival_gap());
-  const double patience = std::min(choices.idle_return_s, usual_pause);
-  const bool quiet = scheduler.idle_for(now) > patience;
-  return {quiet, quiet ? patience : choices.idle_return_s};
+  const double usual_pause_s = std::max(c::kIdleMinimum, c::kIdleGaps * scheduler.arrival_gap());
+  const double quiet_after_s = std::min(choices.idle_return_s, usual_pause_s);
+  const bool quiet = scheduler.idle_for(now) > quiet_after_s;
+  return {quiet, quiet ? quiet_after_s : choices.idle_return_s};
 }
 
-/// A boot that takes far longer than the catalog says no longer counts as a machine to come.
+/// Whether a booting machine still counts as one that will come up; not if the boot takes far longer than in
+/// the catalog.
 bool may_still_boot(const Machine& machine, const MachineType* type, double now) {
   return type && now - machine.provisioned_at < 2 * type->boot_s + c::kBootGrace;
 }
@@ -58,7 +59,7 @@
     demand.returnable.push_back(&machine);
 }
 
-/// The types that may run the job, the cheapest per task first.
+/// The machine types that may run the job, the cheapest per task first.
 std::vector<const MachineType*> types_by_cost(const Scheduler& scheduler, const JobSpec& spec) {
   std::vector<const MachineType*> types;
   for (const auto& type : scheduler.catalog())
@@ -70,8 +71,8 @@
   return types;
 }
 
-/// Counts what waiting jobs want of the cheapest type that may run them, and returns the second cheapest by
-/// the cheapest's name.
+/// Adds the demand of waiting jobs to the cheapest type that may run them. Returns the second cheapest type,
+/// keyed by the name of the cheapest.
 std::map<std::string, const MachineType*> add_waiting_jobs(const Scheduler& scheduler, double now,
                                                            DemandByType& demand_by_type) {
   std::map<std::string, const MachineType*> overflow_types;
@@ -89,7 +90,7 @@
   return overflow_types;
 }
 
-/// Machines of the type beyond those there are; negative if there are more than are wanted.
+/// How many machines of the type are missing; negative if there are more than needed.
 int missing_machines(const TypeDemand& demand, const OperatorChoices& choices) {
   const double in_use = std::max(0.0, demand.busy + std::ceil(demand.wanted - kRounding));
   const int headroom = in_use > 0 ? choices.headroom_machines : 0;
@@ -98,9 +99,9 @@
   return target - (demand.busy + demand.idle + demand.booting);
 }
 
-/// The type's zones in which the cloud has not refused such machines of late.
-std::vector<std::string> open_zones(const MachineType& type, bool spot, const RefusedUntil& refused_until,
-                                    double now) {
+/// The type's zones in which the cloud has not recently refused such machines.
+std::vector<std::string> zones_not_refused(const MachineType& type, bool spot,
+                                           const RefusedUntil& refused_until, double now) {
   std::vector<std::string> zones;
   for (const auto& zone : type.zones) {
     auto refused = refused_until.find({type.name, zone, spot});
@@ -109,7 +110,7 @@
   return zones;
 }
 
-/// How many of the missing machines to ask for in each zone, so that zones end up with equally many.
+/// How many of the missing machines to request in each zone, so that zones end up with equally many machines.
 std::map<std::string, int> spread_over_zones(const std::vector<std::string>& zones, int missing,
                                              std::map<std::string, int> machines_in_zone) {
   std::map<std::string, int> requested;
@@ -124,13 +125,13 @@
   return requested;
 }
 
-/// Asks for ordinary machines first, then for such as the cloud may take back. Returns whether any zone is
-/// left to ask in.
+/// Requests on-demand machines, or spot machines if no zone is left for these. Returns whether there was any
+/// zone to request machines in.
 bool request_machines(const MachineType& type, const TypeDemand& demand, int missing,
                       const RefusedUntil& refused_until, double now, ScalingPlan& plan) {
   for (bool spot : {false, true}) {
     if (spot && !demand.spot_allowed) continue;
-    const auto zones = open_zones(type, spot, refused_until, now);
+    const auto zones = zones_not_refused(type, spot, refused_until, now);
     if (zones.empty()) continue;
     for (const auto& [zone, count] : spread_over_zones(zones, missing, demand.machines_in_zone))
       plan.scale_out.push_back({type.name, zone, spot, count});
@@ -139,7 +140,7 @@
   return false;
 }
 
-/// Returns those that have been idle for longest.
+/// Plans the return of `surplus` machines, those that have been idle for longest first.
 void return_idle(std::vector<const Machine*>& returnable, int surplus, ScalingPlan& plan) {
   std::sort(returnable.begin(), returnable.end(),
             [](const Machine* left, const Machine* right) { return left->idle_since < right->idle_since; });
@@ -174,7 +175,7 @@
     if (missing < -kept_in_reserve) return_idle(demand.returnable, -missing - kept_in_reserve, plan);
     if (missing <= 0) continue;
     if (request_machines(type, demand, missing, refused_until, now, plan)) continue;
-    // What cannot be had of this type is wanted of the next that may run the work.
+    // The demand that this type cannot meet moves to the next type that may run the jobs.
     auto overflow = overflow_types.find(type.name);
     if (overflow != overflow_types.end() && overflow->second->price > type.price)
       demand_by_type[overflow->second->name].wanted += missing / (1 + choices.headroom_share);
--- a/src/scheduler/scheduler.cc
+++ b/src/scheduler/scheduler.cc
@@ -49,7 +49,7 @@
 }
 
 void Scheduler::tick(double now) {
-  if (!jobs().empty()) arrivals_.unfinished_at(now);
+  if (!jobs().empty()) arrivals_.note_unfinished_job(now);
   machines_.tick(now);
   lifecycle_.tick(now);
 }
--- a/src/scheduler/scheduler_constants.h
+++ b/src/scheduler/scheduler_constants.h
@@ -1,10 +1,10 @@
-// Limits of the scheduler that the controllers keep to as well.
+// Limits of the scheduler that other modules of the controllers use as well.
 #pragma once
 #include <cstddef>
 
 namespace corkmux::constants {
 
-inline constexpr double kCancelReserve = 3.0;     // s kept for a stop command to take effect
-inline constexpr std::size_t kFinalCache = 4000;  // finished jobs remembered
+inline constexpr double kCancelReserve = 3.0;             // s allowed for a stop command to take effect
+inline constexpr std::size_t kFinishedJobsCached = 4000;  // finished jobs kept in memory
 
 }  // namespace corkmux::constants
--- a/src/scheduler/scheduling_cycle.cc
+++ b/src/scheduler/scheduling_cycle.cc
@@ -7,17 +7,18 @@
 namespace c = constants;
 namespace {
 
-/// A large array or service of which nothing has begun though it has waited for long.
+/// Whether the job is a large array or service that has waited for long and of which no task has started.
 bool is_overdue(const Job& job, double now) {
-  return !job.is_gang() && job.spec.tasks >= c::kBeginTasks && job.active.empty() && job.done == 0 &&
-         now - job.ready_at > c::kBeginShare * c::kBeginWithin;
+  return !job.is_gang() && job.spec.tasks >= c::kLargeArrayTasks && job.active.empty() && job.done == 0 &&
+         now - job.ready_at > c::kLargeArrayOverdueShare * c::kLargeArrayStartTime;
 }
 
 }  // namespace
 
 // ---------------------------------------------------------------- the order of bids
 
-/// Of one bid on one machine, so a gang's size is that of a member (paper III-B: the mass of a task).
+/// Weight of the job's bid on one machine; a gang therefore counts with the size of one member (paper III-B:
+/// the mass of a task).
 double SchedulingCycle::weight(const Job& job) const {
   static constexpr double kPriorityWeight[] = {1, 4, 16, 64};
   double largest_cpus = 1;
@@ -36,7 +37,7 @@
   for (double limit : limits->second)
     if (waited > limit) ++aim.missed;
   const double last = limits->second.back();
-  aim.due = waited > c::kDueShare * last && waited <= last;
+  aim.due = waited > c::kStartDueShare * last && waited <= last;
   if (aim.due) aim.at = job.ready_at + last;
   return aim;
 }
@@ -54,22 +55,23 @@
   bid.aim = start_aim(job, now);
   bid.overdue = is_overdue(job, now);
   bid.late = is_late(job, now);
-  bid.left_s = bid.late ? 0 : job.queued * std::max(1.0, job.spec.estimate_s);
+  bid.remaining_s = bid.late ? 0 : job.queued * std::max(1.0, job.spec.estimate_s);
   return bid;
 }
 
-/// The highest priority times size wins a machine: bids are settled in that order. Of equals, first those
-/// that are about to miss a start aim, the earliest first; then those that have missed the fewest and can
-/// still end in time, and of these the one with the least left to start: that way the fewest jobs are late
-/// when there is too little room, and none waits for ever behind smaller ones.
+/// Whether `left` is processed before `right`. Bids are processed in descending order of weight (priority
+/// times size). Among equal weights, jobs about to miss their last start aim come first, the earliest aim
+/// first; then overdue large arrays, the longest waiting first; then jobs that have missed the fewest start
+/// aims, jobs that can still end in time, and jobs with the least work left to start. With too little
+/// capacity the fewest jobs are then late, and no job waits forever behind smaller ones.
 bool SchedulingCycle::bids_before(const Bid& left, const Bid& right) {
   if (left.weight != right.weight) return left.weight > right.weight;
   if (left.aim.due != right.aim.due) return left.aim.due;
   if (left.aim.due && left.aim.at != right.aim.at) return left.aim.at < right.aim.at;
   if (left.overdue != right.overdue) return left.overdue;
   if (left.overdue) return left.job->ready_at < right.job->ready_at;
-  return std::tie(left.aim.missed, left.late, left.left_s, left.job->order) <
-         std::tie(right.aim.missed, right.late, right.left_s, right.job->order);
+  return std::tie(left.aim.missed, left.late, left.remaining_s, left.job->order) <
+         std::tie(right.aim.missed, right.late, right.remaining_s, right.job->order);
 }
 
 std::vector<SchedulingCycle::Bid> SchedulingCycle::ordered_bids(double now) {
@@ -110,12 +112,13 @@
     placement_.hold_zone_for_gang(job, now);
 }
 
-/// A guarantee is claimed once waiting alone would miss its aim; one claim a cycle bounds the cycle's time.
-/// Returns whether work is stopped for it.
+/// Claims the team's guarantee once the job has waited for kClaimDelayShare of its aim, since waiting alone
+/// would then miss the aim. One claim per cycle bounds the cycle's time. Returns whether work is stopped for
+/// the job.
 bool SchedulingCycle::claim_guarantee(Job& job, Progress& progress, double now) {
   if (job.queued == 0 || job.guarantee_admission != Job::GuaranteeAdmission::Granted) return false;
   const SchedulerConfig& config = state_.config();
-  if (progress.claimed || now - job.ready_at < c::kClaimAfter * config.guarantee_within) return false;
+  if (progress.claimed || now - job.ready_at < c::kClaimDelayShare * config.guarantee_within) return false;
   if (now - job.reclaimed_at < config.gang_peer_s + c::kNominationTime) return false;
   progress.claimed = true;
   job.reclaimed_at = now;
@@ -123,22 +126,24 @@
 }
 
 void SchedulingCycle::preempt(Job& job, Progress& progress, double now) {
-  // Looking for work to stop is dear; it is left out where nothing of lower priority runs.
+  // The search for work to stop is expensive; it is skipped if no work of lower priority runs.
   if (job.queued == 0 || job.priority <= progress.lowest_stoppable) return;
   note_waiting_at_limit(job, progress);
-  // Guards against stopping ever more: what was stopped for a job gets the time to end before more is.
+  // Prevents stopping more and more work: tasks stopped for a job get time to exit before more are stopped
+  // for it.
   if (now - job.preempted_at < c::kNominationTime) return;
   if (progress.preemptors++ >= c::kPreemptorsPerCycle) return;
   if (preemption_.preempt_for(job, now)) job.preempted_at = now;
 }
 
-void SchedulingCycle::settle(const Bid& bid, Progress& progress, double now) {
+void SchedulingCycle::process(const Bid& bid, Progress& progress, double now) {
   Job& job = *bid.job;
-  // Guards against work that waits for ever under its team's limit: what is more urgent may never fit in what
-  // is left, or may follow without end, and can stop it all the same. One task at a time goes on.
+  // Prevents lower-priority work from waiting forever for its team's limit: higher-priority work may never
+  // fit into what is left of the limit, or may keep arriving, and can still preempt it. After
+  // kMaxWaitBehindTeamLimit the job runs one task at a time.
   auto waiting = progress.waiting_at_limit.find(job.spec.team);
   const bool behind = waiting != progress.waiting_at_limit.end() && job.priority < waiting->second;
-  if (behind && (now - job.ready_at < c::kHeldPatience || !job.active.empty())) {
+  if (behind && (now - job.ready_at < c::kMaxWaitBehindTeamLimit || !job.active.empty())) {
     job.why = "waiting: room under the team's limit is kept for more urgent work";
     return;
   }
@@ -166,7 +171,7 @@
       state_.request_cycle();
       return;
     }
-    settle(bid, progress, now);
+    process(bid, progress, now);
   }
 }
 
--- a/src/scheduler/scheduling_cycle.h
+++ b/src/scheduler/scheduling_cycle.h
@@ -1,9 +1,9 @@
-// One scheduling cycle: orders the bids of waiting jobs, and for each places it, holds a zone, claims its
-// team's guarantee or stops less urgent work for it.
+// Runs one scheduling cycle: orders the bids of waiting jobs, and for each job places it, holds a zone for
+// it, claims its team's guarantee or stops lower-priority work for it.
 //
-// Owns no state between cycles but a count of the work done. It needs all modules that decide (reservations,
-// search, placement, preemption, guarantee claims) and calls them in a fixed order. A job that is not placed
-// is told why it waits by the step that refused it.
+// Owns no state between cycles except a count of the work done. It uses all decision modules (reservations,
+// search, placement, preemption, guarantee claims) and calls them in a fixed order. The step that rejects a
+// job sets the job's `why` to the reason for which it waits.
 #pragma once
 #include <cstdint>
 #include <map>
@@ -20,18 +20,20 @@
 namespace corkmux {
 namespace constants {
 
-inline constexpr int kBidsPerCycle = 96;         // tasks placed per cycle; bounds the time of one turn
+inline constexpr int kTasksPlacedPerCycle = 96;  // bounds the time of one cycle
 inline constexpr int kPreemptorsPerCycle = 4;    // jobs that may stop others in one cycle; bounds its time
 inline constexpr double kGuaranteeBoost = 64.0;  // weight factor for work within its team's guarantee
-inline constexpr double kDueShare = 0.8;  // of the time to its last start aim, after which a job is due
-/// s that a job waits for more urgent work under its team's limit.
-inline constexpr double kHeldPatience = 75.0;
-inline constexpr double kBeginWithin = 240.0;  // s within which large arrays should begin
-/// Share of kBeginWithin after which a large array of which nothing has begun goes first.
-inline constexpr double kBeginShare = 0.5;
-inline constexpr int kBeginTasks = 20;  // tasks of a large array
-/// Share of the aim on starting within a guarantee that a job waits before it claims places.
-inline constexpr double kClaimAfter = 0.25;
+inline constexpr double kStartDueShare = 0.8;  // of the time to its last start aim, after which a job is due
+/// s that a job waits for higher-priority work of its team while the team's limit is reached.
+inline constexpr double kMaxWaitBehindTeamLimit = 75.0;
+/// s within which the first task of a large array should start.
+inline constexpr double kLargeArrayStartTime = 240.0;
+/// Share of kLargeArrayStartTime after which a large array of which no task has started goes first.
+inline constexpr double kLargeArrayOverdueShare = 0.5;
+inline constexpr int kLargeArrayTasks = 20;  // least number of tasks of a large array
+/// Share of the time in which work within a guarantee should start that a job waits before it claims its
+/// guarantee.
+inline constexpr double kClaimDelayShare = 0.25;
 
 }  // namespace constants
 
@@ -46,35 +48,37 @@
         preemption_(preemption),
         claims_(claims) {}
 
-  /// Runs one cycle. If work may be left that could be placed, another is requested.
+  /// Runs one cycle. Requests another one if work may be left that could be placed.
   void run(double now);
 
-  /// Jobs looked at so far.
+  /// Jobs examined so far.
   std::uint64_t items_examined() const { return items_examined_; }
 
  private:
-  /// How long a job has until it misses its next start aim, and how many it has missed; none for one that has
-  /// started.
+  /// How many start aims a waiting job has missed, and whether it is about to miss its last one. All values
+  /// are defaults for a job that has started.
   struct StartAim {
     int missed = 0;
-    bool due = false;    // most of its time is over
-    double at = kNever;  // when it will be missed
+    bool due = false;    // kStartDueShare of the time to the last start aim is over
+    double at = kNever;  // when the last start aim will be missed, if due
   };
+  /// A waiting job with the properties that order it within the cycle.
   struct Bid {
     Job* job = nullptr;
     double weight = 0;
     StartAim aim;
-    bool overdue = false;  // nothing has begun of a large array that has waited long
-    bool late = false;     // it can no longer end in time
-    double left_s = 0;     // task seconds that are left to start; 0 if it is late
+    bool overdue = false;    // a large array that has waited for long and of which no task has started
+    bool late = false;       // the job can no longer end in time
+    double remaining_s = 0;  // task seconds left to start; 0 if it is late
   };
-  /// What has been used up in the cycle.
+  /// The state of the running cycle: budgets left, and what has been done.
   struct Progress {
-    int budget = constants::kBidsPerCycle;
+    int budget = constants::kTasksPlacedPerCycle;
     int preemptors = 0;
     bool claimed = false;
     Priority lowest_stoppable = Priority::Production;
-    std::map<std::string, Priority> waiting_at_limit;  // team -> the highest that its limit keeps waiting
+    /// Team -> highest priority that its limit keeps waiting.
+    std::map<std::string, Priority> waiting_at_limit;
   };
 
   std::vector<Bid> ordered_bids(double now);
@@ -85,7 +89,7 @@
   bool is_late(const Job& job, double now) const;
   void update_accelerator_demand(const std::vector<Bid>& bids);
   void note_waiting_at_limit(const Job& job, Progress& progress) const;
-  void settle(const Bid& bid, Progress& progress, double now);
+  void process(const Bid& bid, Progress& progress, double now);
   void place(const Bid& bid, bool one_task, Progress& progress, double now);
   bool claim_guarantee(Job& job, Progress& progress, double now);
   void preempt(Job& job, Progress& progress, double now);
--- a/tests/arrival_tracker_test.cc
+++ b/tests/arrival_tracker_test.cc
@@ -1,4 +1,4 @@
-// ArrivalTracker alone.
+// Unit tests of ArrivalTracker.
 #include "arrival_tracker.h"
 
 #include <gtest/gtest.h>
@@ -9,7 +9,7 @@
 namespace {
 namespace c = constants;
 
-TEST(ArrivalTracker, SmoothsTheGapsBetweenNewJobsAndPassesOverLoadedOnes) {
+TEST(ArrivalTracker, SmoothsTheGapsBetweenNewJobsAndIgnoresLoadedOnes) {
   ArrivalTracker arrivals(0);
   arrivals.job_added(0, 10);
   EXPECT_EQ(arrivals.gap(), 0) << "one job has no gap";
@@ -24,7 +24,7 @@
 TEST(ArrivalTracker, IsIdleSinceTheLastUnfinishedJob) {
   ArrivalTracker arrivals(5);
   EXPECT_EQ(arrivals.idle_for(8), 3);
-  arrivals.unfinished_at(10);
+  arrivals.note_unfinished_job(10);
   EXPECT_EQ(arrivals.idle_for(12), 2);
 }
 
--- a/tests/job_lookups_test.cc
+++ b/tests/job_lookups_test.cc
@@ -55,7 +55,7 @@
 }
 
 TEST_F(JobStatusCacheTest, TheOldestAreForgottenFirst) {
-  for (std::size_t i = 0; i <= constants::kFinalCache; ++i)
+  for (std::size_t i = 0; i <= constants::kFinishedJobsCached; ++i)
     cache.remember_end(numbered(i), {job_phase::kDone, 1});
   EXPECT_FALSE(cache.ended(numbered(0)));
   EXPECT_TRUE(cache.ended(numbered(1)));
--- a/tests/machine_reservations_test.cc
+++ b/tests/machine_reservations_test.cc
@@ -1,4 +1,4 @@
-// MachineReservations alone: who is kept out of which machines while a class starves.
+// Unit tests of MachineReservations: which jobs are excluded from which machines while a class starves.
 #include "machine_reservations.h"
 
 #include <gtest/gtest.h>
@@ -29,7 +29,7 @@
   }
 };
 
-TEST_F(MachineReservationsTest, WhoStarvesKeepsOthersOutOfMachinesThatItCanUse) {
+TEST_F(MachineReservationsTest, ExcludesOtherJobsFromMachinesThatAStarvingJobCanUse) {
   update({&starving}, 1000, 1060);
   EXPECT_TRUE(reservations.is_starving(starving));
   EXPECT_FALSE(reservations.is_starving(other));
@@ -37,12 +37,12 @@
   EXPECT_FALSE(reservations.is_reserved(0)) << "most machines are in no tier";
   EXPECT_TRUE(reservations.excludes(other, "plain", 1));
   EXPECT_FALSE(reservations.excludes(other, "plain", 0));
-  EXPECT_FALSE(reservations.excludes(other, "small", 1)) << "what starves does not fit there";
+  EXPECT_FALSE(reservations.excludes(other, "small", 1)) << "the starving job does not fit there";
   EXPECT_FALSE(reservations.excludes(starving, "plain", 1));
   EXPECT_EQ(modules.state.take_notes().size(), 1u);
 }
 
-TEST_F(MachineReservationsTest, NothingIsReservedOnceItNoLongerWaits) {
+TEST_F(MachineReservationsTest, NothingIsReservedOnceTheStarvingJobNoLongerWaits) {
   update({&starving}, 1000, 1060);
   update({}, 1060, 1130);
   EXPECT_FALSE(reservations.is_reserved(1));
--- a/tests/mutation_test.cc
+++ b/tests/mutation_test.cc
@@ -85,7 +85,7 @@
     return static_cast<double>(model.ended["slow"]) / model.came["slow"];
   };
   EXPECT_GE(served(""), 0.5);
-  EXPECT_LT(served("nothing is kept for who is in arrears"), 0.5);
+  EXPECT_LT(served("no machines are kept for starving classes and teams"), 0.5);
 }
 
 }  // namespace
--- a/tests/placement_test.cc
+++ b/tests/placement_test.cc
@@ -1,5 +1,5 @@
-// The real placement compared with a plain one: every start it makes must be allowed, and it must leave
-// nothing waiting that a simple search over all machines could have started.
+// Compares placement with an exhaustive search: every start must be allowed, and no task may be left waiting
+// that a simple search over all machines could have started.
 #include <gtest/gtest.h>
 
 #include <random>
@@ -97,8 +97,8 @@
 
     for (const auto& [id, job] : simulation.scheduler->jobs()) {
       if (!job.queued || job.spec.kind == JobKind::Gang || job.spec.spread || job.spec.one_zone) continue;
-      // Kept free on purpose: room under a limit for a more urgent job of the team, room made for one on
-      // machines, and accelerators for work that needs them.
+      // Capacity is kept free on purpose: under a limit for a more urgent job of the team, on machines where
+      // work was preempted for one, and on accelerator machines for work that needs accelerators.
       bool more_urgent = false;
       for (const auto& [other_id, other] : simulation.scheduler->jobs())
         more_urgent |= other.queued > 0 && other.spec.priority > job.spec.priority;
@@ -122,14 +122,14 @@
   EXPECT_GT(waits, 50);
 }
 
-TEST(Placement, TheHigherPriorityTimesSizeWinsTheLastMachine) {
+TEST(Placement, TheHigherWeightGetsTheLastMachine) {
   SchedulerConfig config;
   config.teams = {{"x", 0, 0, 0, 0}};
   Scheduler scheduler(config, 1, 0, 3);
   scheduler.set_catalog({plain_type({"a"})});
   Heartbeat heartbeat = first_heartbeat("n-1");
   auto first = scheduler.on_heartbeat(heartbeat, Scheduler::Channel::Heartbeat, 0);
-  // Nothing is placed on a machine that has not yet obeyed our token.
+  // Nothing is placed on a machine that has not yet acknowledged the leader's fencing token.
   JobSpec spec = array_spec("run-low", "x", 1, 16);
   spec.priority = Priority::Low;
   scheduler.upsert_job(spec, 1, false, 0);
@@ -146,9 +146,9 @@
   EXPECT_TRUE(scheduler.job("run-low")->active.empty());
 }
 
-// Guards against a queue in which work that is late anyway makes the rest late too: of bids of equal weight,
-// the one that can still meet its start aim goes first, then the one with the least left to start. A gang
-// bids on each machine with its member's size, so it does not outweigh a single task of its class.
+// Guards against a queue in which work that is already late makes the rest late too: among bids of equal
+// weight, the one that can still meet its start aim goes first, then the one with the least work left to
+// start. A gang's weight is that of one member, so it does not outweigh a single task of its class.
 TEST(Placement, OfEqualBidsTheOneThatCanStillBeInTimeGoesFirst) {
   SchedulerConfig config;
   config.teams = {{"x", 0, 0, 0, 0}};
@@ -167,17 +167,17 @@
     scheduler.schedule(0);
     return scheduler.job("run-first")->active.empty() ? "second" : "first";
   };
-  EXPECT_STREQ(started(0, 2, 0, 2), "first");     // equal in all: in the order of acceptance
+  EXPECT_STREQ(started(0, 2, 0, 2), "first");     // all equal: in order of acceptance
   EXPECT_STREQ(started(20, 2, 0, 2), "second");   // the first has missed its tighter aim
-  EXPECT_STREQ(started(40, 2, 20, 2), "second");  // and the later one as well
+  EXPECT_STREQ(started(40, 2, 20, 2), "second");  // and the later aim as well
   EXPECT_STREQ(started(0, 2, 0, 1), "second");    // less left to start
-  EXPECT_STREQ(started(0, 2, 20, 1), "first");    // being in time goes before being small
-  EXPECT_STREQ(started(25, 2, 0, 1), "first");    // about to miss its last aim: before all that can wait
+  EXPECT_STREQ(started(0, 2, 20, 1), "first");    // meeting the aim goes before less work left
+  EXPECT_STREQ(started(25, 2, 0, 1), "first");    // about to miss its last aim: before jobs that can wait
 }
 
-// Guards against work that waits for ever though a machine has room and its team is under its limit: room is
-// kept for more urgent work of the team for a while only, since that may never fit.
-TEST(Placement, RoomUnderATeamsLimitIsKeptForAWhileOnly) {
+// Guards against work that waits forever although it fits on a machine and its team is under its limit: quota
+// is kept for more urgent work of the team only for a while, since that work may never fit.
+TEST(Placement, QuotaUnderATeamsLimitIsKeptOnlyForAWhile) {
   ClusterSimulation simulation(1);
   for (int i = 0; i < 20; ++i) join(*simulation.scheduler, first_heartbeat("m-" + std::to_string(i)));
   auto put = [&](const char* id, JobKind kind, Priority priority, int tasks, double cpus) {
@@ -203,16 +203,16 @@
   EXPECT_EQ(simulation.scheduler->job("run-small")->active.size(), 1u);  // one task at a time
 }
 
-// The operators' mark: half of a class's largest jobs begin within four minutes. Of equals the one with the
-// least left goes first, so the largest would wait as long as smaller ones come; the first task of each does
-// not.
-TEST(Placement, OfALargeArrayThatHasWaitedForLongOneTaskGoesBeforeSmallerOnes) {
+// Operators expect that half of a class's largest jobs start within four minutes. Among equals the job with
+// the least work left goes first, so a large job would wait as long as smaller ones arrive; its first task
+// goes before them.
+TEST(Placement, OneTaskOfAnOverdueLargeArrayGoesBeforeSmallerArrays) {
   SchedulerConfig config;
   config.zones = {"a"};
   config.teams = {{"x", 0, 0, 0, 0}};
   Scheduler scheduler(config, 1, 0, 1);
   scheduler.set_catalog({plain_type({"a"})});
-  auto hear = [&](int machines, std::uint64_t seq, double now) {
+  auto send_heartbeats = [&](int machines, std::uint64_t seq, double now) {
     for (int i = 0; i < machines; ++i) {
       Heartbeat heartbeat = first_heartbeat("n-" + std::to_string(i));
       heartbeat.seq = seq;
@@ -230,14 +230,14 @@
   put("run-large", 50, 0, 1);
   for (int i = 0; i < 9; ++i)
     put("run-small-" + std::to_string(i), 2, 100, static_cast<std::uint64_t>(i + 2));
-  hear(4, 1, 100);
-  hear(4, 2, 100);
+  send_heartbeats(4, 1, 100);
+  send_heartbeats(4, 2, 100);
   scheduler.schedule(100);
   EXPECT_EQ(scheduler.job("run-large")->active.size(), 0u);
-  hear(6, 3, 121);
-  hear(6, 4, 121);
+  send_heartbeats(6, 3, 121);
+  send_heartbeats(6, 4, 121);
   scheduler.schedule(121);
-  // One task of it, and the rest of the room for those with less left.
+  // One task of the large array, and the remaining machines for the arrays with less work left.
   EXPECT_EQ(scheduler.job("run-large")->active.size(), 1u);
   std::size_t small = 0;
   for (const auto& [id, job] : scheduler.jobs()) small += id != "run-large" ? job.active.size() : 0;
--- a/tests/preemption_test.cc
+++ b/tests/preemption_test.cc
@@ -1,4 +1,5 @@
-// Work that is stopped for more urgent work must not come back in the next cycle only to be stopped again.
+// Guards against preemption cycles: work stopped for higher-priority work must not be placed again in the
+// next cycle only to be stopped again.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -41,13 +42,12 @@
     spec.save_s = 4;
     scheduler->upsert_job(spec, ++submitted, false, now);
   }
-  /// Rounds for so long.
+  /// Runs rounds for so long, 0.05 s apart.
   void run(double seconds) {
     for (double end = now + seconds; now < end; now += 0.05) settle(now);
   }
   std::size_t active(const std::string& id) { return scheduler->job(id)->active.size(); }
-  /// One round: store writes succeed, commands are executed, every task runs at once, stopped tasks exit at
-  /// once.
+  /// Runs one round: store writes succeed, commands are executed, and tasks start and stop immediately.
   void settle(double moment) {
     scheduler->tick(moment);
     scheduler->schedule(moment);
@@ -57,17 +57,17 @@
       if (Machine* machine = scheduler->machine(name); machine && scheduler->has_commands(*machine)) {
         auto command_batch = scheduler->take_commands(name, moment);
         heartbeat.fencing_token = std::max(heartbeat.fencing_token, command_batch.fencing_token);
-        for (const auto& command : command_batch.commands) obey(heartbeat, command);
+        for (const auto& command : command_batch.commands) execute(heartbeat, command);
         scheduler->dispatch_done(name, command_batch, Scheduler::DispatchOutcome::Executed, moment);
       }
       ++heartbeat.seq;
       auto result = scheduler->on_heartbeat(heartbeat, Scheduler::Channel::Heartbeat, moment);
       heartbeat.fencing_token = std::max(heartbeat.fencing_token, result.fencing_token);
-      for (const auto& command : result.commands) obey(heartbeat, command);
+      for (const auto& command : result.commands) execute(heartbeat, command);
       scheduler->heartbeat_answered(name, moment);
     }
   }
-  void obey(Heartbeat& heartbeat, const TaskCommand& command) {
+  void execute(Heartbeat& heartbeat, const TaskCommand& command) {
     auto it = std::find_if(heartbeat.tasks.begin(), heartbeat.tasks.end(), [&](const TaskStatus& task) {
       return task.job == command.job && task.index == command.index;
     });
@@ -86,7 +86,7 @@
   }
 };
 
-TEST(Preemption, TheTeamsLimitMakesWayForItsUrgentGangOnce) {
+TEST(Preemption, AtTheTeamsLimitWorkIsPreemptedForItsUrgentGangOnce) {
   PreemptionTestCluster cluster({{"x", 64, 64, 0, 0}}, 8);
   cluster.submit("run-array", "x", Priority::Normal, 40, 4);
   cluster.run(2);
@@ -94,7 +94,7 @@
   cluster.submit("run-gang", "x", Priority::High, 2, 15, JobKind::Gang);
   cluster.run(10);
   EXPECT_EQ(cluster.active("run-gang"), 2u);
-  EXPECT_EQ(cluster.stops, 8) << "32 of 64 CPUs are needed, no more, and once only";
+  EXPECT_EQ(cluster.stops, 8) << "32 of 64 CPUs are freed, no more, and only once";
 }
 
 TEST(Preemption, WorkWithinAGuaranteeIsNotStoppedForWorkBeyondAnother) {
@@ -107,7 +107,7 @@
   EXPECT_EQ(cluster.active("run-array"), 8u);
 }
 
-TEST(Preemption, LowerPriorityMakesRoomOnMachines) {
+TEST(Preemption, LowerPriorityIsPreemptedOnMachines) {
   PreemptionTestCluster cluster({{"x", 0, 0, 0, 0}, {"y", 0, 0, 0, 0}}, 2);
   cluster.submit("run-array", "x", Priority::Low, 20, 4);
   cluster.run(2);
--- a/tests/quota_reclaim_test.cc
+++ b/tests/quota_reclaim_test.cc
@@ -1,5 +1,5 @@
-// What is stopped so that a team gets its guarantee, against an exhaustive search on small cases; that two
-// teams cannot take turns; and the zone that is held for a due gang.
+// Compares the work stopped for a team's guarantee with an exhaustive search on small cases; checks that two
+// teams do not preempt each other in turns, and that a zone is held for a gang that is due.
 #include "quota_reclaim.h"
 
 #include <gtest/gtest.h>
@@ -16,22 +16,22 @@
 namespace corkmux {
 namespace {
 
-/// Whether the claim is met, and no team below its guarantee, once these units are stopped.
+/// Whether stopping these units meets the claim and leaves every team at or above its guarantee.
 bool meets_claim(const QuotaReclaimInput& input, const std::vector<int>& stopped) {
-  auto places = input.places;
+  auto machines = input.machines;
   auto over_guarantee = input.over_guarantee;
   for (int position : stopped) {
     const auto& unit = input.units[static_cast<std::size_t>(position)];
-    for (int place : unit.members) {
-      places[static_cast<std::size_t>(place)].free += unit.need;
+    for (int machine : unit.members) {
+      machines[static_cast<std::size_t>(machine)].free += unit.need;
       over_guarantee[static_cast<std::size_t>(unit.team)] -= unit.need;
     }
   }
   for (const auto& left : over_guarantee)
     if (left.cpus < -1e-6 || left.gpus < -1e-6) return false;
   std::map<int, int> fitting_tasks;
-  for (const auto& place : places)
-    if (place.open) fitting_tasks[input.one_zone ? place.zone : 0] += input.need.times_in(place.free);
+  for (const auto& machine : machines)
+    if (machine.usable) fitting_tasks[input.one_zone ? machine.zone : 0] += input.need.times_in(machine.free);
   return std::any_of(fitting_tasks.begin(), fitting_tasks.end(),
                      [&](const auto& in_zone) { return in_zone.second >= input.tasks; });
 }
@@ -48,8 +48,8 @@
   input.need = {2.0 + 2 * below(3), below(3) == 0 ? 1.0 : 0.0, 1};
   input.tasks = 1 + below(4);
   input.one_zone = below(2) == 0;
-  for (int place = 0; place < 5; ++place)
-    input.places.push_back({{1.0 * below(3), 1.0 * below(2), 4}, below(2), below(6) > 0});
+  for (int machine = 0; machine < 5; ++machine)
+    input.machines.push_back({{1.0 * below(3), 1.0 * below(2), 4}, below(2), below(6) > 0});
   const int units = 1 + below(9);
   for (int i = 0; i < units; ++i) {
     QuotaReclaimInput::PreemptionUnit unit{
@@ -63,7 +63,7 @@
   return input;
 }
 
-/// What the cheapest set of units loses that meets the claim; none if no set does.
+/// The work lost by the cheapest set of units that meets the claim; nullopt if no set does.
 std::optional<double> least_lost(const QuotaReclaimInput& input) {
   std::optional<double> least;
   for (unsigned set = 0; set < 1u << input.units.size(); ++set) {
@@ -77,11 +77,11 @@
   return least;
 }
 
-// Never worse than the cheapest by more than this; the greedy choice takes the cheapest units first, not the
-// cheapest set.
+// Largest allowed ratio of the lost work to that of the cheapest set; the greedy choice takes the cheapest
+// units first, not the cheapest set.
 constexpr double kMargin = 4.0;
 
-TEST(QuotaReclaim, IsAllowedSparesWhatItCanAndIsCloseToTheCheapest) {
+TEST(QuotaReclaim, IsAllowedStopsNoUnneededUnitAndIsCloseToTheCheapest) {
   std::mt19937 rng(7);
   int met = 0, missed = 0;
   double chosen_total = 0, best_total = 0, worst = 1;
@@ -92,8 +92,8 @@
     const auto best = least_lost(input);
     const auto chosen = choose_reclaim(input);
     if (!chosen) {
-      // Without a budget that binds nothing is missed; with one, a cheap unit may use up what a better one
-      // needed.
+      // Without a tight budget every claim that can be met is met; with one, a cheap unit may use up the
+      // budget that a better one needs.
       if (best) ++missed;
       EXPECT_TRUE(!best || tight);
       continue;
@@ -111,7 +111,7 @@
     for (std::size_t position = 0; position < chosen->size(); ++position) {
       auto fewer = *chosen;
       fewer.erase(fewer.begin() + static_cast<long>(position));
-      EXPECT_FALSE(meets_claim(input, fewer)) << "unit " << (*chosen)[position] << " was stopped for nothing";
+      EXPECT_FALSE(meets_claim(input, fewer)) << "unit " << (*chosen)[position] << " was stopped needlessly";
     }
   }
   EXPECT_GT(met, 1000);
@@ -121,7 +121,7 @@
             << " times the cheapest, at the worst " << worst << "\n";
 }
 
-struct Site {
+struct QuotaReclaimTestCluster {
   std::unique_ptr<Scheduler> scheduler;
   std::map<std::string, Heartbeat> machines;
   std::uint64_t revision = 100;
@@ -129,7 +129,7 @@
   double now = 0, run_s = 1e9;
   std::map<std::tuple<std::string, int, std::uint64_t>, double> started;
 
-  explicit Site(int count) {
+  explicit QuotaReclaimTestCluster(int count) {
     SchedulerConfig config;
     config.start_within = {{"urgent", {5, 20}}};
     config.teams = {{"a", 32, 1000, 0, 0}, {"b", 32, 1000, 0, 0}};
@@ -163,7 +163,7 @@
       for (auto& [name, heartbeat] : machines) {
         dispatch(name, heartbeat);
         end_tasks(heartbeat);
-        report(name, heartbeat);
+        send_heartbeat(name, heartbeat);
       }
     }
   }
@@ -172,7 +172,7 @@
     if (!machine || !scheduler->has_commands(*machine)) return;
     const auto batch = scheduler->take_commands(name, now);
     heartbeat.fencing_token = std::max(heartbeat.fencing_token, batch.fencing_token);
-    for (const auto& command : batch.commands) obey(heartbeat, command);
+    for (const auto& command : batch.commands) execute(heartbeat, command);
     scheduler->dispatch_done(name, batch, Scheduler::DispatchOutcome::Executed, now);
   }
   void end_tasks(Heartbeat& heartbeat) {
@@ -185,17 +185,17 @@
       task.why = ExitReason::Done;
     }
   }
-  void report(const std::string& name, Heartbeat& heartbeat) {
+  void send_heartbeat(const std::string& name, Heartbeat& heartbeat) {
     ++heartbeat.seq;
     const auto result = scheduler->on_heartbeat(heartbeat, Scheduler::Channel::Heartbeat, now);
     heartbeat.fencing_token = std::max(heartbeat.fencing_token, result.fencing_token);
-    for (const auto& command : result.commands) obey(heartbeat, command);
+    for (const auto& command : result.commands) execute(heartbeat, command);
     scheduler->heartbeat_answered(name, now);
   }
-  static bool about(const TaskCommand& command, const TaskStatus& task) {
+  static bool concerns(const TaskCommand& command, const TaskStatus& task) {
     return task.job == command.job && task.index == command.index && task.attempt == command.attempt;
   }
-  void obey(Heartbeat& heartbeat, const TaskCommand& command) {
+  void execute(Heartbeat& heartbeat, const TaskCommand& command) {
     switch (command.op) {
       case TaskCommand::Op::Start:
         started[{command.job, command.index, command.attempt}] = now;
@@ -204,7 +204,7 @@
         return;
       case TaskCommand::Op::Stop:
         for (auto& task : heartbeat.tasks) {
-          if (!about(command, task) || task.state == TaskState::Exited) continue;
+          if (!concerns(command, task) || task.state == TaskState::Exited) continue;
           task.state = TaskState::Exited;
           task.why = ExitReason::Stopped;
           task.saved = command.grace_s > 0;
@@ -212,88 +212,91 @@
         }
         return;
       case TaskCommand::Op::Forget:
-        std::erase_if(heartbeat.tasks, [&](const TaskStatus& task) { return about(command, task); });
+        std::erase_if(heartbeat.tasks, [&](const TaskStatus& task) { return concerns(command, task); });
         return;
     }
   }
   int running(const std::string& id) { return scheduler->running(*scheduler->job(id)); }
 };
 
-// Four machines, eight places of which each team is guaranteed four: `b` runs seven in gangs, of higher
-// priority than what `a` then submits within its guarantee.
-TEST(QuotaReclaim, TakesBackAGuaranteeFromHigherPriorityWithoutStoppingMoreOrTakingTurns) {
-  Site site(4);
-  site.submit("b-1", "b", Priority::High, 4, JobKind::Gang);
-  site.submit("b-2", "b", Priority::High, 2, JobKind::Gang);
-  site.submit("b-3", "b", Priority::High, 1, JobKind::Gang);
-  site.run(2);
-  ASSERT_EQ(site.running("b-1") + site.running("b-2") + site.running("b-3"), 7);
-  site.submit("a-1", "a", Priority::Normal, 3, JobKind::Array);
-  // Nothing just started is stopped.
-  site.run(20);
-  EXPECT_EQ(site.stops, 0);
-  EXPECT_EQ(site.running("a-1"), 1);
-  site.run(30);
-  EXPECT_EQ(site.running("a-1"), 3);
-  EXPECT_EQ(site.running("b-1"), 4) << "within its own guarantee";
-  EXPECT_EQ(site.running("b-2") + site.running("b-3"), 1) << "of two places claimed just two were taken";
-  EXPECT_EQ(site.stops, 2);
-  // And then there is peace: what was stopped claims nothing back.
-  site.run(120);
-  EXPECT_EQ(site.stops, 2);
-  EXPECT_EQ(site.running("a-1"), 3);
+// Four machines have eight slots, of which each team is guaranteed four. `b` uses seven for gangs of higher
+// priority than the job that `a` then submits within its guarantee.
+TEST(QuotaReclaim, ReclaimsAGuaranteeFromHigherPriorityOnceAndStopsNoMoreThanNeeded) {
+  QuotaReclaimTestCluster cluster(4);
+  cluster.submit("b-1", "b", Priority::High, 4, JobKind::Gang);
+  cluster.submit("b-2", "b", Priority::High, 2, JobKind::Gang);
+  cluster.submit("b-3", "b", Priority::High, 1, JobKind::Gang);
+  cluster.run(2);
+  ASSERT_EQ(cluster.running("b-1") + cluster.running("b-2") + cluster.running("b-3"), 7);
+  cluster.submit("a-1", "a", Priority::Normal, 3, JobKind::Array);
+  // Tasks that have just started are not stopped.
+  cluster.run(20);
+  EXPECT_EQ(cluster.stops, 0);
+  EXPECT_EQ(cluster.running("a-1"), 1);
+  cluster.run(30);
+  EXPECT_EQ(cluster.running("a-1"), 3);
+  EXPECT_EQ(cluster.running("b-1"), 4) << "within its own guarantee";
+  EXPECT_EQ(cluster.running("b-2") + cluster.running("b-3"), 1)
+      << "two slots were claimed, and exactly two were taken";
+  EXPECT_EQ(cluster.stops, 2);
+  // Afterwards nothing changes: the stopped work claims nothing back.
+  cluster.run(120);
+  EXPECT_EQ(cluster.stops, 2);
+  EXPECT_EQ(cluster.running("a-1"), 3);
 }
 
-TEST(QuotaReclaim, StopsAWholeGangInOrderAndNoTeamBelowItsGuarantee) {
-  Site site(4);
-  site.submit("b-1", "b", Priority::High, 3, JobKind::Gang);
-  site.submit("b-2", "b", Priority::High, 5, JobKind::Gang);
-  site.run(40);
-  ASSERT_EQ(site.running("b-2"), 5);
-  // Eight places in use, four guaranteed: the gang of five would leave `b` with three, below its guarantee.
-  site.submit("a-1", "a", Priority::Normal, 2, JobKind::Array);
-  site.run(60);
-  EXPECT_EQ(site.stops, 0);
-  EXPECT_EQ(site.running("a-1"), 0);
+TEST(QuotaReclaim, DoesNotStopAGangIfThatLeavesItsTeamBelowItsGuarantee) {
+  QuotaReclaimTestCluster cluster(4);
+  cluster.submit("b-1", "b", Priority::High, 3, JobKind::Gang);
+  cluster.submit("b-2", "b", Priority::High, 5, JobKind::Gang);
+  cluster.run(40);
+  ASSERT_EQ(cluster.running("b-2"), 5);
+  // Eight slots are in use, four are guaranteed: without the gang of five `b` would have three, below its
+  // guarantee.
+  cluster.submit("a-1", "a", Priority::Normal, 2, JobKind::Array);
+  cluster.run(60);
+  EXPECT_EQ(cluster.stops, 0);
+  EXPECT_EQ(cluster.running("a-1"), 0);
 }
 
-// A job that came within its team's guarantee starts although its own team has more urgent work beyond the
-// guarantee waiting; once started and left alone, it is stopped for that as ever.
-TEST(QuotaReclaim, WhatCameWithinAGuaranteeStartsBeforeItIsStoppedForItsOwnTeamsUrgentWork) {
-  Site site(2);  // four places, which `a` is guaranteed in full
-  site.submit("a-1", "a", Priority::Normal, 4, JobKind::Array);
-  site.run(2);
-  ASSERT_EQ(site.running("a-1"), 4);
-  site.submit("a-2", "a", Priority::High, 2, JobKind::Gang);  // fits the limit, not the guarantee
-  site.run(20);
-  EXPECT_EQ(site.running("a-1"), 4);
-  EXPECT_EQ(site.stops, 0);
-  site.run(30);
-  EXPECT_EQ(site.running("a-2"), 2);
-  EXPECT_EQ(site.running("a-1"), 2);
+// A job admitted within its team's guarantee starts although its own team has more urgent work beyond the
+// guarantee waiting; once it has started and run undisturbed, it is stopped for that work as usual.
+TEST(QuotaReclaim, AJobWithinAGuaranteeStartsBeforeItIsStoppedForItsOwnTeamsUrgentWork) {
+  QuotaReclaimTestCluster cluster(2);  // four slots, all guaranteed to `a`
+  cluster.submit("a-1", "a", Priority::Normal, 4, JobKind::Array);
+  cluster.run(2);
+  ASSERT_EQ(cluster.running("a-1"), 4);
+  cluster.submit("a-2", "a", Priority::High, 2, JobKind::Gang);  // fits the limit, not the guarantee
+  cluster.run(20);
+  EXPECT_EQ(cluster.running("a-1"), 4);
+  EXPECT_EQ(cluster.stops, 0);
+  cluster.run(30);
+  EXPECT_EQ(cluster.running("a-2"), 2);
+  EXPECT_EQ(cluster.running("a-1"), 2);
 }
 
-// Work that needs one place takes each as it becomes free; a gang of many that is due has a zone kept for it
-// where places become free quickly, and not where it would idle for long.
-TEST(ZoneHold, AGangThatIsDueStartsAmongSmallWorkThatNeverCeases) {
-  Site site(12);  // 24 places
-  site.run_s = 3;
+// Guards against a large gang that starves because work that needs one slot takes each slot as it becomes
+// free: a zone is held for a gang that is due if slots become free quickly, but not if the zone would be idle
+// for long.
+TEST(ZoneHold, AGangThatIsDueStartsAlthoughSmallJobsKeepArriving) {
+  QuotaReclaimTestCluster cluster(12);  // 24 slots
+  cluster.run_s = 3;
   int submitted = 0;
   auto small_work = [&](double seconds) {
-    for (double end = site.now + seconds; site.now < end;) {
-      while (site.scheduler->jobs().size() < 60)  // more than there is room for, at every moment
-        site.submit("s-" + std::to_string(submitted++), "b", Priority::High, 1, JobKind::Gang);
-      site.run(0.25);
-      for (const auto& id : site.scheduler->finished_jobs()) site.scheduler->forget_job(id);
+    for (double end = cluster.now + seconds; cluster.now < end;) {
+      while (cluster.scheduler->jobs().size() < 60)  // always more than fit
+        cluster.submit("s-" + std::to_string(submitted++), "b", Priority::High, 1, JobKind::Gang);
+      cluster.run(0.25);
+      for (const auto& id : cluster.scheduler->finished_jobs()) cluster.scheduler->forget_job(id);
     }
   };
   small_work(8);
-  site.submit("gang", "b", Priority::High, 12, JobKind::Gang);
+  cluster.submit("gang", "b", Priority::High, 12, JobKind::Gang);
   small_work(15);
-  EXPECT_EQ(site.running("gang"), 0);
+  EXPECT_EQ(cluster.running("gang"), 0);
   small_work(6);
-  EXPECT_TRUE(!site.scheduler->job("gang") || site.scheduler->job("gang")->active.size() == 12 ||
-              site.scheduler->job("gang")->done == 12);
+  EXPECT_TRUE(!cluster.scheduler->job("gang") || cluster.scheduler->job("gang")->active.size() == 12 ||
+              cluster.scheduler->job("gang")->done == 12);
 }
 
 }  // namespace
--- a/tests/scaling_test.cc
+++ b/tests/scaling_test.cc
@@ -1,4 +1,5 @@
-// How many machines are held: none is returned between jobs that keep coming, all are once they have ceased.
+// How many machines are held: none is returned between jobs that keep arriving, all are once arrivals have
+// ceased.
 #include "scaling.h"
 
 #include <gtest/gtest.h>
@@ -21,10 +22,10 @@
     choices.headroom_machines = 2;
     scheduler = std::make_unique<Scheduler>(config, 1, 0, 7);
     scheduler->set_catalog({plain_type({"a"})});
-    pass(1);
+    advance(1);
   }
-  /// Time in which the machines report and no job comes.
-  void pass(double seconds) {
+  /// Advances the time: the machines send heartbeats, and no job arrives.
+  void advance(double seconds) {
     for (double until = now + seconds; now < until; now += 1) {
       for (int i = 0; i < 6; ++i) {
         Heartbeat heartbeat = first_heartbeat("n-" + std::to_string(i));
@@ -39,7 +40,7 @@
   void run_job(int number) {
     const JobSpec spec = job_spec(number);
     scheduler->upsert_job(spec, static_cast<std::uint64_t>(number + 1), false, now);
-    pass(5);
+    advance(5);
     scheduler->forget_job(spec.id);
   }
   static JobSpec job_spec(int number) { return array_spec("run-" + std::to_string(number), "x", 1, 1); }
@@ -47,28 +48,28 @@
   std::map<int, std::uint64_t> tokens;
 };
 
-TEST_F(ScalingTest, KeepsIdleMachinesWhileJobsKeepComing) {
+TEST_F(ScalingTest, KeepsIdleMachinesWhileJobsKeepArriving) {
   for (int number = 0; number < 8; ++number) {
     run_job(number);
-    pass(20);
+    advance(20);
     EXPECT_EQ(machines_returned(), 0u) << number;
   }
 }
 
-TEST_F(ScalingTest, ReturnsAllOnceJobsHaveCeasedForSeveralOfTheirGaps) {
+TEST_F(ScalingTest, ReturnsAllOnceNoJobArrivedForSeveralUsualGaps) {
   for (int number = 0; number < 8; ++number) {
     run_job(number);
-    pass(20);
+    advance(20);
   }
-  pass(60);  // gaps of 25 s: four of them are not over yet
+  advance(60);  // the gaps are 25 s, so four of them are not over yet
   EXPECT_EQ(machines_returned(), 0u);
-  pass(40);
+  advance(40);
   EXPECT_EQ(machines_returned(), 6u);
 }
 
-TEST_F(ScalingTest, ReturnsNothingWhileAJobIsUnfinishedHoweverLongNoneCame) {
+TEST_F(ScalingTest, ReturnsNothingWhileAJobIsUnfinishedHoweverLongNoneArrived) {
   scheduler->upsert_job(job_spec(1), 1, false, now);
-  pass(500);
+  advance(500);
   EXPECT_EQ(machines_returned(), 0u);
 }
 
--- a/tests/scheduling_cost_test.cc
+++ b/tests/scheduling_cost_test.cc
@@ -1,5 +1,5 @@
-// A large cluster: 600 machines and more, thousands of tasks. What is counted is work (machines and
-// tasks looked at), never time, so the verdict is the same on every machine.
+// Scheduling cost on a large cluster: 600 machines and more, thousands of tasks. The tests count work
+// (machines and tasks examined), never time, so the result is the same on every computer.
 #include <gtest/gtest.h>
 
 #include <iostream>
@@ -47,8 +47,8 @@
     spec.image_gb = 3;
     scheduler->upsert_job(spec, revision, false, 0);
   }
-  /// Work of one scheduling cycle.
-  std::uint64_t pass(double now) {
+  /// Runs one scheduling cycle and returns how many items it examined.
+  std::uint64_t run_cycle(double now) {
     auto before = scheduler->items_examined();
     scheduler->schedule(now);
     for (;;) {
@@ -65,59 +65,62 @@
   }
 };
 
-// Guards against passes that look at every machine for every waiting job: on a full site with a long queue
-// that kept the leader busy for 400 ms at a time.
-TEST(Scale, AFullSiteWithALongQueueCostsAPassAboutOneLookAtEachMachine) {
-  LargeCluster site(600);
-  for (int i = 0; i < 400; ++i) site.add(JobKind::Gang, Priority::High, 1 + i % 16, 0);
-  for (int i = 0; i < 60; ++i) site.pass(0.1 * i);
-  EXPECT_GT(site.started(), 1000u);
+// Guards against scheduling cycles that examine every machine for every waiting job: on a full cluster with a
+// long queue that kept the leader busy for 400 ms at a time.
+TEST(Scale, ACycleOnAFullClusterWithALongQueueExaminesEachMachineAboutOnce) {
+  LargeCluster cluster(600);
+  for (int i = 0; i < 400; ++i) cluster.add(JobKind::Gang, Priority::High, 1 + i % 16, 0);
+  for (int i = 0; i < 60; ++i) cluster.run_cycle(0.1 * i);
+  EXPECT_GT(cluster.started(), 1000u);
   std::size_t waiting = 0;
-  for (const auto& [id, job] : site.scheduler->jobs()) waiting += job.queued > 0;
+  for (const auto& [id, job] : cluster.scheduler->jobs()) waiting += job.queued > 0;
   ASSERT_GT(waiting, 100u);
-  // One look at all machines for each gang size that does not fit, suspect machines included.
-  EXPECT_LE(site.pass(7), 600u * 2 * 16);
+  // All machines are examined once for each gang size that does not fit, suspect machines included.
+  EXPECT_LE(cluster.run_cycle(7), 600u * 2 * 16);
 }
 
-// Guards against decisions that walk the fleet: the same queue on a site of three sizes, half of it taken by
-// work of four shapes, a third of that of lower priority than some of what waits. What a pass looks at must
-// not grow with the site, whether it places, finds no room or stops work.
-TEST(Scale, APassOverTheSameQueueLooksAtNoMoreOnALargerFleet) {
+// Guards against decisions that examine the whole fleet: the same queue is scheduled on clusters of three
+// sizes, half in use by work of four shapes, a third of which has lower priority than some of the queue. The
+// number of items that a cycle examines must not grow with the cluster, whether it places work, finds no
+// capacity or stops work.
+TEST(Scale, ACycleOverTheSameQueueExaminesNoMoreOnALargerCluster) {
   std::map<int, std::uint64_t> placing, stopping, waiting;
   for (int n : {1000, 5000, 20000}) {
-    LargeCluster site(n);
+    LargeCluster cluster(n);
     double now = 0;
     auto run = [&] {
-      for (const auto& name : site.scheduler->machines_with_commands()) {
-        auto command_batch = site.scheduler->take_commands(name, now);
-        site.scheduler->dispatch_done(name, command_batch, Scheduler::DispatchOutcome::Executed, now);
+      for (const auto& name : cluster.scheduler->machines_with_commands()) {
+        auto command_batch = cluster.scheduler->take_commands(name, now);
+        cluster.scheduler->dispatch_done(name, command_batch, Scheduler::DispatchOutcome::Executed, now);
       }
     };
-    site.add(JobKind::Array, Priority::Low, n / 3, 0);
-    site.add(JobKind::Array, Priority::Normal, n / 6, 0, {4, 0, 10});
-    site.add(JobKind::Array, Priority::Normal, n / 6, 0, {7, 0, 90});
-    site.add(JobKind::Array, Priority::Low, n / 4, 2);
-    for (std::size_t before = 1; site.started() != before; run()) before = site.started(), site.pass(now);
+    cluster.add(JobKind::Array, Priority::Low, n / 3, 0);
+    cluster.add(JobKind::Array, Priority::Normal, n / 6, 0, {4, 0, 10});
+    cluster.add(JobKind::Array, Priority::Normal, n / 6, 0, {7, 0, 90});
+    cluster.add(JobKind::Array, Priority::Low, n / 4, 2);
+    for (std::size_t before = 1; cluster.started() != before; run())
+      before = cluster.started(), cluster.run_cycle(now);
     for (int i = 0; i < 5; ++i) {
-      site.add(JobKind::Gang, Priority::Normal, 4 + i, 0);
-      site.add(JobKind::Array, Priority::Normal, 12, i % 2);
+      cluster.add(JobKind::Gang, Priority::Normal, 4 + i, 0);
+      cluster.add(JobKind::Array, Priority::Normal, 12, i % 2);
     }
-    auto started = site.started();
-    placing[n] = site.pass(now);
-    EXPECT_EQ(site.started() - started, 30u + 60u) << n;
+    auto started = cluster.started();
+    placing[n] = cluster.run_cycle(now);
+    EXPECT_EQ(cluster.started() - started, 30u + 60u) << n;
     run();
-    // Filled up, with a queue that waits; and then a gang that may stop some of it.
-    site.add(JobKind::Array, Priority::Low, 4 * n, 0);
-    for (std::size_t before = 0; site.started() != before; run()) before = site.started(), site.pass(now);
-    for (int i = 0; i < 40; ++i) site.add(JobKind::Gang, Priority::Low, 1 + i % 16, 0);
-    site.pass(now);
-    waiting[n] = site.pass(now);
-    site.add(JobKind::Gang, Priority::High, 16, 0);
-    stopping[n] = site.pass(now);
+    // Fills the cluster with a queue that waits; then adds a gang that may stop some of the work.
+    cluster.add(JobKind::Array, Priority::Low, 4 * n, 0);
+    for (std::size_t before = 0; cluster.started() != before; run())
+      before = cluster.started(), cluster.run_cycle(now);
+    for (int i = 0; i < 40; ++i) cluster.add(JobKind::Gang, Priority::Low, 1 + i % 16, 0);
+    cluster.run_cycle(now);
+    waiting[n] = cluster.run_cycle(now);
+    cluster.add(JobKind::Gang, Priority::High, 16, 0);
+    stopping[n] = cluster.run_cycle(now);
     std::size_t stopped = 0;
-    for (const auto& [id, job] : site.scheduler->jobs())
+    for (const auto& [id, job] : cluster.scheduler->jobs())
       for (const auto& [i, a] : job.active) stopped += a.stop;
-    // At some of its places there may be room as it is.
+    // On some of the chosen machines a task may fit without a stop.
     EXPECT_LE(stopped, 16u) << n;
     EXPECT_GE(stopped, 8u) << n;
   }
@@ -126,54 +129,54 @@
       EXPECT_LE(steps->at(n), steps->at(1000) * 3 / 2) << n;
       std::cout << n << " machines: " << steps->at(n) << " steps\n";
     }
-  // A task placed looks at some pools, buckets and twelve machines.
+  // Placing a task examines some pools and buckets, and twelve machines.
   EXPECT_LE(placing[1000], 90u * 60);
 }
 
-// Room for an urgent gang is found with one walk over machines and tasks, whatever its size.
-TEST(Scale, PreemptionCostsOneWalkOverMachinesAndTasks) {
-  LargeCluster site(600);
-  for (int i = 0; i < 30; ++i) site.add(JobKind::Array, Priority::Normal, 100, 0);
-  for (int i = 0; i < 60; ++i) site.pass(0.1 * i);
-  auto tasks = site.started();
+// Guards against preemption whose cost grows with the size of the gang: it examines machines and tasks once.
+TEST(Scale, PreemptionExaminesMachinesAndTasksOnce) {
+  LargeCluster cluster(600);
+  for (int i = 0; i < 30; ++i) cluster.add(JobKind::Array, Priority::Normal, 100, 0);
+  for (int i = 0; i < 60; ++i) cluster.run_cycle(0.1 * i);
+  auto tasks = cluster.started();
   ASSERT_GT(tasks, 700u);
-  // What has only been assigned is not stopped: the launches go out first.
-  for (const auto& name : site.scheduler->machines_with_commands()) {
-    auto command_batch = site.scheduler->take_commands(name, 6);
-    site.scheduler->dispatch_done(name, command_batch, Scheduler::DispatchOutcome::Executed, 6);
+  // Tasks that have only been assigned are not stopped, so the start commands are sent first.
+  for (const auto& name : cluster.scheduler->machines_with_commands()) {
+    auto command_batch = cluster.scheduler->take_commands(name, 6);
+    cluster.scheduler->dispatch_done(name, command_batch, Scheduler::DispatchOutcome::Executed, 6);
   }
-  site.add(JobKind::Gang, Priority::High, 16, 0);
-  auto steps = site.pass(7);
+  cluster.add(JobKind::Gang, Priority::High, 16, 0);
+  auto steps = cluster.run_cycle(7);
   std::size_t stopped = 0;
-  for (const auto& [id, job] : site.scheduler->jobs())
+  for (const auto& [id, job] : cluster.scheduler->jobs())
     for (const auto& [i, a] : job.active) stopped += a.stop;
   EXPECT_EQ(stopped, 16u);
-  // Three looks at the machines (gang, suspect ones, the arrays that wait) and two at each task.
+  // The machines are examined three times (for the gang, suspect ones, waiting arrays) and each task twice.
   EXPECT_LE(steps, 600u * 4 + 2 * tasks);
 }
 
-// What a heartbeat changes is looked at, not all machines.
-TEST(Scale, CommandsAreLookedForOnlyWhereSomethingChanged) {
-  LargeCluster site(600);
-  site.scheduler->machines_with_commands();
-  EXPECT_TRUE(site.scheduler->machines_with_commands().empty());
-  site.add(JobKind::Array, Priority::Normal, 1, 0);
-  site.pass(0);
-  EXPECT_EQ(site.scheduler->machines_with_commands().size(), 1u);
+// Guards against a search over all machines: only machines with changes are checked for commands.
+TEST(Scale, CommandsAreCollectedOnlyFromMachinesWithChanges) {
+  LargeCluster cluster(600);
+  cluster.scheduler->machines_with_commands();
+  EXPECT_TRUE(cluster.scheduler->machines_with_commands().empty());
+  cluster.add(JobKind::Array, Priority::Normal, 1, 0);
+  cluster.run_cycle(0);
+  EXPECT_EQ(cluster.scheduler->machines_with_commands().size(), 1u);
 }
 
-// PROTOCOL's largest job: 100,000 tasks, in records that fit, started within a few passes as far as room
-// goes.
+// The largest job of the protocol, 100,000 tasks: it is split into records that fit the size limit, and
+// within a few cycles as many tasks start as fit.
 TEST(Scale, AJobOfAHundredThousandTasksIsShardedAndStarts) {
-  LargeCluster site(600);
-  site.add(JobKind::Array, Priority::Normal, 100000, 0);
+  LargeCluster cluster(600);
+  cluster.add(JobKind::Array, Priority::Normal, 100000, 0);
   for (int i = 0; i < 60; ++i) {
-    site.scheduler->schedule(0.1 * i);
-    auto batch = site.scheduler->next_writes(1000, true, 0);
+    cluster.scheduler->schedule(0.1 * i);
+    auto batch = cluster.scheduler->next_writes(1000, true, 0);
     for (const auto& write : batch) EXPECT_LE(write.value.dump().size(), 16u * 1024);
-    site.scheduler->records_written(batch, ++site.revision, 0.1 * i);
+    cluster.scheduler->records_written(batch, ++cluster.revision, 0.1 * i);
   }
-  EXPECT_GT(site.started(), 700u);
+  EXPECT_GT(cluster.started(), 700u);
 }
 
 }  // namespace
