--- a/src/scheduler/heartbeat_reconciler.cc
+++ b/src/scheduler/heartbeat_reconciler.cc
@@ -201,10 +201,10 @@
 }
 
 void HeartbeatReconciler::update_load(Machine& machine, double now) {
-  machine.load.starting = 0;
+  machine.load.heat = 0;
   for (const auto& [id, index] : machine.tasks) {
     const Stage stage = state_.jobs().at(id).active.at(index).stage;
-    if (stage != Stage::Running && stage != Stage::Saving) ++machine.load.starting;
+    if (stage != Stage::Running && stage != Stage::Saving) ++machine.load.heat;
   }
   const double slack = machine.slack();
   if (machine.load.observed_at > 0 && now > machine.load.observed_at + kMinSlopeInterval) {
@@ -212,11 +212,11 @@
     const double passed = now - machine.load.observed_at;
     machine.load.slack_slope =
         (1 - weight) * machine.load.slack_slope + weight * (slack - machine.load.observed_slack) / passed;
-    machine.load.starting_slope = (1 - weight) * machine.load.starting_slope +
-                                  weight * (machine.load.starting - machine.load.observed_starting) / passed;
+    machine.load.heat_slope = (1 - weight) * machine.load.heat_slope +
+                              weight * (machine.load.heat - machine.load.observed_heat) / passed;
   }
   machine.load.observed_slack = slack;
-  machine.load.observed_starting = machine.load.starting;
+  machine.load.observed_heat = machine.load.heat;
   machine.load.observed_at = now;
 }
 
--- a/src/scheduler/machine.h
+++ b/src/scheduler/machine.h
@@ -77,11 +77,11 @@
 /// A machine's load and its rate of change, as of the last heartbeat. Written by HeartbeatReconciler;
 /// TaskLifecycle adds a starting task as soon as it is assigned.
 struct MachineLoad {
-  int starting = 0;           // tasks that are assigned but not running yet
-  double slack_slope = 0;     // per s, smoothed
-  double starting_slope = 0;  // per s, smoothed
+  int heat = 0;            // tasks that are assigned but not running yet
+  double slack_slope = 0;  // per s, smoothed
+  double heat_slope = 0;   // per s, smoothed
   double observed_slack = 1;
-  double observed_starting = 0;
+  double observed_heat = 0;
   double observed_at = kLongAgo;
 };
 
--- a/src/scheduler/task_lifecycle.cc
+++ b/src/scheduler/task_lifecycle.cc
@@ -33,7 +33,7 @@
   task.reservation_expires_at = now + c::kReservationTimeout + 2 * state_.fetch_time(job.spec, machine);
   task.generation = records_.mark_dirty(job, index, Urgency::Launch, now);
   state_.occupy(job, index, std::move(task), machine);
-  ++machine.load.starting;
+  ++machine.load.heat;
   state_.mark_changed(job.spec.id);
   state_.reindex(machine, now);
   state_.reindex(job);
--- a/tests/index_consistency_test.cc
+++ b/tests/index_consistency_test.cc
@@ -267,9 +267,9 @@
       double heat = 0;
       std::map<std::string, int> images;
       for (const auto* machine : machines) {
-        double slope = machine->load.starting <= 0 ? std::max(0.0, machine->load.starting_slope)
-                                                   : machine->load.starting_slope;
-        heat += machine->load.starting + (now - machine->worker.last_heartbeat_at) * slope;
+        double slope =
+            machine->load.heat <= 0 ? std::max(0.0, machine->load.heat_slope) : machine->load.heat_slope;
+        heat += machine->load.heat + (now - machine->worker.last_heartbeat_at) * slope;
         for (const auto& image : machine->images) ++images[image];
       }
       EXPECT_NEAR(bucket->heat.at(now), heat, 1e-6);
