--- a/tests/term_test.cc
+++ b/tests/term_test.cc
@@ -164,7 +164,7 @@
   scheduler->take_commands("n-8", now - 1000);
   Machine* machine = scheduler->machine("n-8");
   machine->worker.last_reply_at = now - 1000;
-  machine->worker.last_launch = now - 1000;
+  machine->worker.last_launch_at = now - 1000;
   machine->worker.term_token_observed_at = now - 1000;
   ASSERT_EQ(scheduler->machines_with_expired_leases(now).size(), 1u);
   LeaseExpiryMonitor monitor(loop, settings, client, term, *scheduler, callbacks);
