--- a/src/controller/job_reader.cc
+++ b/src/controller/job_reader.cc
@@ -24,10 +24,10 @@
   });
 }
 
-void JobReader::read_outcome(const std::string& job, StoredJob unfinished_job, Callback done) {
-  state_.get(kFinals + job, [this, job, unfinished_job = std::move(unfinished_job),
+void JobReader::read_outcome(const std::string& job, StoredJob state_from_record, Callback done) {
+  state_.get(kFinals + job, [this, job, state_from_record = std::move(state_from_record),
                              done = std::move(done)](StateReply reply) mutable {
-    if (reply.status == StateStatus::Missing) return done(std::move(unfinished_job));
+    if (reply.status == StateStatus::Missing) return done(std::move(state_from_record));
     auto stored = reply.ok() ? codec::parse_value(reply.body) : std::nullopt;
     if (!stored) return done(std::nullopt);
     auto outcome = parse_job_outcome(stored->value);
--- a/src/controller/job_reader.h
+++ b/src/controller/job_reader.h
@@ -34,7 +34,7 @@
   void read(const std::string& job, Callback done);
 
  private:
-  void read_outcome(const std::string& job, StoredJob unfinished_job, Callback done);
+  void read_outcome(const std::string& job, StoredJob state_from_record, Callback done);
   StateClient& state_;
   const JobAdmission& admission_;
   JobStatusCache& status_cache_;
