--- a/src/heartbeat_fanin/heartbeat_forwarder.h
+++ b/src/heartbeat_fanin/heartbeat_forwarder.h
@@ -50,7 +50,7 @@
     Heartbeat heartbeat;
     std::string body;
     LeaderReplyCallback reply;
-    double arrived_at = 0;   // when it arrived, s of the steady clock
+    double arrived_at = 0;   // s of the steady clock
     bool needs_full = true;  // the leader cannot complete a delta of it
   };
   /// The last full heartbeat of a worker that the leader has answered.
