--- a/src/simulation/cloud.cc
+++ b/src/simulation/cloud.cc
@@ -14,9 +14,10 @@
 
 constexpr double kMinBilledTime = 60;  // s
 constexpr double kSecondsPerHour = 3600;
-constexpr int kMaxProvisionedAtOnce = 50;
-constexpr std::size_t kMaxListedAtOnce = 500;
-// A boot takes between these multiples of its type's usual time, a list's age of the usual lag.
+constexpr int kMaxProvisionedAtOnce = 50;      // machines per request
+constexpr std::size_t kMaxListedAtOnce = 500;  // machines per page of a list
+// Bounds of a boot's duration as multiples of its type's usual boot time, and of a list's age as multiples of
+// the usual lag.
 constexpr double kMinBootShare = 0.6;
 constexpr double kMaxBootShare = 1.5;
 constexpr double kMinLagShare = 0.5;
@@ -78,8 +79,8 @@
     if (capacity.type == type && capacity.zone == zone && capacity.spot == spot) free = capacity.max_machines;
   for (const auto& [name, machine] : machines_) {
     const MachineFacts& facts = machine.facts;
-    const bool there = !machine.gone_at && !machine.died_at;
-    if (there && facts.type.name == type && facts.zone == zone && facts.spot == spot) --free;
+    const bool exists = !machine.gone_at && !machine.died_at;
+    if (exists && facts.type.name == type && facts.zone == zone && facts.spot == spot) --free;
   }
   return free;
 }
@@ -154,7 +155,7 @@
 
 ServiceReply Cloud::list(const std::string& target) {
   const auto after = query_field(target, "after");
-  // The zero stands for a field that is not there.
+  // The prefixed zero makes an absent field read as 0.
   const std::size_t wanted = std::stoul("0" + query_field(target, "most"));
   const std::size_t max_machines = std::min(kMaxListedAtOnce, wanted);
   std::uniform_real_distribution<double> lag_share(kMinLagShare, kMaxLagShare);
--- a/src/simulation/cloud.h
+++ b/src/simulation/cloud.h
@@ -1,6 +1,6 @@
-// Stand-in for the platform's cloud of PROTOCOL: a catalog; machines by type, zone and kind as far as there
-// are any; requests with names, which never provision twice; boots that are slow or never end; lists that
-// lag; a rate. Runs on any Loop.
+// Stand-in for the platform's cloud API as the protocol defines it: a catalog of machine types; machines by
+// type, zone and kind (spot or not) up to a capacity; named, idempotent provisioning requests; boots that are
+// slow or never end; lists that lag; a rate limit. Runs on any Loop.
 #pragma once
 #include <functional>
 #include <map>
@@ -17,7 +17,7 @@
 
 namespace corkmux::simulation {
 
-/// How many machines of one type and kind there are in one zone.
+/// The most machines of one type and kind (spot or not) that can exist in one zone.
 struct Capacity {
   std::string type;
   std::string zone;
@@ -25,42 +25,44 @@
   int max_machines = 0;
 };
 
+/// Serves the cloud API over HTTP and keeps the machines and their costs. Reports boots and deletions through
+/// Callbacks.
 class Cloud {
  public:
-  /// Any may be left out.
+  /// Each callback is optional.
   struct Callbacks {
     /// A machine has booted.
     std::function<void(const MachineFacts&)> booted;
     /// A machine was deleted while it was up.
     std::function<void(const std::string& name)> deleted;
-    /// Where a machine's worker takes commands, for lists.
+    /// Returns the host:port at which a machine's worker takes commands; lists contain it.
     std::function<std::string(const std::string& name)> address;
   };
-  /// Listens at once, at `listen`; throws std::runtime_error when the address cannot be had. `list_lag_s`: by
-  /// which lists are old on average.
+  /// Starts to listen at `listen`; throws std::runtime_error if the address cannot be bound. `list_lag_s`:
+  /// the average age of lists.
   Cloud(Loop& loop, std::vector<MachineType> types, std::vector<Capacity> capacity, double list_lag_s,
         Callbacks callbacks, const std::string& listen = "127.0.0.1:0");
-  /// A cloud without machines to provision, as most tests need it.
+  /// A cloud without capacity for provisioning, which is enough for most tests.
   explicit Cloud(Loop& loop);
   std::string address() const { return "127.0.0.1:" + std::to_string(server_.port()); }
   int port() const { return server_.port(); }
 
-  /// A fault: everybody gets 503.
+  /// Fault: every request is answered 503.
   bool unavailable = false;
   RateLimiter request_rate;
 
   int deletion_requests() const { return deletion_requests_; }
-  /// A machine that is there at the start.
+  /// Adds a machine that is already up.
   MachineFacts add_machine(const std::string& type, const std::string& zone, bool spot);
-  /// It has stopped on its own; listed as running for a while.
+  /// Records that the machine has failed; it is still listed as running for kDeadListed seconds.
   void machine_died(const std::string& name);
-  /// The cloud has taken it back.
+  /// Records that the cloud has reclaimed the spot machine.
   void machine_reclaimed(const std::string& name);
-  /// What all machines cost so far, in the catalog's unit.
+  /// The cost of all machines so far, in the catalog's unit.
   double cost() const;
 
  private:
-  /// Times are s of the steady clock; none: not yet.
+  /// Times are seconds of the steady clock; an empty time means that the event has not happened.
   struct Machine {
     MachineFacts facts;
     double provisioned_at = 0;
@@ -87,7 +89,7 @@
   int last_machine_ = 0;
   int deletion_requests_ = 0;
   std::map<std::string, Machine> machines_;
-  std::map<std::string, codec::Json> provisioned_;  // what each request by its name was answered
+  std::map<std::string, codec::Json> provisioned_;  // the answer to each request, by the request's name
   std::vector<std::unique_ptr<Timer>> boots_;
   http::Server server_;
 };
--- a/src/simulation/cluster_simulation.cc
+++ b/src/simulation/cluster_simulation.cc
@@ -11,7 +11,7 @@
 constexpr const char* kUsersIp = "10.3.0.1";
 constexpr int kStatePort = 2379;
 constexpr int kCloudPort = 8443;
-constexpr double kCloudBurst = 2;  // s worth of the cloud's rate
+constexpr double kCloudBurst = 2;  // s; the cloud's bucket holds so many seconds of its rate
 
 }  // namespace
 
@@ -50,7 +50,7 @@
   simulator_.schedule_at(kProgressInterval, nullptr, [this] { sample_progress(); });
 }
 
-/// Controllers end while what they talk to is there.
+/// Controllers are destroyed first, while the services that they use still exist.
 ClusterSimulation::~ClusterSimulation() { controllers_.reset(); }
 
 void ClusterSimulation::make_services() {
--- a/src/simulation/cluster_simulation.h
+++ b/src/simulation/cluster_simulation.h
@@ -1,6 +1,6 @@
-// A whole cluster in one process and in stepped time: real controllers, and around them machines, users, a
-// state service, a cloud and a network, from one seed. Joins the modules of this folder, plays a plan and
-// reports on it.
+// Simulates a whole cluster in one process and in simulated time: real controllers with simulated machines,
+// users, state store, cloud and network, all driven by one random seed. Connects the modules of this
+// directory, runs a plan and reports the results.
 #pragma once
 #include <cstdint>
 #include <memory>
@@ -24,40 +24,43 @@
 
 namespace corkmux::simulation {
 
-inline constexpr double kStateAnswer = 0.004;           // s an answer takes, usually under 10 ms (PROTOCOL)
-inline constexpr double kSlowStateAnswerShare = 0.005;  // of answers that take longer
-inline constexpr double kSlowStateAnswer = 0.25;        // s; a few hundred ms (PROTOCOL)
-inline constexpr double kRecentBoot = 3;                // s since it is up; a machine's first seconds
+inline constexpr double kStateAnswer =
+    0.004;  // s; usual latency of the state store, under 10 ms (the protocol)
+inline constexpr double kSlowStateAnswerShare = 0.005;  // share of answers with kSlowStateAnswer
+inline constexpr double kSlowStateAnswer = 0.25;        // s; a few hundred ms (the protocol)
+inline constexpr double kRecentBoot = 3;  // s since its boot in which a machine counts as recently booted
 
+/// One run of a plan with one seed.
 class ClusterSimulation {
  public:
-  /// Everything is set up and the controllers are started; nothing has run yet. One simulation at a time.
+  /// Sets up all components and starts the controllers; no event runs before run(). Only one simulation may
+  /// exist at a time.
   ClusterSimulation(SimulationPlan plan, std::uint64_t seed);
   ~ClusterSimulation();
   ClusterSimulation(const ClusterSimulation&) = delete;
   ClusterSimulation& operator=(const ClusterSimulation&) = delete;
 
-  /// Plays the plan to its end.
+  /// Runs the plan to its end.
   void run();
 
   const InvariantChecker& checker() const { return checker_; }
   const SimulatedNetwork& network() const { return simulator_.network(); }
-  /// The rules hold, and every class and team is served by at least the plan's share.
+  /// Whether no invariant is violated and every job class and team is served at least the plan's share.
   bool good() const { return problems().empty(); }
   std::vector<std::string> problems() const { return find_problems(checker_, plan_.served); }
-  /// What happened, a line each, in order of time: faults and terms.
+  /// Faults and leader terms, one line each, in order of time.
   const std::vector<std::string>& events() const { return history_.events(); }
   codec::Json report() const;
   std::string report_text() const;
 
-  /// How often it came to what a test wants to have happened.
+  /// Counts of the situations that a test requires to have occurred.
   struct Occurrences {
     FaultInjector::CancelledJobs cancelled;
-    int starts_after_boot = 0;         // on machines up for a few seconds, while writes were late
-    std::size_t heartbeat_copies = 0;  // that reached all controllers as a new leader began
+    int starts_after_boot = 0;         // on machines up for less than kRecentBoot, while writes were late
+    std::size_t heartbeat_copies = 0;  // delivered to all controllers when a new leader's term began
   };
   Occurrences occurrences() const;
-  /// Leaders that began.
+  /// Number of leader terms that began.
   int terms() const { return leader_detector_->terms(); }
 
  private:
@@ -78,7 +81,7 @@
   Host& users_host_;
   Loop services_loop_;
   Loop users_loop_;
-  // Made in this order, in the runtime of the host that they run on.
+  // Created in this order, each in the runtime of the host that it runs on.
   std::unique_ptr<StateService> state_;
   std::unique_ptr<JobRegistry> registry_;
   std::unique_ptr<Cloud> cloud_;
--- a/src/simulation/controller_fleet.cc
+++ b/src/simulation/controller_fleet.cc
@@ -8,13 +8,13 @@
 namespace corkmux::simulation {
 namespace {
 
-constexpr int kFirstStatePort = 3000;   // of the state service, for the first controller
-constexpr double kRestartSpread = 0.1;  // share by which a restart is early or late
+constexpr int kFirstStatePort = 3000;   // the state store's port for the first controller
+constexpr double kRestartSpread = 0.1;  // fraction by which a restart delay varies either way
 
 std::string label_of(std::size_t index) { return fmt::format("c{}", index + 1); }
 std::string controller_ip(std::size_t index) { return fmt::format("10.0.0.{}", index + 1); }
 
-/// What every controller is told of all controllers.
+/// Labels, zones and peer addresses of all controllers, for their settings.
 std::vector<PeerAddress> peer_addresses(const std::vector<std::string>& zones) {
   std::vector<PeerAddress> all;
   for (std::size_t i = 0; i < zones.size(); ++i)
--- a/src/simulation/controller_fleet.h
+++ b/src/simulation/controller_fleet.h
@@ -1,6 +1,6 @@
-// The processes of the controllers: starts each real Controller on a simulated host of its own, ends it as
-// faults demand and starts it again, as the platform's supervisor would. Owns the processes; knows nothing of
-// faults.
+// The controller processes: starts each real Controller on a simulated host of its own, ends it on request of
+// the fault injector and restarts it, as the platform's supervisor would. Owns the processes; does not depend
+// on the faults.
 #pragma once
 #include <map>
 #include <memory>
@@ -15,33 +15,33 @@
 
 namespace corkmux::simulation {
 
-inline constexpr int kUserPort = 8080;  // of controllers, for users and workers
-inline constexpr int kPeerPort = 8081;  // of controllers, for one another
+inline constexpr int kUserPort = 8080;  // controllers' port for users and workers
+inline constexpr int kPeerPort = 8081;  // controllers' port for other controllers
 
-/// One controller, which may run, or have ended and be about to start again on a new host at the same
-/// address.
+/// One controller process. Either it runs, or it has ended and its restart on a new host at the same address
+/// is scheduled.
 class ControllerProcess {
  public:
-  /// `state_listener`: the state service's listener that only this controller uses.
+  /// `state_listener`: the listener of the state store that only this controller uses.
   ControllerProcess(EventSimulator& simulator, Settings settings, std::size_t state_listener);
   ~ControllerProcess();
   ControllerProcess(const ControllerProcess&) = delete;
   ControllerProcess& operator=(const ControllerProcess&) = delete;
 
   void start();
-  /// The process exits and is started again after about `back_s`. Does nothing while it does not run.
+  /// The process exits and restarts after about `back_s` (+/- 10 %). No effect if it is not running.
   void crash(double back_s) { end(HostEnd::ProcessExited, back_s); }
-  /// Its machine is off for about so long. Does nothing while it does not run.
+  /// The process's machine is powered off for about `for_s` (+/- 10 %). No effect if it is not running.
   void power_off(double for_s) { end(HostEnd::PoweredOff, for_s); }
 
   const std::string& label() const { return settings_.label; }
   std::size_t state_listener() const { return state_listener_; }
   bool running() const { return controller_ != nullptr; }
-  /// Runs and is not stalled.
+  /// Whether the process runs and its host is not stalled.
   bool responsive() const { return running() && !host_->stalled(); }
-  /// Needs running().
+  /// Precondition: running().
   bool leading() const { return controller_->leading(); }
-  /// The latest host. Needs one start().
+  /// The host of the latest start. Precondition: start() was called.
   Host& host() const { return *host_; }
 
  private:
@@ -53,26 +53,27 @@
   std::size_t state_listener_;
   Host* host_ = nullptr;
   std::unique_ptr<Loop> loop_;
-  std::unique_ptr<Controller> controller_;  // null: does not run
+  std::unique_ptr<Controller> controller_;  // null while the process is not running
 };
 
+/// All controller processes of a plan.
 class ControllerFleet {
  public:
-  /// Opens a listener of the state service for each controller of the plan. `services_host` runs state
-  /// service and cloud. Simulator and plan have to outlive the fleet.
+  /// Opens a listener of the state store for each controller of the plan. `services_host` runs the state
+  /// store and the cloud. The simulator and the plan have to outlive the fleet.
   ControllerFleet(EventSimulator& simulator, const SimulationPlan& plan, Host& services_host,
                   StateService& state, int cloud_port);
 
   void start();
-  /// Restarts one after the other, every so many seconds.
+  /// Rolling restart: crashes one controller every `every_s` seconds; each restarts after about `back_s`.
   void roll(double every_s, double back_s);
-  /// Where users and workers reach each controller: host:port by label.
+  /// Addresses (host:port) for users and workers, by controller label.
   const std::map<std::string, std::string>& addresses() const { return addresses_; }
   std::size_t size() const { return processes_.size(); }
   /// In the order of the plan.
   const std::vector<std::unique_ptr<ControllerProcess>>& processes() const { return processes_; }
   std::vector<ControllerProcess*> running() const;
-  /// Up to so many that run, drawn at random: leaders first if `leaders_first`, else last.
+  /// Up to `count` running controllers in random order; leaders come first if `leaders_first`, else last.
   std::vector<ControllerProcess*> draw(int count, bool leaders_first);
 
  private:
--- a/src/simulation/event_simulator.cc
+++ b/src/simulation/event_simulator.cc
@@ -33,13 +33,13 @@
 
 void EventSimulator::run_until(double time) {
   while (!queue_.empty() && queue_.top().time <= time) {
-    // A priority queue has no way to move its top out; it is popped at once.
+    // std::priority_queue offers no move from its top; the moved-from event is popped at once.
     Event event = std::move(const_cast<Event&>(queue_.top()));
     queue_.pop();
     if (!pending_.contains(event.id)) continue;
     now_ = std::max(now_, event.time);
     if (event.host && event.host->alive() && event.host->stalled()) {
-      // Put off under its old id, so that the host does everything in order when it wakes.
+      // Requeued under its id, so that the host runs its events in the original order when the stall ends.
       event.time = event.host->stalled_until();
       queue_.push(std::move(event));
       continue;
--- a/src/simulation/host.cc
+++ b/src/simulation/host.cc
@@ -21,7 +21,7 @@
 std::uint64_t Host::random() { return simulator_.rng()(); }
 
 std::uint64_t Host::start(double after_s, std::function<void()> callback) {
-  // Timers never fire early, and in steps.
+  // Timers never fire early; kTimerStep models their resolution.
   double step = after_s > 0 ? kTimerStep : 0;
   return simulator_.schedule_at(simulator_.now() + std::max(0.0, after_s) / steady_rate_ + step, this,
                                 std::move(callback));
--- a/src/simulation/host.h
+++ b/src/simulation/host.h
@@ -1,5 +1,5 @@
-// A host of a simulation: a controller's process, a machine, or the users and the platform's services. Gives
-// the code under test its clocks, timers, random numbers and transport. Owned by the EventSimulator.
+// A host of a simulation: a controller process, a machine, the users, or the platform's services. Provides
+// clocks, timers, random numbers and transport to the code under test. Owned by the EventSimulator.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -12,12 +12,14 @@
 
 class EventSimulator;
 
-inline constexpr double kMaxClockDrift = 0.0005;  // share by which steady clocks run fast or slow (DEPLOY)
-inline constexpr double kTimerStep = 0.001;   // s; timers fire in steps of a millisecond or a few (DEPLOY)
-inline constexpr double kSteadyEpoch = 1000;  // s of the steady clock at the start; 0 could stand for never
+inline constexpr double kMaxClockDrift =
+    0.0005;  // fraction by which steady clocks run fast or slow (deployment guide)
+inline constexpr double kTimerStep =
+    0.001;  // s; timers have a resolution of one or a few ms (deployment guide)
+inline constexpr double kSteadyEpoch = 1000;      // s of the steady clock at the start; 0 could mean never
 inline constexpr double kWallEpoch = 1700000000;  // s since 1970 at the start
 
-/// What a network fault is chosen by.
+/// The kind of a host; network faults select hosts by it.
 enum class HostRole {
   Simulator,   // the clock of the simulation itself
   Controller,  // one process of a controller
@@ -26,15 +28,16 @@
   Users
 };
 
-/// Whether nothing of an ended host answers any more, or its operating system still refuses connections.
+/// How a host ended: after ProcessExited its operating system still refuses connections; after PoweredOff
+/// nothing answers.
 enum class HostEnd { ProcessExited, PoweredOff };
 
-/// One process or machine at one address. Kept until the simulation ends, since late messages may still name
-/// it.
+/// One process or machine at one address. Kept until the simulation ends, since late messages may still refer
+/// to it.
 class Host : public Runtime, public http::Transport {
  public:
-  /// `zone`: empty for what is regional; such hosts have a steady clock without drift. Draws the clock's
-  /// errors.
+  /// `zone`: empty for a regional host, whose steady clock has no drift. Draws the errors of the host's
+  /// clocks at random.
   Host(EventSimulator& simulator, std::string name, std::string ip, std::string zone, HostRole role);
 
   double steady() const override;
@@ -48,23 +51,24 @@
   void unlisten(int port) override;
   bool send(const std::string& address, http::Request request, bool open, Done done) override;
 
-  /// Runs nothing until then, s of simulated time, while its clocks run on. Never shortens an earlier stall.
+  /// Suspends the host until `until`, in seconds of simulated time, while its clocks keep running. Never
+  /// shortens an earlier stall.
   void stall(double until);
   bool stalled() const;
   double stalled_until() const { return stalled_until_; }
-  /// Ends it for good: nothing of it runs any more.
+  /// Ends the host permanently: none of its callbacks run any more.
   void end(HostEnd how);
   bool alive() const { return alive_; }
   bool powered_off() const { return powered_off_; }
 
   const std::string& name() const { return name_; }
-  /// Empty: regional.
+  /// Empty for a regional host.
   const std::string& zone() const { return zone_; }
   const std::string& ip() const { return ip_; }
   HostRole role() const { return role_; }
-  /// Null: nothing listens on that port.
+  /// Null if nothing listens on that port.
   const Accept* listener(int port) const;
-  /// s since the simulation began.
+  /// Seconds since the simulation began.
   double simulated_time() const;
 
  private:
@@ -82,7 +86,7 @@
   std::map<int, Accept> listeners_;
 };
 
-/// Of host:port.
+/// The parts of an address host:port.
 std::string ip_of(const std::string& address);
 int port_of(const std::string& address);
 
--- a/src/simulation/image_cache.h
+++ b/src/simulation/image_cache.h
@@ -1,5 +1,5 @@
-// A machine's images: fetched when a task needs one, several at a time share the machine's rate, and the one
-// that was used longest ago goes first when the cache is full.
+// A machine's image cache: images are fetched when a task needs them, concurrent fetches share the machine's
+// rate, and the least recently used image is evicted first when the cache is full.
 #pragma once
 #include <functional>
 #include <map>
@@ -9,21 +9,22 @@
 
 namespace corkmux::simulation {
 
+/// The images of one machine. The owner polls fetched_by() and completes or drops each fetch.
 class ImageCache {
  public:
   ImageCache(double fetch_gb_per_s, double capacity_gb)
       : fetch_gb_per_s_(fetch_gb_per_s), capacity_gb_(capacity_gb) {}
-  /// A task needs it: true if it is there, else it is being fetched from now on.
+  /// Requests an image for a task: true if it is cached, else its fetch is now in progress.
   bool request(const std::string& name, double size_gb);
-  /// Images whose fetch is over by then, s of the steady clock, in order of their names.
+  /// Images whose fetch ends by `time` (seconds of the steady clock), ordered by name.
   std::vector<std::string> fetched_by(double time) const;
-  /// It is there now.
+  /// Marks a fetched image as cached.
   void complete_fetch(const std::string& name);
-  /// It is fetched for nobody any more.
+  /// Removes an image that no task waits for any more.
   void drop(const std::string& name) { images_.erase(name); }
-  /// Makes the cache fit, as far as images are not in use.
+  /// Evicts the least recently used images that are not in use until the cache fits its capacity.
   void evict(const std::function<bool(const std::string& name)>& is_in_use);
-  /// s of the steady clock, kNever without any fetch.
+  /// When the next fetch ends, in seconds of the steady clock; kNever without a fetch in progress.
   double next_fetch_end() const;
 
  private:
@@ -31,7 +32,7 @@
     bool cached = false;
     double size_gb = 0;
     double last_used = 0;
-    std::optional<double> fetched_at;  // none: it is not being fetched
+    std::optional<double> fetched_at;  // when its fetch ends; empty: it is not being fetched
   };
   double fetch_gb_per_s_;
   double capacity_gb_;
--- a/src/simulation/job_registry.cc
+++ b/src/simulation/job_registry.cc
@@ -125,7 +125,7 @@
     freeze(*gang);
     gang->completion.stop();
     gang->breakup.once(kPeerLossDetectionShare * gang_peer_s_,
-                       [this, key] { break_gang(key, exit_cause::kMatesGone); });
+                       [this, key] { break_gang(key, exit_cause::kMemberGone); });
   }
   gang->broken = true;
 }
@@ -151,7 +151,7 @@
   if (!gang.members.contains(index) || !member->hangs() || gang.saving) return;
   if (!gang.broken) freeze(gang);
   gang.broken = true;
-  break_gang(key, exit_cause::kMateHung);
+  break_gang(key, exit_cause::kMemberHung);
 }
 
 void JobRegistry::break_gang(const GangKey& key, const char* why) {
@@ -161,7 +161,7 @@
   observer_.progress_lost(job, why, (gang->frozen_progress - safe) * job.spec.tasks);
   job.saved_s[0] = safe;
   for (const auto& [index, member] : gang->members)
-    member->gang_exits(key.job, index, key.attempt, exit_cause::kMatesGone, false);
+    member->gang_exits(key.job, index, key.attempt, exit_cause::kMemberGone, false);
   dispose(std::move(gang));
 }
 
@@ -196,7 +196,7 @@
   job.saved_s[0] = safe;
   for (const auto& [index, member] : gang->members) {
     const bool was_told = gang->told_to_save.contains(index);
-    const char* cause = was_told ? exit_cause::kHalted : exit_cause::kMatesGone;
+    const char* cause = was_told ? exit_cause::kHalted : exit_cause::kMemberGone;
     member->gang_exits(key.job, index, key.attempt, cause, saved);
   }
   dispose(std::move(gang));
--- a/src/simulation/key_value_store.h
+++ b/src/simulation/key_value_store.h
@@ -1,5 +1,6 @@
-// Keys with revisions, conditional transactions, leases and a bounded history of changes: what the state
-// service keeps, in memory. Knows neither callers nor limits; the steady clock is its only surrounding.
+// In-memory key-value store behind the simulated state store: keys with revisions, conditional transactions,
+// leases and a bounded history of changes. Independent of callers and limits; its only external dependency is
+// the steady clock.
 #pragma once
 #include <cstdint>
 #include <deque>
@@ -14,68 +15,69 @@
 
 using codec::Json;
 
-/// Counts the transactions that changed something.
+/// The number of transactions so far that changed something.
 using Revision = std::uint64_t;
 using LeaseId = std::uint64_t;
 
 struct KeyValueEntry {
   Json value;
-  Revision revision = 0;         // that wrote it
-  std::optional<LeaseId> lease;  // with which it ends
+  Revision revision = 0;         // of the transaction that wrote the value
+  std::optional<LeaseId> lease;  // the key is removed when this lease ends; empty: no lease
 };
 
 struct KeyValueChange {
   Revision revision = 0;
   std::string key;
-  std::optional<Json> value;  // none: the key was removed
+  std::optional<Json> value;  // empty: the key was removed
 };
 
-/// Its writes are executed together if every condition holds, else none of them.
+/// A conditional transaction: if every condition holds, all writes are executed atomically, else none.
 struct KeyValueTransaction {
   struct Condition {
     std::string key;
-    Revision revision = 0;  // 0: there is no such key
+    Revision revision = 0;  // the key's expected revision; 0: the key does not exist
   };
   struct Write {
     std::string key;
-    std::optional<Json> value;  // none: removes the key
+    std::optional<Json> value;  // empty: removes the key
     std::optional<LeaseId> lease;
   };
   std::vector<Condition> conditions;
   std::vector<Write> writes;
 };
 
+/// The entries, leases and recent changes.
 class KeyValueStore {
  public:
   using Entries = std::map<std::string, KeyValueEntry>;
   Revision revision() const { return revision_; }
   const Entries& entries() const { return entries_; }
-  /// Null: no such key.
+  /// Null if the key does not exist.
   const KeyValueEntry* find(const std::string& key) const;
 
-  /// The keys of the conditions that do not hold.
+  /// Keys whose conditions do not hold.
   std::vector<std::string> failed_conditions(const KeyValueTransaction& transaction) const;
-  /// Executes the writes, whatever the conditions say. Without writes there is no new revision.
+  /// Executes the writes without checking the conditions. A transaction without writes makes no new revision.
   void apply(const KeyValueTransaction& transaction);
   void put(const std::string& key, const Json& value);
-  /// A new revision, whether there is such a key or not.
+  /// Removes the key; makes a new revision even if the key does not exist.
   void erase(const std::string& key);
 
   LeaseId grant_lease(double lifetime_s);
   bool has_lease(LeaseId lease) const { return leases_.contains(lease); }
-  /// It has its full time again. false: no such lease.
+  /// Extends the lease to its full lifetime from now; false if there is no such lease.
   bool renew_lease(LeaseId lease);
   void renew_all_leases();
-  /// It ends with the next expire_leases(). false: no such lease.
+  /// Marks the lease as expired; the next expire_leases() removes it. False if there is no such lease.
   bool revoke_lease(LeaseId lease);
-  /// Removes the leases that are over, and their keys.
+  /// Removes expired leases and the keys attached to them.
   void expire_leases();
 
-  /// Whether some change after that revision is no longer known.
+  /// Whether a change after that revision is no longer in the history.
   bool is_compacted(Revision after) const { return after + 1 < history_begin_; }
-  /// Changes of keys under the prefix after that revision, in order.
+  /// Changes after that revision to keys that begin with the prefix, in order.
   std::vector<KeyValueChange> changes_after(Revision after, const std::string& prefix) const;
-  /// Forgets all changes so far.
+  /// Discards the history of all changes so far.
   void compact() { history_begin_ = revision_ + 1; }
 
  private:
@@ -87,7 +89,7 @@
   void record(const std::string& key, std::optional<Json> value);
 
   Revision revision_ = 0;
-  Revision history_begin_ = 0;  // the first revision whose changes are all known
+  Revision history_begin_ = 0;  // the first revision from which the history is complete
   LeaseId last_lease_ = 0;
   Entries entries_;
   std::map<LeaseId, Lease> leases_;
--- a/src/simulation/load_balancer.cc
+++ b/src/simulation/load_balancer.cc
@@ -7,12 +7,12 @@
 namespace corkmux::simulation {
 namespace {
 
-constexpr std::size_t kMaxConnections = 4000;  // to one controller
-constexpr std::size_t kMaxAttempts = 3;        // of one request
+constexpr std::size_t kMaxConnections = 4000;  // open connections per controller
+constexpr std::size_t kMaxAttempts = 3;        // controllers tried per request
 constexpr int kFailedProbesToRemove = 2;
 constexpr int kGoodProbesToReturn = 2;
 constexpr int kRefusedConnectionsToSkip = 3;
-constexpr double kRecentRemoval = 120;  // s
+constexpr double kRecentRemoval = 120;  // s; a removal within this time of the last doubles the pause
 constexpr int kMaxPauseDoublings = 5;
 
 }  // namespace
--- a/src/simulation/log_formatter.h
+++ b/src/simulation/log_formatter.h
@@ -1,4 +1,4 @@
-// The log of simulated controllers: lines with the simulated time and the host that writes them.
+// Log formatter for simulated controllers: prefixes each line with the simulated time and the host that logs.
 #pragma once
 #include <spdlog/formatter.h>
 
--- a/src/simulation/machine_fleet.cc
+++ b/src/simulation/machine_fleet.cc
@@ -10,7 +10,7 @@
 
 constexpr int kCommandPort = 9000;
 constexpr int kMachinesPerSubnet = 200;
-constexpr std::size_t kNamePrefix = 2;  // of a machine's name, before its number
+constexpr std::size_t kNamePrefix = 2;  // characters of a machine's name before its number
 
 }  // namespace
 
@@ -72,7 +72,7 @@
   machine.host->stall(simulator_.now() + for_s);
   simulator_.run_as(*machine.host, [&] {
     machine.worker->hang();
-    // A stalled host runs no timers, but nothing outlives the lease.
+    // A stalled host runs no timers, but its tasks must end with the lease.
     double lease_left_s = machine.worker->lease_expires_at() - steady_now();
     if (lease_left_s >= for_s) return;
     simulator_.schedule_after(lease_left_s + kLeaseExpirySlack,
--- a/src/simulation/machine_fleet.h
+++ b/src/simulation/machine_fleet.h
@@ -1,5 +1,6 @@
-// The machines that are up, each with its worker on a simulated host: boots and ends them, and does to single
-// machines what faults demand. Owns hosts' loops and workers; the Cloud decides which machines there are.
+// The machines that are up, each with its worker on a simulated host: boots and terminates them and applies
+// faults to single machines. Owns the workers and the loops of their hosts; the Cloud decides which machines
+// exist.
 #pragma once
 #include <limits>
 #include <map>
@@ -13,12 +14,14 @@
 
 namespace corkmux::simulation {
 
-inline constexpr double kLeaseExpirySlack = 0.05;  // s by which a hanging machine's tasks end after its lease
+inline constexpr double kLeaseExpirySlack =
+    0.05;  // s between a hanging machine's lease expiry and the end of its tasks
 inline constexpr int kAllMachines = std::numeric_limits<int>::max();  // no limit for MachineFleet::draw
 
+/// All machines that are up, by name.
 class MachineFleet {
  public:
-  /// `controllers`: addresses by label, for the workers. `registry` has to outlive the fleet.
+  /// `controllers`: addresses by label, passed to the workers. `registry` has to outlive the fleet.
   MachineFleet(EventSimulator& simulator, WorkerTimes times, std::map<std::string, std::string> controllers,
                JobRegistry& registry);
 
@@ -28,34 +31,34 @@
     std::unique_ptr<Worker> worker;
     double booted_at = 0;      // s of simulated time
     bool faulty = false;       // fails every task
-    bool partitioned = false;  // from all others
+    bool partitioned = false;  // from all other hosts
 
-    /// Runs, and has no fault of its own.
+    /// Whether the machine is not stalled, not faulty and not partitioned.
     bool usable() const { return !host->stalled() && !faulty && !partitioned; }
-    /// Cannot be told anything now.
+    /// Whether the machine can receive no message now.
     bool unreachable() const { return partitioned || host->stalled(); }
   };
 
-  /// Where the worker of that machine takes commands, host:port.
+  /// The host:port at which that machine's worker takes commands.
   static std::string command_address(const std::string& name);
   void boot(const MachineFacts& facts);
-  /// The machine ends with all that is on it. Does nothing if it is not up.
+  /// Ends the machine and all its tasks. No effect if the machine is not up.
   void terminate(const std::string& name, const std::string& reason);
 
   const std::map<std::string, Machine>& machines() const { return machines_; }
   std::size_t size() const { return machines_.size(); }
-  /// Null: not up.
+  /// Null if the machine is not up.
   const Machine* find(const std::string& name) const;
-  /// Up to so many at random. `zone`: empty: all zones.
+  /// Names of up to `count` machines, drawn at random. An empty `zone` means all zones.
   std::vector<std::string> draw(int count, const std::string& zone, bool spot_only);
 
-  // Faults of machines that are up, for so many seconds.
+  // Faults of machines that are up; `for_s` is their duration in seconds.
 
-  /// It stalls; what its lease covers ends on time all the same.
+  /// Stalls the machine; its tasks still end when its lease expires.
   void hang(const std::string& name, double for_s);
   void make_faulty(const std::string& name, double for_s);
   void partition(const std::string& name, PartitionMode mode, double for_s);
-  /// The worker is told that the cloud takes the machine in so many seconds.
+  /// Notifies the worker that the cloud reclaims the machine in `notice_s` seconds.
   void announce_reclaim(const std::string& name, double notice_s);
 
  private:
--- a/src/simulation/rate_limiter.h
+++ b/src/simulation/rate_limiter.h
@@ -1,13 +1,15 @@
-// A token bucket on the steady clock, as the platform's services limit their callers.
+// Token bucket on the steady clock, which models the rate limits of the platform's services.
 #pragma once
 
 namespace corkmux::simulation {
 
+/// One bucket; unlimited until set() is called.
 class RateLimiter {
  public:
-  /// `rate`: per s, 0: no limit. The bucket holds `burst_s` seconds' worth and is full at once.
+  /// `rate`: tokens per second; 0 means no limit. The bucket holds `burst_s` seconds of the rate and starts
+  /// full.
   void set(double rate, double burst_s = 1);
-  /// Takes `count` from the bucket; false, and nothing taken, if it holds less.
+  /// Takes `count` tokens; returns false and takes none if the bucket holds less.
   bool take(double count);
 
  private:
--- a/src/simulation/service_http.h
+++ b/src/simulation/service_http.h
@@ -1,4 +1,4 @@
-// What the stand-ins of the platform's HTTP services share: replies, and the query of a request's target.
+// Shared by the stand-ins of the platform's HTTP services: their replies, and access to query parameters.
 #pragma once
 #include <string>
 
@@ -6,13 +6,13 @@
 
 namespace corkmux::simulation {
 
-/// A status of HTTP with a body, which is sent as PROTOCOL packs it.
+/// An HTTP status and a body, which is sent in the protocol's encoding (codec::pack).
 struct ServiceReply {
   int status = 200;
   codec::Json body;
 };
 
-/// The value of the query's field, as sent; empty if there is none.
+/// The value of a query parameter, not decoded; empty if the parameter is absent.
 inline std::string query_field(const std::string& target, const std::string& name) {
   const auto found = target.find(name + "=");
   if (found == std::string::npos) return "";
--- a/src/simulation/simulated_network.cc
+++ b/src/simulation/simulated_network.cc
@@ -11,7 +11,7 @@
 http::Result connection_refused() { return http::Result::not_sent("connection refused"); }
 http::Result connection_closed() { return http::Result::unanswered("the connection was closed"); }
 
-/// Of a request that was repeated by a fault: whoever sent it knows nothing of it.
+/// Handles answers to copies of requests that a fault made: the original sender must not receive them.
 void ignore_answer(http::Result) {}
 
 bool begins_with(const std::string& text, const std::string& start) { return text.rfind(start, 0) == 0; }
@@ -24,10 +24,10 @@
   partitions_.push_back({std::move(between), mode, until});
   if (mode != PartitionMode::Reset) return;
   const auto& separates = partitions_.back().between;
-  std::vector<CallId> violations;
+  std::vector<CallId> broken_calls;
   for (const auto& [id, call] : calls_)
-    if (separates(*call.from, *call.to) || separates(*call.to, *call.from)) violations.push_back(id);
-  for (auto id : violations) finish(id, connection_closed(), 0);
+    if (separates(*call.from, *call.to) || separates(*call.to, *call.from)) broken_calls.push_back(id);
+  for (auto id : broken_calls) finish(id, connection_closed(), 0);
 }
 
 void SimulatedNetwork::lose_answers(HostPair between, double share, double until, std::string path) {
@@ -69,7 +69,7 @@
   for (const Partition* partition : {outbound, inbound}) {
     if (!partition) continue;
     if (partition->mode == PartitionMode::Refuse) return PartitionEffect::Refused;
-    // A connection attempt that was given up does not complete later.
+    // A new connection attempt fails now; it does not complete when the partition ends.
     if (!open) return PartitionEffect::NotConnected;
     if (partition->mode == PartitionMode::Reset) return PartitionEffect::ConnectionReset;
   }
@@ -118,7 +118,7 @@
   return delay_s;
 }
 
-// ---------------------------------------------------------------- the way of a request
+// ---------------------------------------------------------------- requests and answers
 
 SimulatedNetwork::CallId SimulatedNetwork::add_call(Host& from, Host& to, http::Transport::Done done,
                                                     std::string target) {
@@ -174,7 +174,7 @@
 void SimulatedNetwork::accept(CallId call, Host& host, int port, http::Request request) {
   const auto* listener = host.listener(port);
   if (!listener) return finish(call, connection_refused(), kDelayInZone);
-  auto accept = *listener;  // a copy: it may stop listening
+  auto accept = *listener;  // a copy, since the call may stop listening and remove the listener
   accept(std::move(request), [this, call](const http::Response& response) { answer(call, response); });
 }
 
@@ -206,10 +206,10 @@
 
 void SimulatedNetwork::host_ended(const Host& host) {
   if (host.powered_off()) return;
-  std::vector<CallId> violations;
+  std::vector<CallId> broken_calls;
   for (const auto& [id, call] : calls_)
-    if (call.to == &host) violations.push_back(id);
-  for (auto id : violations) finish(id, connection_closed(), kDelayInZone);
+    if (call.to == &host) broken_calls.push_back(id);
+  for (auto id : broken_calls) finish(id, connection_closed(), kDelayInZone);
 }
 
 }  // namespace corkmux::simulation
--- a/src/simulation/state_service.cc
+++ b/src/simulation/state_service.cc
@@ -10,7 +10,7 @@
 constexpr double kLeaseCheckInterval = 0.05;  // s
 constexpr double kMillisecondsPerSecond = 1000;
 
-// Where the endpoints are, PROTOCOL's names.
+// Paths of the endpoints in the protocol.
 constexpr std::string_view kKeyPath = "/kv/";
 constexpr std::string_view kListPath = "/kv?";
 constexpr std::string_view kTransactionPath = "/multi";
@@ -59,7 +59,7 @@
   return number;
 }
 
-// ---------------------------------------------------------------- a test's own reads and writes
+// ---------------------------------------------------------------- direct reads and writes of tests
 
 std::vector<int> StateService::release_held() {
   faults.held_prefix.clear();
@@ -163,7 +163,7 @@
   return ServiceReply{200, {{"epoch", store_.revision()}}};
 }
 
-/// A reply if it breaks a limit or names a lease that there is not.
+/// Returns an error reply if the transaction exceeds a limit or names a lease that does not exist.
 std::optional<ServiceReply> StateService::refuse(const KeyValueTransaction& transaction) {
   if (!change_rate.take(static_cast<double>(transaction.writes.size()))) {
     ++counters_.rate_limited;
@@ -173,10 +173,10 @@
     ++counters_.oversized_transactions;
     return ServiceReply{400, {{"error", "too large"}}};
   }
-  const bool names_no_lease =
+  const bool names_unknown_lease =
       std::any_of(transaction.writes.begin(), transaction.writes.end(),
                   [this](const auto& write) { return write.lease && !store_.has_lease(*write.lease); });
-  if (names_no_lease) return ServiceReply{400, {{"error", "no such lease"}}};
+  if (names_unknown_lease) return ServiceReply{400, {{"error", "no such lease"}}};
   return std::nullopt;
 }
 
--- a/src/simulation/state_service.h
+++ b/src/simulation/state_service.h
@@ -1,6 +1,6 @@
-// Stand-in for the platform's state service of PROTOCOL: its HTTP endpoints over a KeyValueStore, with the
-// service's limits and rates, and faults that a test switches on. Runs on any Loop; nothing is stored on
-// disk.
+// Stand-in for the platform's state store as the protocol defines it: the HTTP endpoints over a
+// KeyValueStore, with limits, rate limits, and faults that a test switches on. Runs on any Loop; stores
+// nothing on disk.
 #pragma once
 #include <functional>
 #include <map>
@@ -18,49 +18,52 @@
 
 namespace corkmux::simulation {
 
-/// Limits of the service; they may fall at any moment.
+/// Size limits; a test may lower them at any moment.
 struct StateServiceLimits {
   std::size_t value_bytes = 1 << 20;
   std::size_t transaction_writes = 1000;
-  std::size_t page_items = 1000;  // that a page holds, whatever is asked for
+  std::size_t page_items = 1000;  // the most that a page holds, even if more are requested
 };
 
-/// What the service has counted since its start.
+/// Counters since the start of the service.
 struct StateServiceCounters {
   std::uint64_t requests = 0;
   int rate_limited = 0;            // requests answered 429
-  int oversized_transactions = 0;  // refused for a limit
+  int oversized_transactions = 0;  // refused because they exceed a size limit
   int pages = 0;
-  /// Puts and removals that were executed, by the part of the key before its first slash.
+  /// Executed puts and removals, by the part of the key before its first slash.
   std::map<std::string, std::uint64_t> changes_by_kind;
 };
 
 /// Faults that a test or a simulation switches on and off at any moment.
 struct StateServiceFaults {
-  /// Everybody gets 503. When it ends, every lease has its full time again.
+  /// Every request is answered 503. At the end of the fault every lease has its full lifetime again.
   bool unavailable = false;
-  /// Neither executes nor answers anything.
+  /// No request is executed or answered.
   bool unresponsive = false;
-  /// Watches get no answer, whatever changes.
+  /// Watches are never answered, even if keys change.
   bool withhold_watch_answers = false;
-  /// Executes the next transaction but never answers it.
+  /// The next transaction is executed but not answered.
   bool drop_next_transaction_answer = false;
-  /// Transactions that write under this prefix are neither executed nor answered until release_held().
+  /// Transactions that put a key with this prefix are held: neither executed nor answered until
+  /// release_held(). Empty: none are held.
   std::string held_prefix;
 };
 
+/// Serves the state store's endpoints at one or more addresses.
 class StateService {
  public:
-  /// Listens at once, at `address`; throws std::runtime_error when the address cannot be had.
+  /// Starts to listen at `address`; throws std::runtime_error if the address cannot be bound.
   explicit StateService(Loop& loop, const std::string& address = "127.0.0.1:0");
   std::string address() const { return "127.0.0.1:" + std::to_string(port()); }
   int port() const { return listener_port(0); }
 
-  /// A second address of the same service, so that one caller can be treated unlike the others. Returns its
-  /// number.
+  /// Adds another address of the same service, so that faults can affect a single caller. Returns the
+  /// listener's number.
   std::size_t add_listener(const std::string& address);
   int listener_port(std::size_t listener) const { return listeners_[listener]->server.port(); }
-  /// Whoever comes through it gets 503; its leases expire and its open watches wait.
+  /// While unavailable, requests through this listener are answered 503, so leases renewed only through it
+  /// expire, and its open watches are not answered.
   void set_listener_unavailable(std::size_t listener, bool unavailable) {
     listeners_[listener]->unavailable = unavailable;
   }
@@ -69,22 +72,22 @@
   StateServiceLimits limits;
   RateLimiter request_rate;
   RateLimiter change_rate;
-  /// s until an answer leaves; only on a driven loop. Null: at once.
+  /// Seconds until an answer is sent; used only on a loop with a Runtime. Null: answers are sent immediately.
   std::function<double()> latency;
   const StateServiceCounters& counters() const { return counters_; }
 
-  /// The service forgets all changes so far: watches from before get 410.
+  /// Discards the history of all changes so far: watches that start before it are answered 410.
   void forget_history() { store_.compact(); }
-  /// Executes what faults.held_prefix held back, late, and holds nothing any more. Returns the HTTP statuses
-  /// that the transactions come to, in order; nobody is answered.
+  /// Executes the transactions held through faults.held_prefix and clears that fault. Returns the HTTP
+  /// statuses of the transactions, in order; the callers get no answer.
   std::vector<int> release_held();
   bool holds_transactions() const { return !held_transactions_.empty(); }
 
-  // Reads and writes of a test, without any condition.
+  // Direct, unconditional reads and writes for tests.
   void erase(const std::string& key);
   void put(const std::string& key, const Json& value);
   std::map<std::string, Json> values() const;
-  /// An empty object: no such key.
+  /// The key's value; an empty object if the key does not exist.
   Json value(const std::string& key) const;
   std::size_t size() const { return store_.entries().size(); }
 
@@ -96,7 +99,7 @@
     bool unavailable = false;
   };
   void serve(Caller caller, const http::Request& request);
-  /// No reply: none yet, or never.
+  /// Empty if the request is answered later or never.
   std::optional<ServiceReply> handle(Caller caller, const http::Request& request);
   ServiceReply get(const std::string& key) const;
   ServiceReply list(const std::string& target);
--- a/src/simulation/task_executor.cc
+++ b/src/simulation/task_executor.cc
@@ -11,7 +11,7 @@
 namespace corkmux::simulation {
 namespace {
 
-/// 1 on average.
+/// Draws a factor uniformly from 1 - spread .. 1 + spread, which is 1 on average.
 double draw_around_one(double spread, std::mt19937_64& rng) {
   return std::uniform_real_distribution<double>(1 - spread, 1 + spread)(rng);
 }
@@ -37,7 +37,7 @@
 
 void TaskExecutor::hang() {
   hangs_ = true;
-  loop_.post([this] { hangs_ = false; });  // the first that the machine does when it wakes
+  loop_.post([this] { hangs_ = false; });  // the first callback that runs when the machine resumes
   for (auto& [key, task] : tasks_)
     if (task.placed && task.job->spec.kind == JobKind::Gang)
       registry_.member_hangs(*task.job, task.attempt, task.index);
@@ -47,22 +47,22 @@
 
 bool TaskExecutor::has_other_attempt(const TaskKey& key) const {
   return std::any_of(tasks_.begin(), tasks_.end(), [&](const auto& entry) {
-    return entry.first.part == key.part && entry.second.phase != TaskPhase::Ended;
+    return entry.first.task_id == key.task_id && entry.second.phase != TaskPhase::Ended;
   });
 }
 
 const char* TaskExecutor::refusal(const MachineTask& task, const Resources& free, bool busy) {
   if (!task.job || task.index >= task.job->spec.tasks) return exit_cause::kUnknown;
   if (busy) return exit_cause::kBusy;
-  if (!task.job->spec.need.fits(free)) return exit_cause::kNoRoom;
+  if (!task.job->spec.need.fits(free)) return exit_cause::kNoCapacity;
   return nullptr;
 }
 
 void TaskExecutor::launch(const TaskKey& key) {
   if (tasks_.contains(key)) return;
-  const auto slash = key.part.rfind('/');
-  SimulatedJob* job = registry_.find(key.part.substr(0, slash));
-  const int index = std::stoi(key.part.substr(slash + 1));
+  const auto slash = key.task_id.rfind('/');
+  SimulatedJob* job = registry_.find(key.task_id.substr(0, slash));
+  const int index = std::stoi(key.task_id.substr(slash + 1));
   const bool busy = has_other_attempt(key);
   const Resources free_before = free();
   MachineTask& task = tasks_[key];
@@ -118,7 +118,7 @@
   });
 }
 
-// ---------------------------------------------------------------- a task's life
+// ---------------------------------------------------------------- phases of a task
 
 void TaskExecutor::place(MachineTask& task) {
   SimulatedJob& job = *task.job;
@@ -167,7 +167,7 @@
   on_change_();
 }
 
-/// What its end means for the job's progress, its gang and the observer.
+/// Updates the job's progress, its gang and the observer after the task's end.
 void TaskExecutor::account_for_end(MachineTask& task, const std::string& why) {
   if (task.job->spec.kind == JobKind::Gang)
     registry_.member_gone(*task.job, task.attempt, task.index);
--- a/src/simulation/task_executor.h
+++ b/src/simulation/task_executor.h
@@ -1,5 +1,6 @@
-// The tasks of one machine: images, runs, saving, gangs. Tells the observer what happens and its owner when
-// there is something to tell the controller. Knows nothing of controllers, leases and fencing tokens.
+// Executes the tasks of one machine: image fetches, runs, saving of progress, gangs. Notifies the observer of
+// every event, and its owner of changes that have to be reported to the controller. Independent of
+// controllers, leases and fencing tokens.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -17,60 +18,63 @@
 
 namespace corkmux::simulation {
 
-/// One try of one task, by which a controller names it.
+/// Identifies one attempt of one task in commands and heartbeats.
 struct TaskKey {
-  std::string part;  // "job/index"
+  std::string task_id;  // "job/index"
   std::uint64_t attempt = 0;
   bool operator<(const TaskKey& other) const {
-    return std::tie(part, attempt) < std::tie(other.part, other.attempt);
+    return std::tie(task_id, attempt) < std::tie(other.task_id, other.attempt);
   }
 };
 
 enum class TaskPhase { Fetching, Waiting, Running, Saving, Ended };
 
+/// One attempt of a task on the machine, kept until a controller clears it.
 struct MachineTask {
-  SimulatedJob* job = nullptr;  // null: there is no such job, and it has ended
+  SimulatedJob* job = nullptr;  // null: no such job; the phase is then Ended
   int index = 0;
   std::uint64_t attempt = 0;
   TaskPhase phase = TaskPhase::Fetching;
-  const char* cause = "";               // why it ended
-  bool saved = false;                   // it ended with all its progress safe
-  bool placed = false;                  // the observer was told that it is there, and not that it has left
-  bool fails = false;                   // its run ends with an error
+  const char* cause = "";               // cause of its end (exit_causes.h)
+  bool saved = false;                   // all its progress was saved before its end
+  bool placed = false;                  // the observer was notified of its placement, not yet of its removal
+  bool fails = false;                   // its run will end with an error
   double running_since = 0;             // s of the steady clock
   double progress_at_start = 0;         // s
-  double progress_to_save = 0;          // s, while it saves
-  std::optional<double> phase_ends_at;  // s of the steady clock; none: with some other event
+  double progress_to_save = 0;          // s, in phase Saving
+  std::optional<double> phase_ends_at;  // s of the steady clock; empty: another event ends the phase
 };
 
+/// The tasks of one machine; a member of gangs on behalf of its tasks.
 class TaskExecutor : public GangMember {
  public:
   using Tasks = std::map<TaskKey, MachineTask>;
-  /// Draws the machine's speed and the rate of its fetches. `on_change`: something has to be reported.
+  /// Draws the machine's speed and fetch rate at random. `on_change` is called when a change has to be
+  /// reported to the controller.
   TaskExecutor(Loop& loop, const MachineFacts& facts, double gang_wait_s, JobRegistry& registry,
                std::mt19937_64& rng, std::function<void()> on_change);
 
   const Tasks& tasks() const { return tasks_; }
-  /// What tasks that have not exited leave free.
+  /// The machine's resources that no unended task uses.
   Resources free() const;
-  /// Fails every task that it starts.
+  /// While faulty, every task that starts fails.
   void set_faulty(bool faulty) { faulty_ = faulty; }
-  /// The machine stalls from now on; until it resumes, gang members may notice.
+  /// Notes that the machine stalls from now on; until it resumes, other members of its gangs may detect it.
   void hang();
 
-  // Commands of a controller. What names no task here does nothing.
+  // Commands of a controller. stop() and clear() of an unknown task have no effect.
   void launch(const TaskKey& key);
   void stop(const TaskKey& key, double grace_s);
-  /// Forgets it if it has ended.
+  /// Removes the task if it has ended.
   void clear(const TaskKey& key);
 
-  /// All tasks end at once, unreported.
+  /// Ends and removes all tasks immediately; none is reported to the controller.
   void abort_all(const std::string& why);
-  /// As abort_all, and for good: the machine has ended.
+  /// Like abort_all(), but permanent: the machine has ended.
   void terminate(const std::string& why);
-  /// Does what is due by now.
+  /// Processes the fetches and phases that have ended by now.
   void advance();
-  /// When advance() has something to do, s of the steady clock.
+  /// When advance() is due next, in seconds of the steady clock.
   double next_deadline() const;
 
   // GangMember
@@ -83,11 +87,12 @@
 
  private:
   bool has_other_attempt(const TaskKey& key) const;
-  /// Why the machine cannot take it; null: it can. `free`: without it.
+  /// The exit cause with which the machine refuses the task; null if it accepts. `free`: the free resources
+  /// before the task is placed. `busy`: another attempt of the task is on the machine.
   static const char* refusal(const MachineTask& task, const Resources& free, bool busy);
   void image_fetched(const std::string& image);
   bool image_in_use(const std::string& image) const;
-  /// It has its image.
+  /// Places the task, whose image is cached: starts it, or has it join its gang.
   void place(MachineTask& task);
   void begin_run(MachineTask& task);
   void begin_saving(MachineTask& task);
@@ -96,7 +101,7 @@
   void account_for_progress(const MachineTask& task, const std::string& why);
   double progress(const MachineTask& task) const;
   void end_phase(MachineTask& task);
-  /// Runs `change` on the task, if it has not ended by then, once the machine is awake.
+  /// Posts `change` for the task; it runs once the machine is not stalled, unless the task has ended by then.
   void change_later(const std::string& job, int index, std::uint64_t attempt,
                     std::function<void(MachineTask&)> change);
 
--- a/src/simulation/watch_hub.h
+++ b/src/simulation/watch_hub.h
@@ -1,5 +1,5 @@
-// Watches of the state service that wait for a change, each until its time is over. Decides which are due;
-// whoever owns it answers them.
+// The open watches of the simulated state store, each waiting for a change or its timeout. Decides which
+// watches are due; the owner sends the answers.
 #pragma once
 #include <functional>
 #include <optional>
@@ -11,41 +11,44 @@
 
 namespace corkmux::simulation {
 
-/// A request that waits for its response: the listener that took it, and its connection there.
+/// The origin of a request that waits for its response: the listener that accepted it, and its connection.
 struct Caller {
   std::size_t listener = 0;
   http::Server::ConnectionId connection = 0;
 };
 
+/// A request for the changes under a prefix.
 struct Watch {
   Caller caller;
   std::string prefix;
-  Revision after = 0;  // changes up to here are known
-  double until = 0;    // s of the steady clock
+  Revision after = 0;  // the caller has the changes up to this revision
+  double until = 0;    // its timeout, s of the steady clock
 };
 
-/// What a watch is told.
+/// The answer to a watch.
 struct WatchAnswer {
   Caller caller;
-  bool compacted = false;  // changes that it asks for are no longer known
+  bool compacted = false;  // requested changes are no longer in the history
   std::vector<KeyValueChange> changes;
 };
 
+/// The open watches, in the order in which they were added.
 class WatchHub {
  public:
   using IsReachable = std::function<bool(std::size_t listener)>;
   void add(Watch watch);
-  /// Removes and returns the watches that are due: something has changed, their time is over, or what they
-  /// ask for is no longer known. Watches through a listener that is not reachable go on waiting.
+  /// Removes the watches that are due and returns their answers. A watch is due if a key under its prefix has
+  /// changed, its timeout is over, or its changes are no longer in the history. Watches through an
+  /// unreachable listener keep waiting.
   std::vector<WatchAnswer> take_due(const KeyValueStore& store, std::size_t listeners,
                                     const IsReachable& is_reachable);
 
  private:
-  /// No answer if the watch goes on waiting.
+  /// Empty if the watch keeps waiting.
   static std::optional<WatchAnswer> answer_to(const Watch& watch, const KeyValueStore& store, double now);
 
   std::vector<Watch> watches_;
-  /// Every watch was held against the changes up to here; none: some was not.
+  /// Every watch was checked against the changes up to this revision; empty: at least one was not.
   std::optional<Revision> checked_revision_;
 };
 
--- a/src/simulation/worker.cc
+++ b/src/simulation/worker.cc
@@ -12,14 +12,14 @@
 namespace {
 
 constexpr std::size_t kMaxCommandConnections = 50;
-constexpr double kHeartbeatJitter = 0.25;    // share by which the time between heartbeats differs
-constexpr double kMaxRedirectDelay = 0.5;    // s until a redirect is followed
-constexpr double kAfterLeaseExpiry = 0.001;  // s
+constexpr double kHeartbeatJitter = 0.25;    // fraction by which the heartbeat interval varies either way
+constexpr double kMaxRedirectDelay = 0.5;    // s; a redirect is followed after a random delay up to this
+constexpr double kAfterLeaseExpiry = 0.001;  // s between a lease's expiry and its timer
 constexpr int kConnectionsToController = 1;
 constexpr int kWaitingForController = 2;
 constexpr const char* kHeartbeatPath = "/v1/report";
 
-/// PROTOCOL's names of phases.
+/// The protocol's names of phases.
 const char* phase_to_wire(TaskPhase phase) {
   switch (phase) {
     case TaskPhase::Fetching:
@@ -37,7 +37,7 @@
 }
 
 Json task_to_wire(const TaskKey& key, const MachineTask& task) {
-  Json wire = {{"part", key.part}, {"try", key.attempt}, {"phase", phase_to_wire(task.phase)}};
+  Json wire = {{"part", key.task_id}, {"try", key.attempt}, {"phase", phase_to_wire(task.phase)}};
   if (task.phase == TaskPhase::Ended) wire["cause"] = task.cause;
   if (task.saved) wire["kept"] = true;
   return wire;
@@ -117,7 +117,7 @@
 Json Worker::heartbeat() {
   Json tasks = Json::array();
   for (const auto& [key, task] : executor_.tasks()) tasks.push_back(task_to_wire(key, task));
-  Json reclaimed_in_s;  // null: not announced
+  Json reclaimed_in_s;  // null: no reclaim was announced
   if (reclaimed_at_) reclaimed_in_s = std::max(0.0, *reclaimed_at_ - steady_now());
   ++heartbeats_;
   return {{"host", facts_.name}, {"address", address()},    {"build", facts_.type.name},
@@ -184,7 +184,7 @@
 // ---------------------------------------------------------------- commands
 
 void Worker::serve(http::Server::ConnectionId id, const http::Request& request) {
-  // Guards against a machine that starts tasks after its end, where it is not freed at once: it is silent.
+  // A terminated worker that is not destroyed at once stays silent, so that it starts no tasks after its end.
   if (terminated_) return;
   expire_lease();
   int status = 200;
@@ -204,7 +204,7 @@
   return superseded ? 409 : 200;
 }
 
-/// Of a batch of commands or of an answer to a heartbeat, which may carry commands too.
+/// Executes the commands of a command batch or of an answer to a heartbeat, which may carry commands too.
 void Worker::execute(const Json& batch) {
   const auto token = batch["baton"].get<std::uint64_t>();
   const double now = steady_now();
--- a/src/simulation/worker.h
+++ b/src/simulation/worker.h
@@ -1,6 +1,6 @@
-// One machine's worker as PROTOCOL has it: heartbeats to one controller at a time, commands that it takes,
-// fencing tokens, epochs, its lease and notices of spot machines. What its tasks do is TaskExecutor's. Runs
-// on any Loop.
+// Stand-in for one machine's worker as the protocol defines it: heartbeats to one controller at a time,
+// commands from controllers, fencing tokens, worker epochs, the worker's lease and reclaim notices of spot
+// machines. Its tasks are executed by TaskExecutor. Runs on any Loop.
 #pragma once
 #include <map>
 #include <memory>
@@ -16,51 +16,53 @@
 
 namespace corkmux::simulation {
 
+/// Durations of the protocol, in seconds.
 struct WorkerTimes {
   double heartbeat_s = 2;  // between heartbeats, on average
   double lease_s = 20;
-  double gang_wait_s = 30;  // that a gang's member waits for the others
-  double gang_peer_s = 8;   // that a gang's member survives another
+  double gang_wait_s = 30;  // for which a gang's member waits for the others
+  double gang_peer_s = 8;   // for which a gang's member outlives the loss of another
 };
 
+/// The worker of one machine.
 class Worker {
  public:
-  /// `controllers`: label and address of each. `listen`: where it takes commands.
+  /// `controllers`: addresses by label. `listen`: the address at which the worker takes commands.
   Worker(Loop& loop, MachineFacts facts, WorkerTimes times, std::map<std::string, std::string> controllers,
          JobRegistry& registry, const std::string& listen);
-  /// Where it takes commands, host:port.
+  /// The host:port at which the worker takes commands.
   std::string address() const { return ip_ + ":" + std::to_string(server_.port()); }
   const MachineFacts& facts() const { return facts_; }
-  /// Tasks that it still reports, ended ones too.
+  /// Number of tasks in its heartbeats, including ended tasks that are not cleared yet.
   int tasks() const { return static_cast<int>(executor_.tasks().size()); }
   int running() const;
-  /// What tasks that have not exited leave free.
+  /// The machine's resources that no unended task uses.
   Resources free() const { return executor_.free(); }
   std::uint64_t worker_epoch() const { return worker_epoch_; }
 
-  /// Fails every task that it starts.
+  /// While faulty, every task that starts fails.
   void set_faulty(bool faulty) { executor_.set_faulty(faulty); }
-  /// The cloud takes the machine away then.
+  /// Notifies the worker that the cloud reclaims the machine in `in_s` seconds.
   void announce_reclaim(double in_s);
-  /// Its machine stalls from now on; until it resumes, gang members may notice.
+  /// Notes that the machine stalls from now on; until it resumes, other members of its gangs may detect it.
   void hang() { executor_.hang(); }
   bool hangs() const { return executor_.hangs(); }
-  /// s of its clock: when its lease ends unless a heartbeat is answered.
+  /// When the lease ends unless a heartbeat is answered, in seconds of the worker's steady clock.
   double lease_expires_at() const { return leased_from_ + times_.lease_s; }
-  /// Ends its tasks if its lease is over; also of a machine that hangs (PROTOCOL: it may resume within its
-  /// lease).
+  /// Ends all tasks if the lease has expired. Also called for a machine that hangs, since the protocol
+  /// lets such a machine resume within its lease.
   void expire_lease();
-  /// The machine ends with all that is on it.
+  /// Ends the machine and all its tasks.
   void terminate(const std::string& why);
 
  private:
   // Heartbeats
   void send_heartbeat();
   void heartbeat_answered(const http::Result& result, double sent_at, std::uint64_t epoch);
-  /// A controller has named the one to go to.
+  /// Switches to the controller that a redirect names.
   void follow_redirect(const std::string& controller);
   void try_next_controller();
-  /// There is something to report: the next heartbeat comes as soon as it may.
+  /// Moves the next heartbeat forward to the earliest allowed time, to report a change.
   void hasten_heartbeat();
   codec::Json heartbeat();
   double random_between(double from, double to);
@@ -71,9 +73,9 @@
   void execute(const codec::Json& batch);
   void execute_one(const codec::Json& command);
 
-  /// Does what is due.
+  /// Handles the expired lease, due tasks and a due heartbeat, then sets the timer again.
   void advance();
-  /// Sets the timer to when something is due next.
+  /// Sets the timer to the next due time.
   void schedule();
 
   Loop& loop_;
@@ -86,11 +88,11 @@
   http::Server server_;
   Timer timer_;
   TaskExecutor executor_;
-  std::string controller_;  // to which heartbeats go
+  std::string controller_;  // label of the controller that receives the heartbeats
   std::uint64_t worker_epoch_ = 1;
   std::uint64_t heartbeats_ = 0;
   std::uint64_t fencing_token_ = 0;
-  // s of the steady clock
+  // Times in seconds of the steady clock.
   double leased_from_;
   double next_heartbeat_ = 0;
   double last_heartbeat_ = kLongAgo;
--- a/tests/simulation_test.cc
+++ b/tests/simulation_test.cc
@@ -1,4 +1,4 @@
-// Whole clusters in stepped time: scenarios at two sizes, combined faults, and faults drawn at random.
+// Runs whole clusters in simulated time: scenarios at two cluster sizes, combined faults, and random faults.
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 #include <spdlog/spdlog.h>
@@ -21,7 +21,7 @@
 
 std::string plan_file(const std::string& name) { return std::string(SIMULATIONS) + "/" + name + ".toml"; }
 
-/// What happened, for a failed test's message.
+/// Events and problems of the simulation, for a failed test's message.
 std::string describe(const ClusterSimulation& simulation) {
   std::string text;
   for (const auto& event : simulation.events()) text += event + "\n";
@@ -45,7 +45,7 @@
 
 TEST_P(Simulation, HoldsAllRulesAndServesEveryClassAndTeam) {
   auto [plan, scenario] = GetParam();
-  // Whatever fails, nine questions in ten are answered in time; in storms of them nineteen in twenty.
+  // Under any fault, nine polls in ten are answered in time; in poll storms, nineteen in twenty.
   double min_answered = scenario == "asked-and-silent" ? 0.95 : 0.9;
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
     ClusterSimulation simulation(load_plan(plan_file(plan), scenario), seed);
@@ -64,13 +64,14 @@
                                          "mass-deaths", "asked-and-silent", "back-at-once", "orders-again")),
     [](const auto& info) { return test_name(std::get<0>(info.param) + "_" + std::get<1>(info.param)); });
 
-/// Two faults at once (docs/combined-faults.md) with long tasks and many cancels.
+/// Two simultaneous faults (docs/combined-faults.md) with long tasks and many cancels. Guards against tasks
+/// that keep running after their cancel was confirmed.
 struct CancelScenario {
   const char* scenario;
-  // s of simulated time in which both faults are in force
+  // the time in which both faults are active, s of simulated time
   double from;
   double to;
-  int min_cancels;  // of running tasks, of which users are told in that time, over all seeds
+  int min_cancels;  // confirmed cancels of running tasks in that time, over all seeds
 };
 void PrintTo(const CancelScenario& parameters, std::ostream* out) { *out << parameters.scenario; }
 
@@ -99,8 +100,8 @@
                                            CancelScenario{"slow-then-refused", 60, 104, 40}),
                          [](const auto& info) { return test_name(info.param.scenario); });
 
-/// Each combination of faults on the operators' page (docs/combined-faults.md), brought about and counted
-/// over all seeds: a run in which it did not occur proves nothing.
+/// One combination of faults on the operators' page (docs/combined-faults.md). Its occurrences are counted
+/// over all seeds, since a run in which it did not occur proves nothing.
 struct CombinedFaultsScenario {
   const char* scenario;
   int min_occurrences;
@@ -108,7 +109,7 @@
 };
 void PrintTo(const CombinedFaultsScenario& parameters, std::ostream* out) { *out << parameters.scenario; }
 
-/// Counts the seconds of tasks that were lost for that reason.
+/// Returns a counter of the task seconds that were lost for that reason.
 auto seconds_lost_to(const char* why) {
   return [why](const ClusterSimulation& simulation) {
     const auto& lost = simulation.checker().lost_seconds();
@@ -116,7 +117,7 @@
     return found == lost.end() ? 0 : static_cast<int>(found->second);
   };
 }
-/// Counts the users told between these moments of a cancel of running tasks.
+/// Returns a counter of the cancels of running tasks that were confirmed to users between these times, in s.
 auto cancels_between(double from, double to) {
   return [from, to](const ClusterSimulation& simulation) {
     return simulation.checker().confirmed_cancellations(from, to);
@@ -184,8 +185,9 @@
                       CombinedFaultsScenario{"refused-at-the-cancel", 50, cancels_between(80, 81.5)}),
     [](const auto& info) { return test_name(info.param.scenario); });
 
-// The cancels are moved through the seconds in which the lead changes hands. That nothing is assigned once an
-// end is stored is term_test's to show; starts after a cancel are counted by the checker, without a bound.
+// Shifts the cancels through the seconds of a failover, in which a cancelled job could be started again by
+// the new leader. term_test checks that no task is assigned once a job's end is stored; the checker counts
+// starts after a cancel, without a bound.
 TEST(CombinedFaults, CancelsAreMovedThroughTheFailover) {
   spdlog::set_level(spdlog::level::off);
   int cancels = 0;
@@ -206,17 +208,17 @@
 
 TEST(ClusterSimulation, TheSameSeedGivesTheSameHistory) {
   spdlog::set_level(spdlog::level::off);
-  auto play = [](std::uint64_t seed) {
+  auto run_with_seed = [](std::uint64_t seed) {
     ClusterSimulation simulation(load_plan(plan_file("forty"), "restarts"), seed);
     simulation.run();
     return simulation.report().dump();
   };
-  auto first = play(5);
-  EXPECT_EQ(first, play(5));
-  EXPECT_NE(first, play(6));
+  auto first = run_with_seed(5);
+  EXPECT_EQ(first, run_with_seed(5));
+  EXPECT_NE(first, run_with_seed(6));
 }
 
-TEST(SimulationPlan, RefusesAnUnknownFaultWithItsPlace) {
+TEST(SimulationPlan, RefusesAnUnknownFaultAndNamesItsPosition) {
   const std::string good = read_file(plan_file("long"));
   auto error = [&](const std::string& faults) -> std::string {
     try {
@@ -232,14 +234,14 @@
   auto field =
       error("{ at_s = 1.0, kind = \"node_crash\" }, { at_s = 1.0, kind = \"node_crash\", shares = 2.0 }");
   EXPECT_NE(field.find("faults[1].shares: no such field"), std::string::npos) << field;
-  // Of another kind: a fault has the fields of its kind only.
+  // A field of another kind is refused: a fault has only the fields of its own kind.
   auto other = error("{ at_s = 1.0, kind = \"close_looks\", for_s = 3.0, share = 0.5 }");
   EXPECT_NE(other.find("faults[0].share: no such field"), std::string::npos) << other;
   EXPECT_EQ(error("{ at_s = 1.0, kind = \"late_reports\", share = 0.5, for_s = 3.0, for_next = true }"), "");
 }
 
-// Random faults are drawn by position, so an order that changes would change what each seed plays.
-TEST(FaultKinds, StandAtTheirPositionInTheOrderOfTheirNames) {
+// Random faults are drawn by position, so a changed order would change the faults of each seed.
+TEST(FaultKinds, AreNumberedInTheOrderOfTheirNames) {
   const auto& kinds = fault_kinds();
   for (std::size_t i = 0; i < kinds.size(); ++i) {
     EXPECT_EQ(static_cast<std::size_t>(kinds[i].kind), i) << kinds[i].name;
@@ -251,11 +253,11 @@
   EXPECT_EQ(fault_kind_named("late_night"), std::nullopt);
 }
 
-/// Removes faults as long as the simulation still fails: what is left says why.
+/// Removes faults while the simulation still fails; the remaining faults cause the failure.
 std::vector<Fault> shrink(const SimulationPlan& plan, std::uint64_t seed, std::vector<Fault> faults) {
-  auto fails = [&](const std::vector<Fault>& some) {
+  auto fails = [&](const std::vector<Fault>& subset) {
     SimulationPlan changed = plan;
-    changed.faults = some;
+    changed.faults = subset;
     ClusterSimulation simulation(changed, seed);
     simulation.run();
     return !simulation.good();
@@ -273,7 +275,8 @@
   return faults;
 }
 
-/// Outside CI: CORKMUX_SIMULATIONS=FIRST-LAST plays those seeds; what fails is shrunk and kept as a file.
+/// Outside CI, CORKMUX_SIMULATIONS=FIRST-LAST runs that range of seeds. The faults of a failed seed are
+/// shrunk and written to a file.
 TEST(ClusterSimulation, RandomFaultsBreakNoRule) {
   spdlog::set_level(spdlog::level::off);
   unsigned long first = 1;
@@ -288,13 +291,13 @@
     ClusterSimulation simulation(plan, seed);
     simulation.run();
     if (simulation.good()) continue;
-    auto least = shrink(plan, seed, plan.faults);
-    auto kept = "failed-simulation-" + std::to_string(seed) + ".toml";
-    std::ofstream out(kept);
+    auto remaining_faults = shrink(plan, seed, plan.faults);
+    auto file_name = "failed-simulation-" + std::to_string(seed) + ".toml";
+    std::ofstream out(file_name);
     out << "# forty, seed " << seed << "; for a [[day]] of tests/simulations/forty.toml\nfaults = [\n";
-    for (const auto& fault : least) out << "  " << fault_to_toml(fault) << ",\n";
+    for (const auto& fault : remaining_faults) out << "  " << fault_to_toml(fault) << ",\n";
     out << "]\n";
-    ADD_FAILURE() << "seed " << seed << ", kept in " << kept << "\n" << describe(simulation);
+    ADD_FAILURE() << "seed " << seed << ", kept in " << file_name << "\n" << describe(simulation);
   }
 }
 
