--- a/src/simulation/cluster_simulation.h
+++ b/src/simulation/cluster_simulation.h
@@ -24,8 +24,7 @@
 
 namespace corkmux::simulation {
 
-inline constexpr double kStateAnswer =
-    0.004;  // s; usual latency of the state store, under 10 ms (the protocol)
+inline constexpr double kStateAnswer = 0.004;           // s; usual latency, under 10 ms (the protocol)
 inline constexpr double kSlowStateAnswerShare = 0.005;  // share of answers with kSlowStateAnswer
 inline constexpr double kSlowStateAnswer = 0.25;        // s; a few hundred ms (the protocol)
 inline constexpr double kRecentBoot = 3;  // s since its boot in which a machine counts as recently booted
--- a/src/simulation/host.h
+++ b/src/simulation/host.h
@@ -12,10 +12,8 @@
 
 class EventSimulator;
 
-inline constexpr double kMaxClockDrift =
-    0.0005;  // fraction by which steady clocks run fast or slow (deployment guide)
-inline constexpr double kTimerStep =
-    0.001;  // s; timers have a resolution of one or a few ms (deployment guide)
+inline constexpr double kMaxClockDrift = 0.0005;  // of steady clocks, either way (deployment guide)
+inline constexpr double kTimerStep = 0.001;       // s; timer resolution is one or a few ms (deployment guide)
 inline constexpr double kSteadyEpoch = 1000;      // s of the steady clock at the start; 0 could mean never
 inline constexpr double kWallEpoch = 1700000000;  // s since 1970 at the start
 
--- a/src/simulation/image_cache.h
+++ b/src/simulation/image_cache.h
@@ -9,7 +9,7 @@
 
 namespace corkmux::simulation {
 
-/// The images of one machine. The owner polls fetched_by() and completes or drops each fetch.
+/// The images of one machine. The owner polls fetched_by() and completes each fetch.
 class ImageCache {
  public:
   ImageCache(double fetch_gb_per_s, double capacity_gb)
--- a/src/simulation/leader_detector.h
+++ b/src/simulation/leader_detector.h
@@ -10,8 +10,7 @@
 
 namespace corkmux::simulation {
 
-inline constexpr double kLeaderDetectionInterval =
-    0.01;  // s between checks while the network retains heartbeats
+inline constexpr double kLeaderDetectionInterval = 0.01;  // s between checks while heartbeats are retained
 
 /// Polls the controllers for changes of leadership.
 class LeaderDetector {
--- a/src/simulation/machine_fleet.h
+++ b/src/simulation/machine_fleet.h
@@ -14,8 +14,7 @@
 
 namespace corkmux::simulation {
 
-inline constexpr double kLeaseExpirySlack =
-    0.05;  // s between a hanging machine's lease expiry and the end of its tasks
+inline constexpr double kLeaseExpirySlack = 0.05;  // s; a hanging machine's tasks end so long after its lease
 inline constexpr int kAllMachines = std::numeric_limits<int>::max();  // no limit for MachineFleet::draw
 
 /// All machines that are up, by name.
--- a/src/simulation/simulated_network.h
+++ b/src/simulation/simulated_network.h
@@ -16,13 +16,11 @@
 class EventSimulator;
 class Host;
 
-inline constexpr double kDelayInZone = 0.0004;        // s one way within a zone
-inline constexpr double kDelayBetweenZones = 0.0015;  // s one way between zones and to regional services
-inline constexpr double kRetransmissionShare =
-    0.001;  // share of messages whose packet is lost and retransmitted
-inline constexpr double kRetransmissionDelay = 0.2;  // s; usual time of a first retransmission
-inline constexpr std::size_t kMaxRetainedRequests =
-    400;  // copies for deliver_retained(); several per machine
+inline constexpr double kDelayInZone = 0.0004;            // s one way within a zone
+inline constexpr double kDelayBetweenZones = 0.0015;      // s one way between zones and to regional services
+inline constexpr double kRetransmissionShare = 0.001;     // of messages whose packet is lost and sent again
+inline constexpr double kRetransmissionDelay = 0.2;       // s; usual time of a first retransmission
+inline constexpr std::size_t kMaxRetainedRequests = 400;  // for deliver_retained(); several per machine
 
 /// Effect of a partition on traffic between the two hosts that it separates.
 enum class PartitionMode {
--- a/src/simulation/state_service.h
+++ b/src/simulation/state_service.h
@@ -18,7 +18,7 @@
 
 namespace corkmux::simulation {
 
-/// Size limits; a test may lower them at any moment.
+/// Size limits; a test or a fault may lower them at any moment.
 struct StateServiceLimits {
   std::size_t value_bytes = 1 << 20;
   std::size_t transaction_writes = 1000;
