--- a/src/common/constants.h
+++ b/src/common/constants.h
@@ -14,8 +14,8 @@
 inline constexpr double kRetryPause = 0.15;  // s before a rejected request to the state store is retried
 inline constexpr int kRecordFormat = 2;      // record format that this version writes, see docs/design.md
 inline constexpr std::size_t kSmallestRecord = 256;  // bytes; enough for one task with long names
-inline constexpr double kRecordShare =
-    0.8;  // of value_kb for the list of one record; other fields need the rest
+/// Share of value_kb for the list of one record; the enclosing fields need the rest.
+inline constexpr double kRecordShare = 0.8;
 
 /// bits of a fencing token or attempt number that the leader numbers itself; the bits above are the term,
 /// which the state store counts.
--- a/src/net/net_constants.h
+++ b/src/net/net_constants.h
@@ -4,8 +4,8 @@
 
 namespace corkmux::constants {
 
-inline constexpr std::size_t kMaxHeaderBytes =
-    16 * 1024;  // bytes; clients of the protocol need less than 2 KiB
+/// bytes; clients of the protocol need less than 2 KiB.
+inline constexpr std::size_t kMaxHeaderBytes = 16 * 1024;
 inline constexpr std::size_t kMaxRequestBody = 64 * 1024;  // bytes; the protocol's limit for requests
 inline constexpr std::size_t kMaxResponseBody =
     8 * 1024 * 1024;  // bytes; a watch response is unbounded, this process's memory is not
