--- a/src/simulation/simulation_constants.h
+++ b/src/simulation/simulation_constants.h
@@ -21,8 +21,8 @@
 inline constexpr double kNextControllerDelay = 1;     // s until the next controller is tried (protocol)
 inline constexpr double kSpeedSpread = 0.1;           // speed difference of machines of a type (protocol)
 inline constexpr double kFetchSpread = 0.3;           // difference between fetch times (protocol)
-inline constexpr double kPeerLossDetectionShare =
-    0.8;                                       // of gang_peer_s until other gang members detect a loss
+// Share of gang_peer_s until the other members of a gang detect a loss.
+inline constexpr double kPeerLossDetectionShare = 0.8;
 inline constexpr double kFaultyTaskDelay = 2;  // s until a task on a faulty machine fails
 
 // --- user actions of faults ---
