--- a/src/kube/annotation_translation.cc
+++ b/src/kube/annotation_translation.cc
@@ -9,7 +9,7 @@
 namespace corkmux::kube {
 namespace {
 
-constexpr double kMaxAmount = 1e12;  // of an annotation, in its unit
+constexpr double kMaxAmount = 1e12;  // largest value of an annotation, in the annotation's unit
 constexpr const char* kDefaultClass = "kubernetes";
 
 /// Reads the values of annotations with the project's prefix.
@@ -18,9 +18,9 @@
   AnnotationReader(const Json& annotations, std::vector<Cause>& causes)
       : fields_(annotations, "metadata.annotations", causes), causes_(causes) {}
 
-  std::string text(const char* name) { return fields_.text(std::string(kOwnPrefix) + name); }
+  std::string text(const char* name) { return fields_.text(std::string(kCorkmuxPrefix) + name); }
 
-  /// nullopt: it is not given, or not an amount.
+  /// Returns the amount; nullopt if the annotation is absent or not an amount. The latter adds a cause.
   std::optional<double> amount(const char* name) {
     const std::string value = text(name);
     if (value.empty()) return std::nullopt;
@@ -37,15 +37,15 @@
   }
 
   void add_invalid(const char* name, const std::string& why) {
-    fields_.add_invalid(std::string(kOwnPrefix) + name, why);
+    fields_.add_invalid(std::string(kCorkmuxPrefix) + name, why);
   }
 
-  /// Refuses annotations with the project's prefix that it does not have.
+  /// Adds a cause for each annotation with the project's prefix that the project does not define.
   void refuse_unknown() {
     static const std::set<std::string> kKnown{"class",        "gang",     "one-zone",
                                               "spread",       "image-gb", "estimate-s",
                                               "checkpoint-s", "save-s",   "deadline-s"};
-    const std::string prefix = kOwnPrefix;
+    const std::string prefix = kCorkmuxPrefix;
     for (const auto& [name, value] : fields_.object().items()) {
       if (name.rfind(prefix, 0) != 0 || kKnown.contains(name.substr(prefix.size()))) continue;
       causes_.push_back({"metadata.annotations", name + ": not known", kNotSupported});
--- a/src/kube/api_server.cc
+++ b/src/kube/api_server.cc
@@ -20,7 +20,7 @@
 
 bool all_digits(const std::string& text) { return text.find_first_not_of("0123456789") == std::string::npos; }
 
-/// A number of the query, 0 if it is not given. nullopt: not a number.
+/// Parses a number of the query. Returns 0 for an empty text; nullopt if it is not a number.
 std::optional<std::uint64_t> query_number(const std::string& text) {
   if (text.size() > kMaxNumberDigits || !all_digits(text)) return std::nullopt;
   return text.empty() ? 0 : std::stoull(text);
@@ -29,7 +29,7 @@
 }  // namespace
 
 int ApiServer::connections(const Settings& settings) {
-  return std::clamp(settings.max_connections / kConnectionShare, kMinConnections, kMaxConnections);
+  return std::clamp(settings.max_connections / kConnectionDivisor, kMinConnections, kMaxConnections);
 }
 
 ApiServer::ApiServer(Loop& loop, const Settings& settings, const KubernetesChoices& choices,
@@ -57,23 +57,23 @@
   }
 }
 
-// ---------------------------------------------------------------- answers
+// ---------------------------------------------------------------- responses
 
-void ApiServer::answer(const CallPtr& call, int code, const Json& body, std::vector<std::string> warnings) {
+void ApiServer::respond(const CallPtr& call, int code, const Json& body, std::vector<std::string> warnings) {
   int retry = code == 503 || code == 429 ? c::kRetryAfter : 0;
-  // What is wrong with a body is told in its own words, which need not be UTF-8.
+  // Errors about a request body quote it, and the quoted bytes need not be valid UTF-8.
   std::string text = body.dump(-1, ' ', false, Json::error_handler_t::replace);
   server_.respond(call->id, {code, std::move(text), retry, false, kJsonType, std::move(warnings)});
 }
 
-void ApiServer::answer_status(const CallPtr& call, ApiStatus status) {
+void ApiServer::respond_with_status(const CallPtr& call, ApiStatus status) {
   if (status.kind.empty() && !call->namespace_name.empty()) status.kind = "jobs";
   if (status.name.empty()) status.name = call->name;
-  answer(call, status.code, status_object(status));
+  respond(call, status.code, status_object(status));
 }
 
 void ApiServer::fail(const CallPtr& call, int code, const char* reason, std::string message) {
-  answer_status(call, {.code = code, .reason = reason, .message = std::move(message)});
+  respond_with_status(call, {.code = code, .reason = reason, .message = std::move(message)});
 }
 
 void ApiServer::fail_bad_request(const CallPtr& call, std::string message) {
@@ -95,7 +95,7 @@
     text += separator + cause.field + ": " + cause.message;
     separator = "; ";
   }
-  answer_status(
+  respond_with_status(
       call,
       {.code = 422, .reason = "Invalid", .message = text, .name = given_name, .causes = std::move(causes)});
 }
@@ -117,7 +117,7 @@
   auto query = target_query(request.target);
   if (!query) return fail_bad_request(call, "the query is not percent-encoded");
   call->query = std::move(*query);
-  // Before anything else is told; whether it is ready tells nothing.
+  // Authenticates before any other response is given. Probes need no token: readiness reveals no data.
   if (tokens_ && !is_probe(call->path)) {
     call->token = tokens_->find(request.authorization);
     if (!call->token) return fail(call, 401, "Unauthorized", "a token is needed");
@@ -138,7 +138,7 @@
   if (!probe && !document)
     return fail(call, 404, "NotFound", "the server could not find the requested resource");
   if (call->method != "GET") return fail(call, 405, "MethodNotAllowed", "only GET is allowed here");
-  if (document) return answer(call, 200, *document);
+  if (document) return respond(call, 200, *document);
   if (!admission_.state_reachable() || !admission_.types_known()) return fail_unavailable(call, "not ready");
   server_.respond(call->id, {200, "ok", 0, false, "text/plain", {}});
 }
@@ -152,7 +152,7 @@
 
 void ApiServer::serve_jobs(const CallPtr& call) {
   const BearerTokens::Token* token = std::exchange(call->token, nullptr);
-  // What a token may not read is as if it were not there.
+  // A namespace that the token may not use gets the same response as one that does not exist.
   if (!may_use_namespace(*call, token))
     return fail(call, 403, "Forbidden", "not allowed in namespace " + call->namespace_name);
   if (!call->name.empty() && !valid_name(call->name)) return fail_not_found(call);
@@ -181,9 +181,9 @@
 void ApiServer::get(const CallPtr& call) {
   read(call, [this, call](FoundObject found) {
     Json object = job_object(found.stored, call->namespace_name, found.progress);
-    if (!call->wants_table) return answer(call, 200, object);
-    answer(call, 200,
-           job_table({object}, {{"resourceVersion", object["metadata"]["resourceVersion"]}}, wall_now()));
+    if (!call->wants_table) return respond(call, 200, object);
+    respond(call, 200,
+            job_table({object}, {{"resourceVersion", object["metadata"]["resourceVersion"]}}, wall_now()));
   });
 }
 
@@ -239,15 +239,15 @@
     after = object_key(call->namespace_name, after);
   }
   list_objects(call, std::move(*filter), std::move(after), *limit,
-               [this, call](const ObjectPage& page) { answer_list(call, page); });
+               [this, call](const ObjectPage& page) { respond_with_list(call, page); });
 }
 
-void ApiServer::answer_list(const CallPtr& call, const ObjectPage& page) {
+void ApiServer::respond_with_list(const CallPtr& call, const ObjectPage& page) {
   Json metadata = {{"resourceVersion", std::to_string(page.revision)}};
   if (page.more) metadata["continue"] = page.last_key.substr(objects_prefix(call->namespace_name).size());
-  if (call->wants_table) return answer(call, 200, job_table(page.objects, metadata, wall_now()));
-  answer(call, 200,
-         {{"kind", "JobList"}, {"apiVersion", "batch/v1"}, {"metadata", metadata}, {"items", page.objects}});
+  if (call->wants_table) return respond(call, 200, job_table(page.objects, metadata, wall_now()));
+  respond(call, 200,
+          {{"kind", "JobList"}, {"apiVersion", "batch/v1"}, {"metadata", metadata}, {"items", page.objects}});
 }
 
 std::optional<WatchCache::WatchRequest> ApiServer::read_watch(const CallPtr& call) {
@@ -275,7 +275,8 @@
   server_.begin(call->id, {200, "", 0, false, kJsonType, {}});
 }
 
-/// From a revision on; or first what there is, read as a list is, and then what follows.
+/// Starts a watch after the given resource version. Without one, the watch first sends the existing objects,
+/// read like a list, then the changes that follow.
 void ApiServer::watch(const CallPtr& call) {
   auto request = read_watch(call);
   if (!request) return;
@@ -291,7 +292,7 @@
 void ApiServer::watch_after_listing(const CallPtr& call, WatchCache::WatchRequest request,
                                     const ObjectPage& page) {
   begin_watch(call);
-  // As long as the list itself would be, which is bounded.
+  // The initial events are as large as a list response, whose size is bounded.
   for (const auto& object : page.objects)
     if (!server_.part(call->id, WatchCache::event_line("ADDED", object))) return;
   request.after = page.revision;
--- a/src/kube/api_server.h
+++ b/src/kube/api_server.h
@@ -1,8 +1,9 @@
-// The Kubernetes API's Jobs over HTTP.
+// Serves the Jobs of the Kubernetes API over HTTP.
 //
-// What was submitted is stored together with the job that it became, in one transaction; every answer is read
-// from the store, so any controller gives the same. Owns the server, the tokens and the watch cache. Below
-// this folder nothing knows that such clients exist. Used on the loop's thread.
+// A submitted object and the job that it is translated into are stored in one transaction. Every response is
+// read from the state store, so all controllers give the same one. ApiServer owns the HTTP server, the tokens
+// and the watch cache. No code outside src/kube depends on Kubernetes clients. Runs on the event loop's
+// thread.
 #pragma once
 #include <map>
 #include <memory>
@@ -21,50 +22,53 @@
 
 namespace corkmux::kube {
 
-inline constexpr int kMaxConnections = 600;        // sockets for Kubernetes-style clients
+inline constexpr int kMaxConnections = 600;        // sockets for Kubernetes clients
 inline constexpr int kMinConnections = 8;          // sockets
-inline constexpr int kConnectionShare = 4;         // of all sockets for users and workers, one in so many
-inline constexpr double kMaxWatchDuration = 1800;  // s; clients take a watch up again
-inline constexpr int kDeleteAttempts = 3;          // of a delete that met a change
+inline constexpr int kConnectionDivisor = 4;       // 1 of so many sockets for users and workers
+inline constexpr double kMaxWatchDuration = 1800;  // s; clients resume a watch that ended
+inline constexpr int kDeleteAttempts = 3;          // per request, counting retries after conflicting changes
 
+/// The Kubernetes API server of a controller.
 class ApiServer : public Actor<ApiServer> {
  public:
-  /// Throws std::runtime_error when the address cannot be had, SettingsError when the tokens cannot be read.
+  /// Throws std::runtime_error if the listen address cannot be bound, SettingsError if the token file cannot
+  /// be read.
   ApiServer(Loop& loop, const Settings& settings, const KubernetesChoices& choices, StateClient& state,
             const JobAdmission& admission, JobStatusCache& status_cache);
-  /// Sockets that it may use, of those that users and workers have otherwise.
+  /// Returns the number of sockets that the API server may use. They are part of the sockets for users and
+  /// workers.
   static int connections(const Settings& settings);
-  /// Starts to follow the store; requests are served from the construction on.
+  /// Starts to watch the state store. Requests are served from construction on.
   void start() { watch_cache_.start(); }
-  /// Takes no more connections, and ends all watches.
+  /// Stops accepting connections and ends all watches.
   void close() {
     server_.close();
     watch_cache_.close();
   }
-  /// Whether requests are under way.
+  /// Returns whether requests are in progress.
   bool busy() const { return server_.busy(); }
   int port() const { return server_.port(); }
-  /// Reads the tokens again. Returns what is wrong with the file, if anything; then the former ones hold.
+  /// Reloads the token file. If it is invalid, returns the error and keeps the previous tokens.
   std::optional<SettingsError> reload_tokens();
 
  private:
   using Id = http::Server::ConnectionId;
-  /// One request, until it is answered.
+  /// One request, from its arrival until its response.
   struct Call {
     Id id = 0;
     std::string method;
     std::string path;
-    std::string namespace_name;  // empty: the request is about none
-    std::string name;            // of an object; empty: the request is about none
+    std::string namespace_name;  // empty: the request names no namespace
+    std::string name;            // of an object; empty: the request names no object
     std::string body;
     std::string content_type;
     std::map<std::string, std::string> query;
     bool wants_table = false;
-    const BearerTokens::Token* token = nullptr;  // valid only while the request is being routed
+    const BearerTokens::Token* token = nullptr;  // valid only during routing, before any callback
     int delete_attempts = 0;
   };
   using CallPtr = std::shared_ptr<Call>;
-  /// A submission that was checked, ready to be stored.
+  /// A validated submission, ready to be stored.
   struct Submission {
     StoredObject stored;
     JobSpec job;
@@ -79,10 +83,10 @@
 
   // --- create ---
   void create(const CallPtr& call);
-  /// The name that the object asks for, or one that is made from its generateName.
+  /// Returns the name given in the metadata, or one generated from generateName.
   std::string object_name(const Json& metadata);
-  StoredObject make_stored(const Json& object, const Json& metadata, const std::string& name);
-  /// Answers if the job cannot be accepted.
+  StoredObject make_stored_object(const Json& object, const Json& metadata, const std::string& name);
+  /// Returns whether the job can be accepted; if not, sends the error response.
   bool check_admission(const CallPtr& call, const Submission& submission, const std::string& given_name);
   void dry_run_create(const CallPtr& call, const Submission& submission);
   void store(const CallPtr& call, const Submission& submission);
@@ -90,33 +94,37 @@
 
   // --- read ---
   using FoundCallback = std::function<void(FoundObject)>;
-  /// Answers if there is no such object, or it cannot be read.
+  /// Reads the object of the request and passes it to `done`. If the object does not exist or cannot be read,
+  /// sends the error response instead.
   void read(const CallPtr& call, FoundCallback done);
   void get(const CallPtr& call);
   void list(const CallPtr& call);
-  /// nullopt: answered, since something of the request is wrong. All three are so.
+  /// The three read functions below parse the query; nullopt means that the query is invalid and that the
+  /// error response has been sent.
   std::optional<ObjectFilter> read_selectors(const CallPtr& call);
   std::optional<std::size_t> read_limit(const CallPtr& call);
   std::optional<WatchCache::WatchRequest> read_watch(const CallPtr& call);
-  void answer_list(const CallPtr& call, const ObjectPage& page);
+  void respond_with_list(const CallPtr& call, const ObjectPage& page);
   void watch(const CallPtr& call);
   void begin_watch(const CallPtr& call);
   void watch_after_listing(const CallPtr& call, WatchCache::WatchRequest request, const ObjectPage& page);
   using PageCallback = std::function<void(const ObjectPage&)>;
-  /// Answers if the objects cannot be read.
+  /// Reads one page of objects and passes it to `done`. If the state store cannot be read, sends the error
+  /// response instead.
   void list_objects(const CallPtr& call, ObjectFilter filter, std::string after, std::size_t limit,
                     PageCallback done);
 
   // --- delete ---
   void delete_object(const CallPtr& call);
-  /// nullopt: answered, since something of the request is wrong.
+  /// Parses the delete options; nullopt means that they are invalid and that the error response has been
+  /// sent.
   std::optional<Json> read_delete_options(const CallPtr& call);
   void delete_found(const CallPtr& call, const FoundObject& found);
   void on_delete_failed(const CallPtr& call, StateStatus status);
 
-  // --- answers ---
-  void answer(const CallPtr& call, int code, const Json& body, std::vector<std::string> warnings = {});
-  void answer_status(const CallPtr& call, ApiStatus status);
+  // --- responses ---
+  void respond(const CallPtr& call, int code, const Json& body, std::vector<std::string> warnings = {});
+  void respond_with_status(const CallPtr& call, ApiStatus status);
   void fail(const CallPtr& call, int code, const char* reason, std::string message);
   void fail_bad_request(const CallPtr& call, std::string message);
   void fail_not_found(const CallPtr& call);
--- a/src/kube/api_server_writes.cc
+++ b/src/kube/api_server_writes.cc
@@ -1,4 +1,4 @@
-// Creating and deleting of objects.
+// Creates and deletes objects: the write requests of ApiServer.
 #include <algorithm>
 #include <utility>
 
@@ -24,7 +24,8 @@
   return metadata.contains("name") && metadata["name"].is_string() ? metadata["name"].get<std::string>() : "";
 }
 
-/// The metadata of an object; the object itself if it has none, in which nothing is found then.
+/// Returns the metadata of an object. If it has none, returns the object itself, which has none of the fields
+/// that callers look up.
 const Json& metadata_of(const Json& object) {
   return object.contains("metadata") && object["metadata"].is_object() ? object["metadata"] : object;
 }
@@ -50,10 +51,12 @@
   return prefix + random_ids_.name_suffix();
 }
 
-StoredObject ApiServer::make_stored(const Json& object, const Json& metadata, const std::string& name) {
+StoredObject ApiServer::make_stored_object(const Json& object, const Json& metadata,
+                                           const std::string& name) {
   StoredObject stored;
   stored.uid = random_ids_.uid();
-  // Not to be guessed, so no native submission has taken it; the transaction looks all the same.
+  // The id contains a random uid, so no native submission can have guessed and used it. The transaction
+  // checks for an existing job nevertheless.
   stored.job = "run-" + stored.uid;
   stored.created = wall_now();
   stored.metadata = {{"name", name}};
@@ -69,7 +72,7 @@
     fail_invalid(call, given_name, {{"spec", why}});
     return false;
   };
-  // Whatever the native interface would refuse is refused here, for the same reasons.
+  // Rejects every job that the native interface rejects, for the same reasons.
   auto checked = codec::parse_job(codec::job_to_wire(submission.job));
   if (!checked.job) return refuse(checked.error.text());
   if (auto refused = admission_.check(*checked.job)) return refuse(refused->text);
@@ -96,7 +99,7 @@
 
   call->name = object_name(metadata);
   Submission submission;
-  submission.stored = make_stored(object, metadata, call->name);
+  submission.stored = make_stored_object(object, metadata, call->name);
   submission.job = std::move(translated.job);
   submission.job.id = submission.stored.job;
   submission.job.team = teams_.at(call->namespace_name);
@@ -115,7 +118,7 @@
       return fail_unavailable(call, "the state service cannot be read now");
     Progress progress;
     progress.tasks = submission.job.tasks;
-    answer(call, 201, job_object(submission.stored, call->namespace_name, progress), submission.warnings);
+    respond(call, 201, job_object(submission.stored, call->namespace_name, progress), submission.warnings);
   });
 }
 
@@ -134,11 +137,12 @@
       Progress progress;
       progress.tasks = submission.job.tasks;
       progress.revision = codec::parse_revision(reply.body);
-      return answer(call, 201, job_object(submission.stored, call->namespace_name, progress),
-                    submission.warnings);
+      return respond(call, 201, job_object(submission.stored, call->namespace_name, progress),
+                     submission.warnings);
     }
     case StateStatus::Conflict:
-      // Perhaps an earlier try of the same client whose answer was lost; it can read which it is.
+      // The existing object may stem from an earlier attempt of the same client whose response was lost. The
+      // client can read the object to find out.
       return fail_exists(call);
     case StateStatus::Refused:
       return fail_unavailable(call, "the state service takes no changes now: nothing was stored");
@@ -168,7 +172,7 @@
   if (policy.empty() && options.contains("propagationPolicy") && options["propagationPolicy"].is_string())
     policy = options["propagationPolicy"].get<std::string>();
   if (policy.empty() || policy == "Background") return options;
-  answer_status(
+  respond_with_status(
       call,
       {.code = 422,
        .reason = "Invalid",
@@ -184,11 +188,11 @@
       call->query["dryRun"] == "All" || (options->contains("dryRun") && !(*options)["dryRun"].empty());
   read(call, [this, call, options = std::move(*options), dry_run](FoundObject found) {
     if (!preconditions_hold(options, found))
-      return answer_status(call, {.code = 409,
-                                  .reason = "Conflict",
-                                  .message = "the precondition does not hold",
-                                  .uid = found.stored.uid});
-    if (dry_run) return answer_status(call, {.code = 200, .uid = found.stored.uid});
+      return respond_with_status(call, {.code = 409,
+                                        .reason = "Conflict",
+                                        .message = "the precondition does not hold",
+                                        .uid = found.stored.uid});
+    if (dry_run) return respond_with_status(call, {.code = 200, .uid = found.stored.uid});
     delete_found(call, found);
   });
 }
@@ -211,12 +215,12 @@
   state_.transaction(conditions, writes, [this, call, found, unfinished](const StateReply& reply) {
     if (!reply.ok()) return on_delete_failed(call, reply.status);
     if (unfinished) status_cache_.note_cancelled(found.stored.job);
-    answer_status(call, {.code = 200, .uid = found.stored.uid});
+    respond_with_status(call, {.code = 200, .uid = found.stored.uid});
   });
 }
 
 void ApiServer::on_delete_failed(const CallPtr& call, StateStatus status) {
-  // It ended meanwhile, or somebody else deleted it.
+  // The job ended meanwhile, or another client deleted the object.
   if (status == StateStatus::Conflict && ++call->delete_attempts < kDeleteAttempts)
     return delete_object(call);
   fail_unavailable(call, status == StateStatus::Unanswered
--- a/src/kube/bearer_tokens.cc
+++ b/src/kube/bearer_tokens.cc
@@ -16,7 +16,7 @@
 constexpr std::string_view kSecretCharacters =
     "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-._~+/=";
 
-/// Keeps the line of the first error, without the parser's messages, which could quote a secret.
+/// Records the line of the first error and drops the parser's messages, which could quote a secret.
 struct FirstErrorLine : google::protobuf::io::ErrorCollector {
   int line = 0;  // from 1 on; 0: no error
   void AddError(int error_line, int, const std::string&) override {
@@ -52,7 +52,7 @@
   return static_cast<unsigned char>(index < text.size() ? text[index] : 0);
 }
 
-/// Compares every byte, so that the time says nothing about how much was right.
+/// Compares every byte, so that the time does not reveal how many bytes match.
 bool equal_in_constant_time(std::string_view secret, std::string_view given) {
   std::size_t differences = secret.size() ^ given.size();
   for (std::size_t i = 0; i < kMaxSecretBytes; ++i)
--- a/src/kube/bearer_tokens.h
+++ b/src/kube/bearer_tokens.h
@@ -1,5 +1,5 @@
-// Bearer tokens and what each may do (RFC 6750; rights per namespace). The file is protobuf text format, see
-// proto/operator.proto; what is in it never reaches a log.
+// Bearer tokens (RFC 6750) and the access that each token has per namespace. The token file is in protobuf
+// text format, see proto/operator.proto; its contents are never logged.
 #pragma once
 #include <cstddef>
 #include <map>
@@ -15,25 +15,25 @@
 /// The tokens of one file. Immutable once loaded.
 class BearerTokens {
  public:
-  /// What a token allows in a namespace.
+  /// The access of a token to a namespace.
   enum class Access { Read, ReadAndChange };
 
   struct Token {
     std::string name;
     std::string secret;
-    std::map<std::string, Access> access;  // by namespace; none to those that are not in it
+    std::map<std::string, Access> access;  // by namespace; a namespace without an entry is denied
     bool reads(const std::string& namespace_name) const { return access.contains(namespace_name); }
     bool changes(const std::string& namespace_name) const {
       return reads(namespace_name) && access.at(namespace_name) == Access::ReadAndChange;
     }
   };
 
-  /// Both throw SettingsError, which names the file and the token's name, never its secret.
+  /// Both throw SettingsError. The error has the name of the file and of the token, never the secret.
   static BearerTokens parse(const std::string& text, const std::string& file);
   static BearerTokens load(const std::string& file);
 
-  /// The token of an Authorization header; null: none of ours. Takes the same time whichever token comes
-  /// closest.
+  /// Returns the token of an Authorization header; null if there is no matching token. The time it takes does
+  /// not depend on how closely the header matches a token.
   const Token* find(std::string_view authorization) const;
 
  private:
--- a/src/kube/discovery.cc
+++ b/src/kube/discovery.cc
@@ -5,7 +5,7 @@
 
 using Json = nlohmann::json;
 
-/// Clients expect all of these; most are about another program's build.
+/// Clients expect all of these fields. Most describe a build of Kubernetes and stay empty.
 Json version_document() {
   return {{"major", "1"},    {"minor", "28"},      {"gitVersion", "v1.28.0-corkmux"},
           {"gitCommit", ""}, {"gitTreeState", ""}, {"buildDate", ""},
--- a/src/kube/discovery.h
+++ b/src/kube/discovery.h
@@ -1,4 +1,4 @@
-// What the API tells of itself: the documents that clients read before anything else.
+// Discovery documents: the versions, groups and resources of the API, which clients read first.
 #pragma once
 #include <nlohmann/json.hpp>
 #include <optional>
@@ -8,9 +8,9 @@
 
 inline constexpr const char* kBatchPath = "/apis/batch/v1";
 
-/// Paths that only tell whether the server is ready.
+/// Returns whether the path is a health probe (readiness or liveness).
 bool is_probe(const std::string& path);
-/// nullopt: there is none at that path.
+/// Returns the discovery document at the path; nullopt if there is none.
 std::optional<nlohmann::json> discovery_document(const std::string& path);
 
 }  // namespace corkmux::kube
--- a/src/kube/field_reader.cc
+++ b/src/kube/field_reader.cc
@@ -32,11 +32,11 @@
   return "";
 }
 
-std::optional<int> FieldReader::whole_number(const std::string& name, int least, int most) {
+std::optional<int> FieldReader::integer(const std::string& name, int minimum, int maximum) {
   const Json* value = get(name);
   if (!value) return std::nullopt;
-  if (value->is_number_integer() && *value >= least && *value <= most) return value->get<int>();
-  add_invalid(name, "not a whole number from " + std::to_string(least) + " to " + std::to_string(most));
+  if (value->is_number_integer() && *value >= minimum && *value <= maximum) return value->get<int>();
+  add_invalid(name, "not a whole number from " + std::to_string(minimum) + " to " + std::to_string(maximum));
   return std::nullopt;
 }
 
@@ -46,8 +46,8 @@
 
 void FieldReader::refuse_rest(const std::string& why) {
   for (const auto& [name, value] : object_.items()) {
-    const bool means_nothing = value.is_null() || (value.is_structured() && value.empty());
-    if (means_nothing || read_fields_.contains(name)) continue;
+    const bool has_no_effect = value.is_null() || (value.is_structured() && value.empty());
+    if (has_no_effect || read_fields_.contains(name)) continue;
     causes_.push_back({path_of(name), why, kNotSupported});
   }
 }
--- a/src/kube/field_reader.h
+++ b/src/kube/field_reader.h
@@ -1,4 +1,4 @@
-// Reads an object of a submission field by field and collects what is wrong with it.
+// Reads an object of a submission field by field and collects its errors.
 #pragma once
 #include <optional>
 #include <set>
@@ -9,29 +9,31 @@
 
 namespace corkmux::kube {
 
-/// A reader of one object. Fields that nobody has asked for can be refused at the end, so that nothing a
-/// client sends is disregarded in silence. The object and the list of causes have to outlive the reader.
+/// Reads the fields of one object. Fields that were never read can be rejected at the end, so that no field
+/// that a client sends is silently ignored. The object and the list of causes must outlive the reader.
 class FieldReader {
  public:
-  /// `path`: of the object within the submission, as errors name it. Anything but an object counts as one
-  /// without fields, and as wrong unless it is null.
+  /// `path` is the object's path within the submission, used in errors. A value that is not an object is read
+  /// as an object without fields, and adds a cause unless it is null.
   FieldReader(const Json& object, std::string path, std::vector<Cause>& causes);
 
-  /// The field's value; null: it is not given.
+  /// Returns the field's value; null if the field is absent or null.
   const Json* get(const std::string& name);
-  /// The field's text; empty if it is not given or not a text.
+  /// Returns the field's string; empty if the field is absent or not a string. The latter adds a cause.
   std::string text(const std::string& name);
-  /// The field's whole number from `least` to `most`; nullopt: it is not given or not such a number.
-  std::optional<int> whole_number(const std::string& name, int least, int most);
+  /// Returns the field's integer between `minimum` and `maximum`, both included. nullopt if the field is
+  /// absent or not such an integer; the latter adds a cause.
+  std::optional<int> integer(const std::string& name, int minimum, int maximum);
 
-  /// Refuses the field if it is given.
+  /// Adds a cause if the field is present.
   void refuse(const std::string& name, const std::string& why);
-  /// Refuses all fields that were not asked for. Empty objects and lists mean nothing, so they may stay.
+  /// Adds a cause for each field that was not read. Null fields, empty objects and empty lists have no
+  /// effect, so they are allowed.
   void refuse_rest(const std::string& why);
   void add_invalid(const std::string& name, const std::string& why);
   void add_missing(const std::string& name, const std::string& why);
 
-  /// The field's path; with an empty name the object's own.
+  /// Returns the field's path; for an empty name the path of the object.
   std::string path_of(const std::string& name) const;
   const Json& object() const { return object_; }
 
@@ -42,7 +44,7 @@
   std::set<std::string> read_fields_;
 };
 
-/// The member of an object; an empty object if there is none or `object` is none itself.
+/// Returns the member of an object; an empty object if there is no such member or `object` is not an object.
 const Json& member_or_empty(const Json& object, const char* name);
 
 }  // namespace corkmux::kube
--- a/src/kube/job_translation.cc
+++ b/src/kube/job_translation.cc
@@ -13,10 +13,11 @@
 
 constexpr int kUnlimitedRetries = std::numeric_limits<int>::max();
 
-/// Number of tasks. One job has all its tasks from its start on.
+/// Reads the number of tasks. A job has all its tasks from the start, so `parallelism` must not be below
+/// `completions`.
 void read_counts(FieldReader& spec, JobSpec& job) {
-  auto parallelism = spec.whole_number("parallelism", 0, constants::kMaxTasks);
-  auto completions = spec.whole_number("completions", 1, constants::kMaxTasks);
+  auto parallelism = spec.integer("parallelism", 0, constants::kMaxTasks);
+  auto completions = spec.integer("completions", 1, constants::kMaxTasks);
   job.tasks = completions.value_or(1);
   if (!completions && parallelism.value_or(1) != 1)
     spec.add_invalid("completions",
@@ -28,10 +29,9 @@
     spec.add_invalid("completionMode", "neither NonIndexed nor Indexed");
 }
 
-/// Fields that would change how a job runs and cannot be kept.
+/// Rejects fields that would change how a job runs and that the scheduler does not support.
 void refuse_unsupported(FieldReader& spec) {
-  if (auto limit = spec.whole_number("backoffLimit", 0, kUnlimitedRetries);
-      limit && *limit != kUnlimitedRetries)
+  if (auto limit = spec.integer("backoffLimit", 0, kUnlimitedRetries); limit && *limit != kUnlimitedRetries)
     spec.add_invalid(
         "backoffLimit",
         "tasks that fail are started again, with pauses, until the job is done or deleted; leave it out");
--- a/src/kube/job_translation.h
+++ b/src/kube/job_translation.h
@@ -1,5 +1,5 @@
-// Translates a submitted batch/v1 Job into a JobSpec. Pure functions. What a field of a submission becomes,
-// and which are refused, is in docs/kubernetes.md.
+// Translates a submitted batch/v1 Job into a JobSpec. All functions are pure. docs/kubernetes.md lists how
+// each field is translated and which fields are rejected.
 #pragma once
 #include <cstddef>
 #include <string>
@@ -10,21 +10,22 @@
 
 namespace corkmux::kube {
 
-/// The prefix of the project's own annotations, resources and tolerations.
-inline constexpr const char* kOwnPrefix = "corkmux.io/";
-inline constexpr std::size_t kGeneratedNamePrefix = 58;  // bytes of generateName that count
+/// Prefix of the names of the project's own annotations, resources and tolerations.
+inline constexpr const char* kCorkmuxPrefix = "corkmux.io/";
+inline constexpr std::size_t kGeneratedNamePrefix = 58;  // used bytes of generateName
 
-/// What a submission becomes.
+/// The result of translating a submission.
 struct JobTranslation {
-  JobSpec job;                // without id and team
-  std::vector<Cause> causes;  // empty: the job can be submitted
+  JobSpec job;                // without id and team, which the caller sets
+  std::vector<Cause> causes;  // errors by field; empty: the job can be submitted
   std::vector<std::string> warnings;
 };
 
-/// Translates everything but the name.
+/// Translates the spec and the annotations of a Job; check_metadata checks its name.
 JobTranslation translate_job(const Json& object);
 
-/// Checks `metadata`: name or generateName, labels, annotations; and that it names no other namespace.
+/// Checks `metadata`: name or generateName, labels and annotations, and that a given namespace is the one of
+/// the request.
 std::vector<Cause> check_metadata(const Json& object, const std::string& namespace_name);
 
 }  // namespace corkmux::kube
--- a/src/kube/object_filter.h
+++ b/src/kube/object_filter.h
@@ -1,4 +1,4 @@
-// Which objects a list or a watch is about.
+// Selects the objects of a list or a watch.
 #pragma once
 #include <map>
 #include <optional>
@@ -9,13 +9,13 @@
 
 namespace corkmux::kube {
 
-/// A namespace and what the label and field selectors of a request ask for.
+/// The namespace of a request and its label and field selectors.
 struct ObjectFilter {
   std::string namespace_name;
-  std::optional<std::string> name;  // that a field selector asks for; none: any
+  std::optional<std::string> name;  // required by a field selector; nullopt: any
   std::vector<Requirement> labels;
 
-  /// Whether it selects an object of its namespace.
+  /// Returns whether the filter selects the object, which must be in the filter's namespace.
   bool selects(const std::string& object_name, const std::map<std::string, std::string>& object_labels) const;
 };
 
--- a/src/kube/object_keys.h
+++ b/src/kube/object_keys.h
@@ -1,21 +1,21 @@
-// Where objects are kept in the state store: `n/<namespace>/jobs/<name>`.
+// Keys of objects in the state store: `n/<namespace>/jobs/<name>`.
 #pragma once
 #include <optional>
 #include <string>
 
 namespace corkmux::kube {
 
-/// What an object is called by clients.
+/// The namespace and name by which clients identify an object.
 struct ObjectId {
   std::string namespace_name;
   std::string name;
 };
 
-/// The key under which an object is stored.
+/// Returns the key of an object's record.
 std::string object_key(const std::string& namespace_name, const std::string& name);
-/// The prefix of the keys of all objects of a namespace.
+/// Returns the prefix of the keys of all objects of a namespace.
 std::string objects_prefix(const std::string& namespace_name);
-/// Whose key it is; nullopt: no object's.
+/// Parses the key of an object; nullopt if it is not such a key.
 std::optional<ObjectId> parse_object_key(const std::string& key);
 
 }  // namespace corkmux::kube
--- a/src/kube/object_listing.cc
+++ b/src/kube/object_listing.cc
@@ -16,8 +16,8 @@
 }
 
 void ObjectListing::read_page() {
-  auto most = static_cast<int>(std::min(limit_, kMaxPageObjects));
-  state_.list(objects_prefix(filter_.namespace_name), page_.last_key, most,
+  auto max_records = static_cast<int>(std::min(limit_, kMaxPageObjects));
+  state_.list(objects_prefix(filter_.namespace_name), page_.last_key, max_records,
               [self = shared_from_this()](StateReply reply) { self->on_page(std::move(reply)); });
 }
 
@@ -29,7 +29,7 @@
   for (std::size_t i = 0; i < records.items.size(); ++i) {
     auto& record = records.items[i];
     page_.last_key = record.key;
-    ++records_seen_;
+    ++records_scanned_;
     auto stored = parse_record(record.value);
     if (!stored || !selects(*stored)) continue;
     selected_.push_back({std::move(*stored), record.revision});
@@ -37,7 +37,7 @@
     page_.more |= i + 1 < records.items.size();
     break;
   }
-  bool enough = selected_.size() == limit_ || records_seen_ >= kMaxScannedObjects;
+  bool enough = selected_.size() == limit_ || records_scanned_ >= kMaxScannedObjects;
   if (page_.more && !enough) return read_page();
   page_.objects.resize(selected_.size());
   read_more_objects();
--- a/src/kube/object_reader.cc
+++ b/src/kube/object_reader.cc
@@ -11,13 +11,13 @@
 namespace corkmux::kube {
 namespace {
 
-/// Completes the object from the record of its job's end.
+/// Completes the object from the outcome record of its job.
 void set_ended(FoundObject& found, const codec::KeyValue& outcome) {
   apply_outcome(found.progress, parse_job_outcome(outcome.value));
   found.progress.revision = std::max(found.progress.revision, outcome.revision);
 }
 
-/// Completes the object from the record of its unfinished job and how that is displayed.
+/// Completes the object from the record of its unfinished job and the displayed status.
 void set_unfinished(FoundObject& found, StoredJobRecord record, std::uint64_t revision,
                     const codec::JobView& view) {
   found.job_revision = revision;
@@ -47,7 +47,7 @@
   found->stored = std::move(stored);
   found->revision = revision;
   found->progress.revision = revision;
-  found->progress.tasks = tasks_of(found->stored);
+  found->progress.tasks = task_count(found->stored);
   const std::string job = found->stored.job;
   state_.get(kJobs + job, [this, found, done = std::move(done)](const StateReply& reply) {
     on_job_record(found, reply, done);
@@ -60,7 +60,7 @@
   auto record = reply.ok() ? codec::parse_value(reply.body) : std::nullopt;
   if (!record) return done(std::nullopt);
   StoredJobRecord job_record(std::move(record->value));
-  // Its end was stored when its record went or was marked.
+  // The outcome record is already stored when the job record is removed or marked cancelled.
   if (job_record.cancelled()) return read_outcome(found, done);
   set_unfinished(*found, std::move(job_record), record->revision,
                  status_cache_.display(found->stored.job, job_phase::kQueued));
--- a/src/kube/object_reader.h
+++ b/src/kube/object_reader.h
@@ -1,4 +1,5 @@
-// Reads objects from the state store, with how their jobs stand. Owns nothing; never writes.
+// Reads objects and the progress of their jobs from the state store. Read only; holds references, owns
+// nothing.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -13,16 +14,17 @@
 
 namespace corkmux::kube {
 
-/// An object as it stands in the store.
+/// An object as read from the state store, with the state of its job.
 struct FoundObject {
   StoredObject stored;
   std::uint64_t revision = 0;      // of its record
-  std::uint64_t job_revision = 0;  // of its job's record; 0: the job is over
-  StoredJobRecord job_record;      // while the job is unfinished
+  std::uint64_t job_revision = 0;  // of its job's record; 0: the job has ended
+  StoredJobRecord job_record;      // set while the job is unfinished
   Progress progress;
 };
 
-/// Reads single objects. The client and the cache have to outlive it and its reads.
+/// Reads single objects. The state client and the cache must outlive the reader, which must outlive its
+/// pending reads.
 class ObjectReader {
  public:
   enum class Error { NoSuchObject, StoreUnavailable };
@@ -31,9 +33,11 @@
 
   ObjectReader(StateClient& state, JobStatusCache& status_cache)
       : state_(state), status_cache_(status_cache) {}
-  /// Reads an object's record and how its job stands. The error means something only without an object.
+  /// Reads an object's record and the progress of its job. The error is meaningful only if no object is
+  /// passed.
   void read(const std::string& namespace_name, const std::string& name, ReadCallback done);
-  /// Reads how the job of an object stands, whose record had that revision; nullopt: it cannot be read.
+  /// Reads the progress of an object's job. `revision` is that of the object's record. `done` gets nullopt if
+  /// the progress cannot be read.
   void read_progress(StoredObject stored, std::uint64_t revision, ObjectCallback done);
 
  private:
--- a/src/kube/objects.cc
+++ b/src/kube/objects.cc
@@ -10,12 +10,12 @@
 namespace c = constants;
 namespace {
 
-constexpr std::size_t kMaxObjectName = 63;  // bytes; tasks are named after it
+constexpr std::size_t kMaxObjectName = 63;  // bytes; task names derive from the object's name
 
 }  // namespace
 
 bool valid_name(const std::string& name) {
-  // RFC 1123 subdomain; at most 63, since the tasks are named after it.
+  // An RFC 1123 subdomain, limited to 63 bytes because task names derive from it.
   if (name.empty() || name.size() > kMaxObjectName) return false;
   auto is_alphanumeric = [](char ch) { return (ch >= 'a' && ch <= 'z') || (ch >= '0' && ch <= '9'); };
   auto is_allowed = [&](char ch) { return is_alphanumeric(ch) || ch == '-' || ch == '.'; };
@@ -23,7 +23,7 @@
          std::all_of(name.begin(), name.end(), is_allowed);
 }
 
-std::string time_text(double since_1970) {
+std::string format_time(double since_1970) {
   auto seconds = static_cast<std::time_t>(since_1970);
   std::tm parts{};
   gmtime_r(&seconds, &parts);
@@ -46,7 +46,7 @@
   return texts;
 }
 
-int tasks_of(const StoredObject& stored) {
+int task_count(const StoredObject& stored) {
   auto completions = stored.spec.find("completions");
   bool given = completions != stored.spec.end() && completions->is_number_integer();
   return given ? completions->get<int>() : 1;
@@ -70,7 +70,7 @@
 Json condition(const char* type, const std::string& reason, const std::string& message,
                std::optional<double> since) {
   Json out = {{"type", type}, {"status", "True"}, {"reason", reason}, {"message", message}};
-  if (since) out["lastTransitionTime"] = time_text(*since);
+  if (since) out["lastTransitionTime"] = format_time(*since);
   return out;
 }
 
@@ -87,7 +87,7 @@
     case Progress::Phase::Done:
       status["active"] = 0;
       status["succeeded"] = progress.tasks;
-      if (progress.ended_at) status["completionTime"] = time_text(*progress.ended_at);
+      if (progress.ended_at) status["completionTime"] = format_time(*progress.ended_at);
       conditions.push_back(condition("Complete", "CompletionsReached", "", progress.ended_at));
       break;
     case Progress::Phase::Cancelled:
@@ -96,7 +96,7 @@
       break;
   }
   if (!conditions.empty()) status["conditions"] = std::move(conditions);
-  status["startTime"] = time_text(stored.created);
+  status["startTime"] = format_time(stored.created);
   return status;
 }
 
@@ -113,7 +113,7 @@
   metadata["uid"] = stored.uid;
   metadata["resourceVersion"] = std::to_string(progress.revision);
   metadata["generation"] = 1;
-  metadata["creationTimestamp"] = time_text(stored.created);
+  metadata["creationTimestamp"] = format_time(stored.created);
   Json spec = stored.spec;
   spec["completions"] = progress.tasks;
   if (!spec.contains("parallelism")) spec["parallelism"] = progress.tasks;
--- a/src/kube/pod_translation.cc
+++ b/src/kube/pod_translation.cc
@@ -15,7 +15,7 @@
 constexpr const char* kZoneLabel = "topology.kubernetes.io/zone";
 constexpr const char* kTypeLabel = "node.kubernetes.io/instance-type";
 constexpr double kBytesPerGb = 1e9;
-constexpr double kEqualAmounts = 1e-9;  // share by which two texts of one amount may differ as numbers
+constexpr double kAmountTolerance = 1e-9;  // relative; spellings of one amount may differ so much
 
 std::string quantity_text(const Json& value) {
   if (value.is_string()) return value.get<std::string>();
@@ -59,12 +59,12 @@
     return parsed;
   }
 
-  /// Of a resource; 0 if it is not asked for. The platform gives a task exactly what it asks for, so a limit
-  /// has to be the request.
+  /// Returns the requested amount of a resource, 0 if none is requested. A task gets exactly what it
+  /// requests, so a limit must equal the request.
   double amount(const std::string& name) {
     auto request = amount_in(requests_, name);
     auto limit = amount_in(limits_, name);
-    if (request && limit && std::abs(*request - *limit) > kEqualAmounts * std::max(1.0, *request))
+    if (request && limit && std::abs(*request - *limit) > kAmountTolerance * std::max(1.0, *request))
       causes_.push_back({path_ + ".limits." + name, "has to be what is requested: a task gets exactly that",
                          kNotSupported});
     return request ? *request : limit.value_or(0);
@@ -114,7 +114,7 @@
   if (!tolerations->is_array()) pod.add_invalid("tolerations", "not a list");
   for (const auto& toleration : *tolerations) {
     const std::string key = toleration_key(toleration);
-    if (key == std::string(kOwnPrefix) + "spot")
+    if (key == std::string(kCorkmuxPrefix) + "spot")
       translation.job.spot = true;
     else
       translation.warnings.push_back("toleration of " + (key.empty() ? "everything" : key) +
--- a/src/kube/quantity.cc
+++ b/src/kube/quantity.cc
@@ -36,7 +36,8 @@
   if (!text.empty() && text.front() == '+') text.remove_prefix(1);
 }
 
-/// Bytes of the number at the front, digits with at most one point; 0: there is none.
+/// Returns the length in bytes of the leading number: digits with at most one decimal point. 0 if there is no
+/// number.
 std::size_t number_length(std::string_view text) {
   const std::size_t length = std::min(text.find_first_not_of("0123456789."), text.size());
   const std::string_view number = text.substr(0, length);
@@ -45,7 +46,7 @@
   return digits > 0 && points <= 1 ? length : 0;
 }
 
-/// The power of ten that an exponent such as `e3` or `E-1` stands for.
+/// Parses an exponent such as `e3` or `E-1` and returns the power of ten.
 std::optional<double> parse_exponent(std::string_view text) {
   if (text.front() != 'e' && text.front() != 'E') return std::nullopt;
   text.remove_prefix(1);
@@ -70,7 +71,7 @@
   remove_plus(text);
   const std::size_t length = number_length(text);
   if (length == 0 || text.size() > kMaxQuantityBytes) return std::nullopt;
-  // The number alone and without an exponent, so that that of `1e3` is not taken twice.
+  // Parses the mantissa only: suffix_factor applies the exponent of `1e3`, which must not be applied twice.
   double value = 0;
   const char* number_end = text.data() + length;
   auto [parsed_to, error] = std::from_chars(text.data(), number_end, value, std::chars_format::fixed);
--- a/src/kube/random_ids.cc
+++ b/src/kube/random_ids.cc
@@ -9,9 +9,9 @@
 namespace corkmux::kube {
 namespace {
 
-constexpr int kSuffixLetters = 5;
-/// As in the API's own generated names: without vowels and digits that are taken for them.
-constexpr std::string_view kLetters = "bcdfghjklmnpqrstvwxz2456789";
+constexpr int kSuffixLength = 5;
+/// The alphabet of names that Kubernetes generates: no vowels, and no digits that look like vowels.
+constexpr std::string_view kSuffixAlphabet = "bcdfghjklmnpqrstvwxz2456789";
 
 }  // namespace
 
@@ -19,15 +19,15 @@
 
 std::string RandomIds::name_suffix() {
   std::string suffix;
-  std::uniform_int_distribution<std::size_t> any(0, kLetters.size() - 1);
-  for (int i = 0; i < kSuffixLetters; ++i) suffix += kLetters[any(rng_)];
+  std::uniform_int_distribution<std::size_t> distribution(0, kSuffixAlphabet.size() - 1);
+  for (int i = 0; i < kSuffixLength; ++i) suffix += kSuffixAlphabet[distribution(rng_)];
   return suffix;
 }
 
 std::string RandomIds::uid() {
-  std::uniform_int_distribution<std::uint64_t> any;
-  const std::uint64_t high = (any(rng_) & ~0xf000ULL) | 0x4000ULL;
-  const std::uint64_t low = (any(rng_) & ~(3ULL << 62)) | (2ULL << 62);
+  std::uniform_int_distribution<std::uint64_t> distribution;
+  const std::uint64_t high = (distribution(rng_) & ~0xf000ULL) | 0x4000ULL;
+  const std::uint64_t low = (distribution(rng_) & ~(3ULL << 62)) | (2ULL << 62);
   return fmt::format("{:08x}-{:04x}-{:04x}-{:04x}-{:012x}", high >> 32, (high >> 16) & 0xffff, high & 0xffff,
                      low >> 48, low & 0xffffffffffffULL);
 }
--- a/src/kube/random_ids.h
+++ b/src/kube/random_ids.h
@@ -5,13 +5,13 @@
 
 namespace corkmux::kube {
 
-/// A generator of its own random sequence, seeded by the system.
+/// Generates names and uids from a random sequence of its own, seeded by the system.
 class RandomIds {
  public:
   RandomIds();
-  /// What the API appends to a generateName.
+  /// Returns a random suffix to append to a generateName.
   std::string name_suffix();
-  /// RFC 9562, version 4.
+  /// Returns a random UUID (RFC 9562, version 4).
   std::string uid();
 
  private:
--- a/src/kube/request_body.cc
+++ b/src/kube/request_body.cc
@@ -18,7 +18,8 @@
   return value;
 }
 
-/// Whether every text in it can be sent again: JSON allows no other bytes than UTF-8.
+/// Returns whether all strings of the value are UTF-8. Others could not be sent back, as JSON allows only
+/// UTF-8.
 bool is_utf8(const Json& value) {
   try {
     value.dump();
--- a/src/kube/request_body.h
+++ b/src/kube/request_body.h
@@ -1,7 +1,7 @@
-// Bodies of requests, in JSON or YAML, as one form of JSON value.
+// Parses request bodies, JSON or YAML, into JSON values.
 //
-// Guards against input that costs more than its size: depth and number of values are bounded, those of YAML
-// once its aliases are written out.
+// Guards against input whose cost exceeds its size: the nesting depth is bounded, and for YAML also the
+// number of values, counted after aliases are expanded.
 #pragma once
 #include <nlohmann/json.hpp>
 #include <optional>
@@ -12,26 +12,27 @@
 
 using Json = nlohmann::json;
 
-inline constexpr int kMaxBodyDepth = 64;      // levels; the API's own objects have some twelve
-inline constexpr int kMaxBodyValues = 20000;  // values of YAML once aliases are written out
+inline constexpr int kMaxBodyDepth = 64;      // levels; objects of the API have about twelve
+inline constexpr int kMaxBodyValues = 20000;  // values of a YAML body after aliases are expanded
 
-/// Thrown while a body is read that is well formed but not taken; the text is for the client.
+/// Thrown by the parsers for a body that is not accepted. The text is sent to the client.
 struct UnsupportedBody : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-/// Why a body was not taken, in words for the client.
+/// Why a body was rejected. The text is sent to the client.
 struct BodyError {
   std::string text;
 };
 
-/// A body that was read.
+/// The result of parsing a body.
 struct ParsedBody {
   std::optional<Json> object;
-  BodyError error = {};  // if there is no object
+  BodyError error = {};  // set if there is no object
 };
 
-/// Reads one document that is an object: YAML where the content type says so, else JSON. Never throws.
+/// Parses one document, which must be an object: YAML if the content type contains "yaml", else JSON. Never
+/// throws.
 ParsedBody parse_body(const std::string& text, const std::string& content_type);
 
 }  // namespace corkmux::kube
--- a/src/kube/request_target.h
+++ b/src/kube/request_target.h
@@ -1,4 +1,4 @@
-// The target of an HTTP request, taken apart.
+// Splits the target of an HTTP request into path and query.
 #pragma once
 #include <map>
 #include <optional>
@@ -8,11 +8,12 @@
 
 namespace corkmux::kube {
 
-/// What stands before the question mark, without slashes at its end.
+/// Returns the path: the text before the question mark, without trailing slashes.
 std::string target_path(std::string_view target);
-/// What stands behind it, percent-decoded. nullopt: not a percent-encoding.
+/// Returns the parameters of the query, with percent-decoded values. nullopt if a value is not validly
+/// percent-encoded.
 std::optional<std::map<std::string, std::string>> target_query(std::string_view target);
-/// The parts between separators; empty ones are left out.
+/// Returns the non-empty parts of the text between separators.
 std::vector<std::string> split(std::string_view text, char separator);
 
 }  // namespace corkmux::kube
--- a/src/kube/selector.cc
+++ b/src/kube/selector.cc
@@ -9,7 +9,7 @@
 using namespace tao::pegtl;
 using Operator = Requirement::Operator;
 
-// Rules bear the names of the grammar, as is the custom with PEGTL.
+// Rules are named as in the grammar, as is customary with PEGTL.
 // NOLINTBEGIN(readability-identifier-naming)
 struct blanks : star<blank> {};
 struct word : plus<sor<alnum, one<'-', '_', '.'>>> {};
@@ -83,7 +83,7 @@
 
 namespace {
 
-bool holds(const Requirement& requirement, const std::map<std::string, std::string>& labels) {
+bool is_met(const Requirement& requirement, const std::map<std::string, std::string>& labels) {
   const auto label = labels.find(requirement.key);
   const bool present = label != labels.end();
   const auto& values = requirement.values;
@@ -96,7 +96,7 @@
     case Operator::In:
       return listed;
     case Operator::NotIn:
-      return !listed;  // also of what has no such label
+      return !listed;  // also selects objects without the label
   }
   return false;
 }
@@ -105,7 +105,7 @@
 
 bool selects(const std::vector<Requirement>& selector, const std::map<std::string, std::string>& labels) {
   return std::all_of(selector.begin(), selector.end(),
-                     [&](const Requirement& requirement) { return holds(requirement, labels); });
+                     [&](const Requirement& requirement) { return is_met(requirement, labels); });
 }
 
 }  // namespace corkmux::kube
--- a/src/kube/selector.h
+++ b/src/kube/selector.h
@@ -8,17 +8,17 @@
 
 namespace corkmux::kube {
 
-/// What a selector asks of one label or field.
+/// The requirement of a selector on one label or field.
 struct Requirement {
   enum class Operator { Exists, Absent, In, NotIn };
   Operator op = Operator::Exists;
   std::string key;
-  std::vector<std::string> values;  // of In and NotIn; `=` and `!=` have one
+  std::vector<std::string> values;  // of In and NotIn; exactly one for `=` and `!=`
 };
 
-/// The requirements of a selector. An empty text has none; nullopt: not a selector.
+/// Parses a selector into its requirements. An empty text has none; nullopt if the text is not a selector.
 std::optional<std::vector<Requirement>> parse_selector(std::string_view text);
-/// Whether all requirements hold of the labels, so that no requirement selects everything.
+/// Returns whether the labels meet all requirements. A selector without requirements selects everything.
 bool selects(const std::vector<Requirement>& selector, const std::map<std::string, std::string>& labels);
 
 }  // namespace corkmux::kube
--- a/src/kube/watch_cache.cc
+++ b/src/kube/watch_cache.cc
@@ -13,7 +13,7 @@
 
 namespace {
 
-bool is_outcome(const std::string& key) { return key.rfind(kFinals, 0) == 0; }
+bool is_outcome_key(const std::string& key) { return key.rfind(kFinals, 0) == 0; }
 
 }  // namespace
 
@@ -36,7 +36,7 @@
   tick_.every(kTickInterval, [this] { tick(); });
 }
 
-// ---------------------------------------------------------------- the store
+// ---------------------------------------------------------------- state store
 
 void WatchCache::load() {
   auto generation = ++generation_;
@@ -61,7 +61,7 @@
 }
 
 void WatchCache::on_loaded(const ReadEnd& end) {
-  if (!end.ok()) return retry_.once(kLoadRetryPause, [this] { load(); });
+  if (!end.ok()) return retry_.once(kLoadRetryDelay, [this] { load(); });
   objects_.position = end.revision;
   outcomes_.position = end.revision;
   position_ = end.revision;
@@ -83,7 +83,7 @@
 
 void WatchCache::on_watch_failed(StoreWatch& source, StateStatus status) {
   source.unanswered = status == StateStatus::Unanswered ? source.unanswered + 1 : 0;
-  if (status == StateStatus::Missing || source.unanswered >= c::kLostWatchLimit) return start_over();
+  if (status == StateStatus::Missing || source.unanswered >= c::kLostWatchLimit) return reload();
   source.retry.once(c::kRetryPause, [this, &source] { follow(source); });
 }
 
@@ -97,18 +97,18 @@
   apply_pending();
 }
 
-void WatchCache::start_over() {
+void WatchCache::reload() {
   for (const auto& [id, watch] : std::exchange(watches_, {})) expire(id, "changes were missed: list again");
   load();
 }
 
 void WatchCache::apply_pending() {
   const auto complete_to = std::min(objects_.position, outcomes_.position);
-  // Of one transaction the object comes first: for one that is deleted with its job's end no other change is
-  // sent before.
+  // Within one transaction, the object's change is applied first: an object that is deleted together with its
+  // job's outcome must get no MODIFIED event before the DELETED event.
   std::sort(pending_.begin(), pending_.end(), [](const Change& left, const Change& right) {
-    const bool left_is_outcome = is_outcome(left.key);
-    const bool right_is_outcome = is_outcome(right.key);
+    const bool left_is_outcome = is_outcome_key(left.key);
+    const bool right_is_outcome = is_outcome_key(right.key);
     return std::tie(left.revision, left_is_outcome, left.key) <
            std::tie(right.revision, right_is_outcome, right.key);
   });
@@ -125,11 +125,11 @@
   object.stored = std::move(stored);
   object.revision = revision;
   object.progress.revision = revision;
-  object.progress.tasks = tasks_of(object.stored);
+  object.progress.tasks = task_count(object.stored);
 }
 
 void WatchCache::apply(const Change& change) {
-  if (is_outcome(change.key))
+  if (is_outcome_key(change.key))
     apply_outcome_change(change);
   else
     apply_object_change(change);
@@ -148,8 +148,9 @@
 void WatchCache::apply_object_change(const Change& change) {
   auto before = objects_by_key_.find(change.key);
   if (before != objects_by_key_.end()) {
-    if (before->second.revision >= change.revision) return;  // read at the start
-    // Deleted; or deleted and made anew between two answers of the store, which is sent as both.
+    if (before->second.revision >= change.revision) return;  // already included in the load
+    // The object was deleted, or deleted and created again between two responses of the state store. The
+    // latter is sent as a deletion and a creation.
     Object deleted = std::move(before->second);
     objects_by_key_.erase(before);
     key_by_job_.erase(deleted.stored.job);
@@ -167,7 +168,7 @@
 void WatchCache::add_to_history(const char* type, const std::string& key, const Object& object) {
   auto id = parse_object_key(key).value_or(ObjectId{});
   Json body = job_object(object.stored, id.namespace_name, object.progress);
-  // How far it had got is not known here, nor whether it ended before this process read it.
+  // The cache does not have the job's progress, nor whether the job ended before this process loaded it.
   if (type == std::string("DELETED") && object.progress.phase == Progress::Phase::Unfinished)
     body.erase("status");
   HistoryEntry entry{object.progress.revision, std::move(id), event_line(type, body),
@@ -192,13 +193,13 @@
          request.filter.selects(entry.id.name, entry.labels);
 }
 
-/// Guards memory: nothing is queued for a client but what its connection has not taken; the rest waits in the
-/// one history, and who falls behind that has to list again.
+/// Bounds memory: only the unsent bytes of its connection are buffered per client. Further changes wait in
+/// the shared history, and a client that falls behind the history must list again.
 WatchCache::WatchState WatchCache::send_changes(Id id, Watch& watch) {
   for (; watch.next_change < next_change_number(); ++watch.next_change) {
     if (watch.next_change < first_change_) {
       expire(id, "the watch takes its events too slowly: list again");
-      return WatchState::Over;
+      return WatchState::Closed;
     }
     const HistoryEntry& entry = history_[watch.next_change - first_change_];
     if (!selects(watch.request, entry)) continue;
@@ -206,15 +207,15 @@
       if (!send_.active()) send_.once(kSendInterval, [this] { send_changes_to_all(); });
       return WatchState::Open;
     }
-    if (!server_.part(id, entry.line)) return WatchState::Over;
+    if (!server_.part(id, entry.line)) return WatchState::Closed;
   }
   return WatchState::Open;
 }
 
 void WatchCache::send_changes_to_all() {
   for (auto watch = watches_.begin(); watch != watches_.end();) {
-    const bool over = send_changes(watch->first, watch->second) == WatchState::Over;
-    watch = over ? watches_.erase(watch) : std::next(watch);
+    const bool closed = send_changes(watch->first, watch->second) == WatchState::Closed;
+    watch = closed ? watches_.erase(watch) : std::next(watch);
   }
 }
 
@@ -244,16 +245,16 @@
 }
 
 WatchCache::WatchState WatchCache::tick_watch(Id id, const Watch& watch, double now, bool send_bookmarks) {
-  if (!server_.connected(id)) return WatchState::Over;
+  if (!server_.connected(id)) return WatchState::Closed;
   if (now >= watch.request.until) {
     server_.end(id);
-    return WatchState::Over;
+    return WatchState::Closed;
   }
   const bool up_to_date = watch.next_change == next_change_number();
   const bool wants_bookmark =
       send_bookmarks && watch.request.bookmarks && up_to_date && position_ > watch.request.after;
   if (!wants_bookmark) return WatchState::Open;
-  return server_.part(id, bookmark()) ? WatchState::Open : WatchState::Over;
+  return server_.part(id, bookmark()) ? WatchState::Open : WatchState::Closed;
 }
 
 void WatchCache::tick() {
@@ -261,7 +262,7 @@
   const bool send_bookmarks = loaded_ && now - bookmarked_at_ >= kBookmarkInterval;
   if (send_bookmarks) bookmarked_at_ = now;
   std::erase_if(watches_, [&](const auto& watch) {
-    return tick_watch(watch.first, watch.second, now, send_bookmarks) == WatchState::Over;
+    return tick_watch(watch.first, watch.second, now, send_bookmarks) == WatchState::Closed;
   });
 }
 
--- a/src/kube/yaml_reader.cc
+++ b/src/kube/yaml_reader.cc
@@ -13,7 +13,7 @@
 namespace corkmux::kube {
 namespace {
 
-constexpr const char* kNonPlainTag = "!";  // of quoted scalars
+constexpr const char* kNonPlainTag = "!";  // tag that yaml-cpp gives to quoted scalars
 
 bool is_null(const std::string& text) {
   return text.empty() || text == "~" || text == "null" || text == "Null" || text == "NULL";
@@ -25,7 +25,7 @@
   return std::nullopt;
 }
 
-/// The whole text as a number; nullopt: it is none.
+/// Parses the whole text as a number; nullopt if it is not a number.
 template <typename Number>
 std::optional<Number> parse_number(const std::string& text) {
   const char* begin = text.data();
@@ -36,19 +36,19 @@
   return number;
 }
 
-/// A plain scalar by YAML 1.2's core schema; what is quoted is text.
+/// Converts a scalar: a plain one by YAML 1.2's core schema, a quoted one to a string.
 Json scalar_value(const std::string& tag, const std::string& text) {
   if (tag == kNonPlainTag) return text;
   if (is_null(text)) return nullptr;
-  if (auto truth = parse_bool(text)) return *truth;
+  if (auto boolean = parse_bool(text)) return *boolean;
   if (auto whole = parse_number<std::int64_t>(text)) return *whole;
-  // Names such as `inf`, which from_chars would take, are texts.
+  // Words such as `inf`, which from_chars accepts, are strings.
   const bool only_digits_and_signs = text.find_first_not_of("0123456789+-.eE") == std::string::npos;
   if (auto real = parse_number<double>(text); real && only_digits_and_signs) return *real;
   return text;
 }
 
-/// Builds the value from the parser's events, and counts the values of the result as it goes.
+/// Builds the value from the parser's events and counts the values of the result while building.
 class ValueBuilder : public YAML::EventHandler {
  public:
   Json take() { return std::move(result_); }
@@ -58,7 +58,7 @@
   void OnNull(const YAML::Mark&, YAML::anchor_t anchor) override { add_scalar(nullptr, anchor); }
   void OnScalar(const YAML::Mark&, const std::string& tag, YAML::anchor_t anchor,
                 const std::string& text) override {
-    // A key is a text whatever it looks like.
+    // A key is always a string, even if it looks like a number or a boolean.
     const bool is_key = !open_.empty() && open_.back().value.is_object() && !open_.back().key;
     if (is_key) return set_key(text);
     add_scalar(scalar_value(tag, text), anchor);
@@ -67,7 +67,7 @@
     auto anchored = anchors_.find(anchor);
     if (anchored == anchors_.end()) throw UnsupportedBody("an alias of what it is part of");
     count(anchored->second.values);
-    place(Json(anchored->second.value));
+    insert_value(Json(anchored->second.value));
   }
   void OnSequenceStart(const YAML::Mark&, const std::string&, YAML::anchor_t anchor,
                        YAML::EmitterStyle::value) override {
@@ -81,7 +81,7 @@
   void OnMapEnd() override { end_collection(); }
 
  private:
-  /// A sequence or map whose end has not come yet.
+  /// A sequence or map whose end event has not arrived yet.
   struct OpenCollection {
     Json value;
     std::optional<std::string> key;  // of the next value of a map
@@ -90,7 +90,7 @@
   };
   struct AnchoredValue {
     Json value;
-    int values = 0;  // that it consists of, itself included
+    int values = 0;  // number of values it contains, itself included
   };
 
   void count(int values) {
@@ -107,7 +107,7 @@
   void add_scalar(Json value, YAML::anchor_t anchor) {
     count(1);
     if (anchor) anchors_[anchor] = {value, 1};
-    place(std::move(value));
+    insert_value(std::move(value));
   }
 
   void begin_collection(Json value, YAML::anchor_t anchor) {
@@ -120,10 +120,10 @@
     OpenCollection ended = std::move(open_.back());
     open_.pop_back();
     if (ended.anchor) anchors_[ended.anchor] = {ended.value, values_ - ended.values_before + 1};
-    place(std::move(ended.value));
+    insert_value(std::move(ended.value));
   }
 
-  void place(Json value) {
+  void insert_value(Json value) {
     if (open_.empty()) {
       result_ = std::move(value);
       return;
--- a/src/kube/yaml_reader.h
+++ b/src/kube/yaml_reader.h
@@ -1,8 +1,8 @@
-// YAML as JSON values, at bounded cost.
+// Reads YAML into JSON values at bounded cost.
 //
-// Guards against two kinds of input that yaml-cpp's own loading takes without end: aliases of aliases, where
-// a few lines stand for more than memory holds, and broken streams of which version 0.7 makes documents for
-// ever.
+// Guards against two kinds of input on which the loader of yaml-cpp does not terminate or exhausts memory:
+// nested aliases, where a few lines expand to more than memory holds, and malformed streams from which
+// version 0.7 produces documents endlessly.
 #pragma once
 #include <string>
 
@@ -10,7 +10,8 @@
 
 namespace corkmux::kube {
 
-/// Reads a text of exactly one document. Throws UnsupportedBody, or YAML::Exception if it is no YAML.
+/// Reads a text that consists of exactly one document. Throws UnsupportedBody if the document is not
+/// accepted, YAML::Exception if the text is not YAML.
 Json read_yaml(const std::string& text);
 
 }  // namespace corkmux::kube
--- a/tests/kube_api_test.cc
+++ b/tests/kube_api_test.cc
@@ -1,5 +1,5 @@
-// The Kubernetes API of whole controllers: create, read, list, delete, tokens, and the Python client library,
-// against the stand-ins.
+// Tests the Kubernetes API of whole controllers: create, read, list, delete, tokens, and the Python client
+// library, with the simulated outside systems of `src/simulation/`.
 #include <spawn.h>
 #include <sys/wait.h>
 
@@ -13,12 +13,12 @@
 namespace corkmux {
 namespace {
 
-TEST_F(KubernetesApi, ThePythonClientLibraryWorksUnchanged) {
+TEST_F(KubernetesApi, PythonClientLibraryWorksUnmodified) {
   start_controller("one");
   serve("one");
   for (int i = 0; i < 3; ++i) add_worker("h-" + std::to_string(i), "a", 0.3);
   wait_until_ready("one");
-  std::string port = std::to_string(apis.at("one")->port());
+  std::string port = std::to_string(api_servers.at("one")->port());
   const char* argv[] = {"/usr/bin/python3", KUBE_CLIENT, port.c_str(), nullptr};
   pid_t child = 0;
   ASSERT_EQ(posix_spawn(&child, argv[0], nullptr, nullptr, const_cast<char**>(argv), environ), 0);
@@ -32,8 +32,8 @@
   EXPECT_EQ(status, 0);
 }
 
-// docs/kubernetes.md, "For users", as a user would send it.
-TEST_F(KubernetesApi, TheExampleOfTheUsersPageIsTakenAsYaml) {
+// Sends the example of docs/kubernetes.md, "For users", as a user would.
+TEST_F(KubernetesApi, DocumentedExampleIsAcceptedAsYaml) {
   std::ifstream page(KUBERNETES_PAGE);
   std::string yaml;
   for (std::string line; std::getline(page, line);)
@@ -47,11 +47,12 @@
   RawRequest request(loop, port("one"), "POST", kDefaultJobs, {"", yaml});
   ASSERT_TRUE(wait_for([&] { return request.status() != 0; }));
   EXPECT_EQ(request.status(), 201) << yaml;
-  EXPECT_EQ(ask("one", "GET", "/scan-42").body["spec"]["completions"], 8);
+  EXPECT_EQ(send_and_wait("one", "GET", "/scan-42").body["spec"]["completions"], 8);
 }
 
-// Rights hold per namespace, for reads and for changes; a file that is wrong changes nothing.
-TEST_F(KubernetesApi, TokensDecideWhoMayReadAndChangeWhat) {
+// Access is granted per namespace, separately for reads and for changes. An invalid token file changes
+// nothing.
+TEST_F(KubernetesApi, TokensGrantAccessPerNamespace) {
   char name[] = "/tmp/corkmux-test-XXXXXX";
   ::close(::mkstemp(name));
   const std::string all = "all-0123456789abcdef";
@@ -63,7 +64,7 @@
   serve("one", name);
   auto code = [&](const std::string& method, const std::string& path, const std::string& secret,
                   const std::string& text = "") {
-    // The project's client sends no such header.
+    // http::Client sends no Authorization header.
     RawRequest request(loop, port("one"), method, path, {secret, text});
     wait_for([&] { return request.status() != 0; });
     return request.status();
@@ -79,36 +80,37 @@
   EXPECT_EQ(code("GET", second, all), 403);
   EXPECT_EQ(code("GET", "/readyz", ""), 200);
   write("token { name: 'all' secret: 'short' }");
-  EXPECT_TRUE(apis.at("one")->reload_tokens());
-  EXPECT_EQ(code("GET", jobs, reads), 200) << "the former ones hold";
+  EXPECT_TRUE(api_servers.at("one")->reload_tokens());
+  EXPECT_EQ(code("GET", jobs, reads), 200) << "the former tokens hold";
   write("token { name: 'all' secret: '" + all + "' changes: 'default' }");
-  EXPECT_FALSE(apis.at("one")->reload_tokens());
-  EXPECT_EQ(code("GET", jobs, reads), 401) << "taken back";
+  EXPECT_FALSE(api_servers.at("one")->reload_tokens());
+  EXPECT_EQ(code("GET", jobs, reads), 401) << "the token was taken back";
   EXPECT_EQ(code("DELETE", jobs + "/a", all), 200);
   ::unlink(name);
 }
 
-// An unanswered create may be stored late. Tried again before or after that, it is one job.
-TEST_F(KubernetesApi, ACreateWithoutAnswerIsStoredOnceAndSaysSoWhenTriedAgain) {
+// An unanswered create may be stored late. A retry before or after that must not create a second job.
+TEST_F(KubernetesApi, UnansweredCreateIsStoredOnceAndRetryConflicts) {
   start_controller("one");
   serve("one");
   add_worker("h-1", "a", 0.3);
   wait_until_ready("one");
   state.faults.held_prefix = kKubeObjects;
   for (int i = 0; i < 2; ++i) {
-    auto [code, status] = ask("one", "POST", "", body("a"));
+    auto [code, status] = send_and_wait("one", "POST", "", body("a"));
     EXPECT_EQ(code, 503);
     EXPECT_EQ(status["details"]["retryAfterSeconds"], 1);
   }
-  EXPECT_EQ(ask("one", "GET", "/a").code, 404);
+  EXPECT_EQ(send_and_wait("one", "GET", "/a").code, 404);
   EXPECT_EQ(state.release_held(), (std::vector<int>{200, 409}));
-  EXPECT_EQ(ask("one", "POST", "", body("a")).code, 409);
-  ASSERT_TRUE(wait_for([&] { return ask("one", "GET", "/a").body["status"].value("succeeded", 0) == 1; }));
-  EXPECT_EQ(stored(kKubeObjects), 1u);
-  EXPECT_EQ(stored("f/") + stored("a/"), 1u);
+  EXPECT_EQ(send_and_wait("one", "POST", "", body("a")).code, 409);
+  ASSERT_TRUE(
+      wait_for([&] { return send_and_wait("one", "GET", "/a").body["status"].value("succeeded", 0) == 1; }));
+  EXPECT_EQ(count_records(kKubeObjects), 1u);
+  EXPECT_EQ(count_records("f/") + count_records("a/"), 1u);
 }
 
-TEST_F(KubernetesApi, TheSameCreateThroughTwoControllersAtOnceMakesOneJob) {
+TEST_F(KubernetesApi, ConcurrentCreatesOnTwoControllersStoreOneJob) {
   start_controller("one");
   start_controller("two");
   serve("one");
@@ -123,14 +125,14 @@
     ASSERT_TRUE(wait_for([&] { return codes.size() == 2; }));
     EXPECT_EQ(codes, (std::multiset<int>{201, 409}));
   }
-  EXPECT_EQ(stored(kKubeObjects), 5u);
-  EXPECT_EQ(stored("a/"), 5u);
-  auto [code, list] = ask("two", "GET", "");
+  EXPECT_EQ(count_records(kKubeObjects), 5u);
+  EXPECT_EQ(count_records("a/"), 5u);
+  auto [code, list] = send_and_wait("two", "GET", "");
   EXPECT_EQ(code, 200);
   EXPECT_EQ(list["items"].size(), 5u);
 }
 
-TEST_F(KubernetesApi, ADeleteStopsTheTasksAndTheNameIsFreeAgain) {
+TEST_F(KubernetesApi, DeleteStopsTasksAndFreesTheName) {
   start_controller("one");
   start_controller("two");
   serve("one");
@@ -139,59 +141,62 @@
   wait_until_ready("one");
   wait_until_ready("two");
   ASSERT_TRUE(wait_for([&] { return !leader().empty(); }));
-  ASSERT_EQ(ask("one", "POST", "", body("long")).code, 201);
-  ASSERT_TRUE(wait_for([&] { return ask(leader(), "GET", "/long").body["status"].value("ready", 0) == 1; }));
-  auto before = ask("two", "GET", "/long").body["metadata"]["uid"];
-  EXPECT_EQ(ask("two", "DELETE", "/long").code, 200);
-  EXPECT_EQ(ask("one", "GET", "/long").code, 404);
-  EXPECT_EQ(stored("f/"), 1u) << "its end is stored with the delete";
-  ASSERT_EQ(ask("one", "POST", "", body("long")).code, 201);
-  auto after = ask("one", "GET", "/long").body;
+  ASSERT_EQ(send_and_wait("one", "POST", "", body("long")).code, 201);
+  ASSERT_TRUE(wait_for(
+      [&] { return send_and_wait(leader(), "GET", "/long").body["status"].value("ready", 0) == 1; }));
+  auto before = send_and_wait("two", "GET", "/long").body["metadata"]["uid"];
+  EXPECT_EQ(send_and_wait("two", "DELETE", "/long").code, 200);
+  EXPECT_EQ(send_and_wait("one", "GET", "/long").code, 404);
+  EXPECT_EQ(count_records("f/"), 1u) << "the outcome is stored with the delete";
+  ASSERT_EQ(send_and_wait("one", "POST", "", body("long")).code, 201);
+  auto after = send_and_wait("one", "GET", "/long").body;
   EXPECT_NE(after["metadata"]["uid"], before);
-  // The one place is free only once the first one's task was stopped.
-  EXPECT_TRUE(wait_for([&] { return ask(leader(), "GET", "/long").body["status"].value("ready", 0) == 1; }));
+  // The only slot becomes free once the first job's task is stopped.
+  EXPECT_TRUE(wait_for(
+      [&] { return send_and_wait(leader(), "GET", "/long").body["status"].value("ready", 0) == 1; }));
 }
 
-TEST_F(KubernetesApi, WithoutTheStateServiceEveryAnswerIs503AtOnce) {
+TEST_F(KubernetesApi, UnavailableStateStoreGives503Immediately) {
   start_controller("one");
   serve("one");
   wait_until_ready("one");
-  ASSERT_EQ(ask("one", "POST", "", body("a")).code, 201);
+  ASSERT_EQ(send_and_wait("one", "POST", "", body("a")).code, 201);
   state.faults.unavailable = true;
   for (const auto& [method, path] : std::vector<std::pair<const char*, std::string>>{
            {"GET", "/a"}, {"GET", ""}, {"POST", ""}, {"DELETE", "/a"}}) {
-    auto [code, status] = ask("one", method, path, *method == 'P' ? body("b") : "");
+    auto [code, status] = send_and_wait("one", method, path, *method == 'P' ? body("b") : "");
     EXPECT_EQ(code, 503) << method << path;
     EXPECT_EQ(status["reason"], "ServiceUnavailable");
     EXPECT_EQ(status["details"]["retryAfterSeconds"], 1);
   }
   state.faults.unavailable = false;
-  EXPECT_EQ(ask("one", "GET", "/a").code, 200);
-  EXPECT_EQ(stored(kKubeObjects), 1u);
+  EXPECT_EQ(send_and_wait("one", "GET", "/a").code, 200);
+  EXPECT_EQ(count_records(kKubeObjects), 1u);
 }
 
-// A list is as long as it is, however the state service cuts it into pages.
-TEST_F(KubernetesApi, ListsAreWholeWhereverAPageEnds) {
+// A list is complete, however the state store splits it into pages.
+TEST_F(KubernetesApi, ListsAreCompleteAtAnyPageBoundary) {
   start_controller("one");
   serve("one");
   wait_until_ready("one");
   std::set<std::string> all;
   for (int i = 0; i < 9; ++i) {
     all.insert("j-" + std::to_string(i));
-    ASSERT_EQ(ask("one", "POST", "", body("j-" + std::to_string(i))).code, 201);
+    ASSERT_EQ(send_and_wait("one", "POST", "", body("j-" + std::to_string(i))).code, 201);
   }
-  for (std::size_t most : {1, 2, 7, 1000})
+  for (std::size_t page_items : {1, 2, 7, 1000})
     for (const char* limit : {"", "1", "4", "9"}) {
-      state.limits.page_items = most;
+      state.limits.page_items = page_items;
       std::set<std::string> names;
-      std::string from;
+      std::string continue_token;
       do {
-        auto [code, list] = ask("one", "GET", std::string("?limit=") + limit + "&continue=" + from);
+        auto [code, list] =
+            send_and_wait("one", "GET", std::string("?limit=") + limit + "&continue=" + continue_token);
         ASSERT_EQ(code, 200);
         for (const auto& job : list["items"]) EXPECT_TRUE(names.insert(job["metadata"]["name"]).second);
-        from = list["metadata"].value("continue", "");
-      } while (!from.empty());
-      EXPECT_EQ(names, all) << most << " items a page, limit " << limit;
+        continue_token = list["metadata"].value("continue", "");
+      } while (!continue_token.empty());
+      EXPECT_EQ(names, all) << page_items << " items a page, limit " << limit;
     }
 }
 
--- a/tests/kube_client.py
+++ b/tests/kube_client.py
@@ -1,4 +1,4 @@
-"""A user of the unchanged Python client library: everything that it does with Jobs, against one controller."""
+"""Exercises all Job operations of the unmodified Python client library against one controller."""
 import sys
 import time
 
@@ -45,7 +45,7 @@
                               template=client.V1PodTemplateSpec(spec=pod)))
 
 
-def refused(code, reason, call, *args, **kwargs):
+def expect_error(code, reason, call, *args, **kwargs):
     try:
         call(*args, **kwargs)
     except ApiException as e:
@@ -64,15 +64,15 @@
     assert {r.name for r in batch.get_api_resources().resources} == {"jobs"}
     assert client.VersionApi(api).get_code().major == "1"
 
-    made = batch.create_namespaced_job("default", job("one", 3, app="scan"))
-    assert made.metadata.uid and made.metadata.creation_timestamp and made.status.active == 3
-    assert int(made.metadata.resource_version) > 0
-    refused(409, "AlreadyExists", batch.create_namespaced_job, "default", job("one"))
-    assert batch.create_namespaced_job("second", job("one")).metadata.uid != made.metadata.uid
+    first = batch.create_namespaced_job("default", job("one", 3, app="scan"))
+    assert first.metadata.uid and first.metadata.creation_timestamp and first.status.active == 3
+    assert int(first.metadata.resource_version) > 0
+    expect_error(409, "AlreadyExists", batch.create_namespaced_job, "default", job("one"))
+    assert batch.create_namespaced_job("second", job("one")).metadata.uid != first.metadata.uid
 
     dry = batch.create_namespaced_job("default", job("dry"), dry_run="All")
     assert dry.metadata.name == "dry"
-    refused(404, "NotFound", batch.read_namespaced_job, "dry", "default")
+    expect_error(404, "NotFound", batch.read_namespaced_job, "dry", "default")
 
     named = job(None)
     named.metadata.generate_name = "scan-"
@@ -80,7 +80,7 @@
     assert generated.startswith("scan-") and len(generated) == 10
 
     utils.create_from_yaml(api, yaml_objects=list(yaml.safe_load_all(TWO_DOCUMENTS)))
-    names = lambda space, **kw: sorted(j.metadata.name for j in batch.list_namespaced_job(space, **kw).items)
+    names = lambda ns, **kw: sorted(j.metadata.name for j in batch.list_namespaced_job(ns, **kw).items)
     assert names("default") == sorted(["one", generated, "from-file"])
     assert names("second") == ["from-file-too", "one"]
     assert names("default", label_selector="app in (scan, paint),app!=paint") == ["one"]
@@ -93,21 +93,21 @@
     bad.spec.backoff_limit = 3
     bad.spec.template.spec.containers[0].command = ["sh"]
     bad.spec.ttl_seconds_after_finished = 5
-    causes = refused(422, "Invalid", batch.create_namespaced_job, "default", bad)["details"]["causes"]
+    causes = expect_error(422, "Invalid", batch.create_namespaced_job, "default", bad)["details"]["causes"]
     fields = {c["field"] for c in causes}
     assert fields == {"spec.backoffLimit", "spec.ttlSecondsAfterFinished",
                       "spec.template.spec.containers[0].command"}, fields
-    refused(403, "Forbidden", batch.create_namespaced_job, "elsewhere", job("one"))
+    expect_error(403, "Forbidden", batch.create_namespaced_job, "elsewhere", job("one"))
 
-    seen = int(made.metadata.resource_version)
-    while True:  # the test that started this ends it if it takes too long
+    seen = int(first.metadata.resource_version)
+    while True:  # the test that started this process kills it after a timeout
         now = batch.read_namespaced_job("one", "default")
-        assert int(now.metadata.resource_version) >= seen, "older than an answer before"
+        assert int(now.metadata.resource_version) >= seen, "older than an earlier response"
         seen = int(now.metadata.resource_version)
         if now.status.conditions and now.status.conditions[0].type == "Complete":
             break
         time.sleep(0.1)
-    assert now.status.succeeded == 3 and now.status.completion_time and now.metadata.uid == made.metadata.uid
+    assert now.status.succeeded == 3 and now.status.completion_time and now.metadata.uid == first.metadata.uid
 
     types, done = [], set()
     for event in watch.Watch().stream(batch.list_namespaced_job, "second", timeout_seconds=50):
@@ -120,12 +120,12 @@
     assert done and types[:2] == ["ADDED", "ADDED"], (done, types)
 
     batch.delete_namespaced_job("one", "default", propagation_policy="Background")
-    refused(404, "NotFound", batch.read_namespaced_job, "one", "default")
-    refused(404, "NotFound", batch.delete_namespaced_job, "one", "default")
+    expect_error(404, "NotFound", batch.read_namespaced_job, "one", "default")
+    expect_error(404, "NotFound", batch.delete_namespaced_job, "one", "default")
     again = batch.create_namespaced_job("default", job("one"))
-    assert again.metadata.uid != made.metadata.uid and again.status.succeeded == 0
-    stale = client.V1DeleteOptions(preconditions=client.V1Preconditions(uid=made.metadata.uid))
-    refused(409, "Conflict", batch.delete_namespaced_job, "one", "default", body=stale)
+    assert again.metadata.uid != first.metadata.uid and again.status.succeeded == 0
+    stale = client.V1DeleteOptions(preconditions=client.V1Preconditions(uid=first.metadata.uid))
+    expect_error(409, "Conflict", batch.delete_namespaced_job, "one", "default", body=stale)
     batch.delete_namespaced_job("one", "default")
 
 
--- a/tests/kube_translation_test.cc
+++ b/tests/kube_translation_test.cc
@@ -1,4 +1,5 @@
-// What the fields of a Kubernetes Job become; quantities, selectors, bodies and tokens, hostile ones too.
+// Tests the translation of Kubernetes Jobs, and the parsing of quantities, selectors, bodies and tokens,
+// including malicious input.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -20,7 +21,7 @@
 
 using kube::Json;
 
-TEST(Quantity, AllPublishedFormsAreRead) {
+TEST(Quantity, ParsesAllDocumentedForms) {
   for (const auto& [text, value] : std::map<std::string, double>{{"500m", 0.5},
                                                                  {"2Gi", 2147483648.0},
                                                                  {"1e3", 1000},
@@ -42,7 +43,7 @@
     EXPECT_FALSE(kube::parse_quantity(text)) << text;
 }
 
-TEST(Selector, ChoosesWhatItsTextSays) {
+TEST(Selector, SelectsByEachOperator) {
   const std::map<std::string, std::string> labels{{"app", "scan"}, {"corkmux.io/floor", "2"}, {"empty", ""}};
   for (const char* yes :
        {"", "app=scan", "app == scan", "app!=paint", "app in (paint, scan)", "app notin (paint)", "app",
@@ -62,7 +63,7 @@
     EXPECT_FALSE(kube::parse_selector(bad)) << bad;
 }
 
-TEST(RequestBody, CostsBoundedWorkWhateverItHolds) {
+TEST(RequestBody, ParsingCostIsBounded) {
   const char* yaml = "application/yaml";
   EXPECT_EQ(kube::parse_body("a: {b: [1, 1.5, '1', yes, null, true]}", yaml).object.value().dump(),
             R"({"a":{"b":[1,1.5,"1","yes",null,true]}})");
@@ -84,8 +85,9 @@
   EXPECT_NE(kube::parse_body("", "").error.text, "");
 }
 
-// Everything below the interface is fed job specs only: equal specs are placed, ended and explained alike.
-TEST(JobTranslation, MeansWhatTheSameNativeSubmissionMeans) {
+// The scheduler gets only job specs from either interface, so equal specs are placed, ended and explained in
+// the same way.
+TEST(JobTranslation, EqualsTheNativeSubmission) {
   std::mt19937 rng(3);
   for (int i = 0; i < 500; ++i) {
     JobSpec native = random_job(rng);
@@ -96,7 +98,7 @@
   }
 }
 
-TEST(JobTranslation, RefusesByNameWhatWouldBeDisregarded) {
+TEST(JobTranslation, RejectsUnsupportedFields) {
   std::mt19937 rng(3);
   JobSpec spec = random_job(rng);
   spec.tasks = 4;
@@ -150,33 +152,33 @@
   }
 }
 
-// Whatever bytes come: an answer, never an exception, and nothing taken that a native submission could not
-// say.
-TEST(JobTranslation, MangledBodiesAreAnsweredAndNeverWiden) {
+// Corrupted bodies get a response, never an exception, and no accepted job is one that a native submission
+// could not express.
+TEST(JobTranslation, CorruptedBodiesNeverThrowOrYieldInvalidJobs) {
   std::mt19937 rng(11);
-  auto up_to = [&](std::size_t n) { return static_cast<std::size_t>(rng() % n); };
+  auto below = [&](std::size_t n) { return static_cast<std::size_t>(rng() % n); };
   const std::string bytes =
       "{}[]\":,&*- \n\xff\x01"
       "0e+tfn~";
-  int taken = 0;
+  int accepted = 0;
   int refused = 0;
   int unreadable = 0;
   for (int i = 0; i < 6000; ++i) {
     std::string text = kubernetes_job(random_job(rng)).dump(i % 2 ? -1 : 1);
-    for (auto n = 1 + up_to(4); n > 0; --n) {
-      auto at = up_to(text.size());
-      switch (up_to(4)) {
+    for (auto n = 1 + below(4); n > 0; --n) {
+      auto at = below(text.size());
+      switch (below(4)) {
         case 0:
-          text[at] = bytes[up_to(bytes.size())];
+          text[at] = bytes[below(bytes.size())];
           break;
         case 1:
-          text.insert(at, 1, bytes[up_to(bytes.size())]);
+          text.insert(at, 1, bytes[below(bytes.size())]);
           break;
         case 2:
-          text.erase(at, 1 + up_to(8));
+          text.erase(at, 1 + below(8));
           break;
         default:
-          text.insert(at, text.substr(up_to(text.size()), up_to(40)));
+          text.insert(at, text.substr(below(text.size()), below(40)));
       }
     }
     auto body = kube::parse_body(text, i % 3 ? "application/json" : "application/yaml");
@@ -191,14 +193,14 @@
       ++refused;
       continue;
     }
-    ++taken;
+    ++accepted;
     EXPECT_GE(translated.job.tasks, 1);
     EXPECT_GT(translated.job.need.cpus, 0);
   }
-  for (int seen : {taken, refused, unreadable}) EXPECT_GT(seen, 100);
+  for (int seen : {accepted, refused, unreadable}) EXPECT_GT(seen, 100);
 }
 
-TEST(BearerTokens, AreFoundWholeAndTellNoSecretWhenWrong) {
+TEST(BearerTokens, MatchExactlyAndErrorsOmitSecrets) {
   const std::string secret = "0123456789abcdef";
   const std::string other = "0123456789abcdeg";
   auto token = [](const std::string& name, const std::string& token_secret, const std::string& more = "") {
--- a/tests/kube_watch_test.cc
+++ b/tests/kube_watch_test.cc
@@ -1,4 +1,5 @@
-// Watches of the Kubernetes API: each change once and in order, bounded memory, orderly ends.
+// Tests watches of the Kubernetes API: each change is sent once and in order, memory is bounded, and watches
+// end cleanly.
 #include "kubernetes_api.h"
 
 namespace corkmux {
@@ -6,9 +7,9 @@
 
 using Events = std::vector<std::string>;
 
-// From creation to end and deletion, each once and in order; taken up through another controller where the
-// first one stopped, without a gap or a repeat.
-TEST_F(KubernetesApi, AWatchTellsEachChangeOnceAndIsTakenUpThroughAnotherController) {
+// A watch sends creation, end and deletion of a job, each once and in order. Another controller resumes it
+// where the first one stopped, without a gap or a repeat.
+TEST_F(KubernetesApi, WatchSendsEachChangeOnceAndResumesOnAnotherController) {
   start_controller("one");
   start_controller("two");
   serve("one");
@@ -16,97 +17,99 @@
   add_worker("h-1", "a", 0.2);
   wait_until_ready("one");
   wait_until_ready("two");
-  ASSERT_EQ(ask("one", "POST", "", body("before")).code, 201);
+  ASSERT_EQ(send_and_wait("one", "POST", "", body("before")).code, 201);
   WatchClient all(loop, port("one"), "");
   ASSERT_TRUE(wait_for([&] { return all.events().size() == 2; })) << all.body();
   EXPECT_EQ(all.events(), (Events{"ADDED before", "MODIFIED before"}));
   EXPECT_NE(all.body().find("\"Complete\""), std::string::npos);
 
-  WatchClient there(loop, port("two"), "&resourceVersion=" + all.revision());
-  ASSERT_EQ(ask("two", "POST", "", body("next")).code, 201);
-  ASSERT_TRUE(wait_for([&] { return all.events().size() == 4 && there.events().size() == 2; }))
-      << there.body();
-  EXPECT_EQ(there.events(), (Events{"ADDED next", "MODIFIED next"}));
-  ASSERT_EQ(ask("one", "DELETE", "/next").code, 200);
-  ASSERT_EQ(ask("one", "DELETE", "/before").code, 200);
-  ASSERT_TRUE(wait_for([&] { return all.events().size() == 6 && there.events().size() == 4; }));
-  EXPECT_EQ(there.events(), (Events{"ADDED next", "MODIFIED next", "DELETED next", "DELETED before"}));
+  WatchClient resumed(loop, port("two"), "&resourceVersion=" + all.revision());
+  ASSERT_EQ(send_and_wait("two", "POST", "", body("next")).code, 201);
+  ASSERT_TRUE(wait_for([&] { return all.events().size() == 4 && resumed.events().size() == 2; }))
+      << resumed.body();
+  EXPECT_EQ(resumed.events(), (Events{"ADDED next", "MODIFIED next"}));
+  ASSERT_EQ(send_and_wait("one", "DELETE", "/next").code, 200);
+  ASSERT_EQ(send_and_wait("one", "DELETE", "/before").code, 200);
+  ASSERT_TRUE(wait_for([&] { return all.events().size() == 6 && resumed.events().size() == 4; }));
+  EXPECT_EQ(resumed.events(), (Events{"ADDED next", "MODIFIED next", "DELETED next", "DELETED before"}));
   EXPECT_EQ(all.events(), (Events{"ADDED before", "MODIFIED before", "ADDED next", "MODIFIED next",
                                   "DELETED next", "DELETED before"}));
-  // Taken up in the middle: exactly the rest.
-  auto line = there.body().substr(0, there.body().find('\n'));
+  // A watch resumed in the middle of the history gets exactly the remaining events.
+  auto line = resumed.body().substr(0, resumed.body().find('\n'));
   auto added_at = Json::parse(line)["object"]["metadata"]["resourceVersion"].get<std::string>();
   WatchClient rest(loop, port("one"), "&resourceVersion=" + added_at);
   ASSERT_TRUE(wait_for([&] { return rest.events().size() == 3; }));
   EXPECT_EQ(rest.events(), (Events{"MODIFIED next", "DELETED next", "DELETED before"}));
-  // An unfinished job that is deleted was not changed before.
-  ASSERT_EQ(ask("one", "POST", "", body("gone", 8)).code, 201);
-  ASSERT_EQ(ask("one", "DELETE", "/gone").code, 200);
+  // The deletion of an unfinished job sends no MODIFIED event before the DELETED event.
+  ASSERT_EQ(send_and_wait("one", "POST", "", body("gone", 8)).code, 201);
+  ASSERT_EQ(send_and_wait("one", "DELETE", "/gone").code, 200);
   ASSERT_TRUE(wait_for([&] { return rest.events().size() == 5; }));
   EXPECT_EQ(rest.events()[4], "DELETED gone");
-  // Its end is orderly, and so is that of watches whose time is over.
+  // A watch ends cleanly at its timeout, and when the API server closes.
   WatchClient brief(loop, port("two"), "&timeoutSeconds=1&resourceVersion=" + rest.revision());
-  EXPECT_TRUE(wait_for([&] { return brief.over(); }));
+  EXPECT_TRUE(wait_for([&] { return brief.finished(); }));
   EXPECT_TRUE(brief.events().empty());
-  apis.at("one")->close();
-  EXPECT_TRUE(wait_for([&] { return all.over() && rest.over(); }));
+  api_servers.at("one")->close();
+  EXPECT_TRUE(wait_for([&] { return all.finished() && rest.finished(); }));
 }
 
-// Where changes were forgotten a watch says so instead of leaving them out.
-TEST_F(KubernetesApi, AWatchThatMissedChangesEndsAsExpired) {
+// If the state store no longer has some changes, the watch ends with an error instead of omitting them.
+TEST_F(KubernetesApi, WatchThatMissedChangesExpires) {
   start_controller("one");
   serve("one");
   wait_until_ready("one");
-  ASSERT_EQ(ask("one", "POST", "", body("a")).code, 201);
+  ASSERT_EQ(send_and_wait("one", "POST", "", body("a")).code, 201);
   WatchClient watch(loop, port("one"), "");
   ASSERT_TRUE(wait_for([&] { return watch.events().size() == 1; }));
   state.forget_history();
   state.put(kKubeObjects + "default/jobs/x", Json::object());
   state.forget_history();
-  ASSERT_TRUE(wait_for([&] { return watch.over(); }));
+  ASSERT_TRUE(wait_for([&] { return watch.finished(); }));
   EXPECT_EQ(watch.events().back(), "ERROR Expired");
-  // And after a fresh list everything goes on.
+  // After a new list, watches work again.
   ASSERT_TRUE(wait_for([&] {
     WatchClient again(loop, port("one"), "");
     wait_for([&] { return !again.events().empty(); }, 2);
     return again.events() == Events{"ADDED a"};
   }));
   WatchClient old(loop, port("one"), "&resourceVersion=1");
-  ASSERT_TRUE(wait_for([&] { return old.over(); }));
+  ASSERT_TRUE(wait_for([&] { return old.finished(); }));
   EXPECT_EQ(old.events(), (Events{"ERROR Expired"}));
 }
 
-// Memory is bounded whoever does not read; the others lose nothing, and a burst ends nobody who reads.
-TEST_F(KubernetesApi, ASlowReaderIsEndedAndTheOthersGoOn) {
+// Memory stays bounded if a client does not read. Other clients lose no events, and a burst of changes does
+// not end the watch of a client that reads.
+TEST_F(KubernetesApi, SlowWatchExpiresAndOthersContinue) {
   start_controller("one");
   serve("one");
   wait_until_ready("one");
   WatchClient slow(loop, port("one"), "", 4096);
-  WatchClient quick(loop, port("one"), "");
-  ASSERT_TRUE(wait_for([&] { return slow.begun() && quick.begun(); }));
+  WatchClient fast(loop, port("one"), "");
+  ASSERT_TRUE(wait_for([&] { return slow.started() && fast.started(); }));
   slow.pause();
   Json big = Json::parse(body("big"));
   big["metadata"]["annotations"]["note"] = std::string(13000, 'x');
-  // Kernels keep some megabytes of what nobody reads; then the history passes it by.
-  std::size_t made = 0;
-  while (made < 900) {
+  // The kernel buffers some megabytes for a client that does not read; after that, the client falls behind
+  // the history.
+  std::size_t created = 0;
+  while (created < 900) {
     for (int i = 0; i < 150; ++i) {
-      big["metadata"]["name"] = "big-" + std::to_string(++made);
-      ASSERT_EQ(ask("one", "POST", "", big.dump()).code, 201);
+      big["metadata"]["name"] = "big-" + std::to_string(++created);
+      ASSERT_EQ(send_and_wait("one", "POST", "", big.dump()).code, 201);
     }
-    ASSERT_TRUE(wait_for([&] { return quick.lines() == made; }))
-        << made << " made, " << quick.lines() << " told";
+    ASSERT_TRUE(wait_for([&] { return fast.lines() == created; }))
+        << created << " created, " << fast.lines() << " told";
   }
-  EXPECT_FALSE(quick.over());
+  EXPECT_FALSE(fast.finished());
   slow.resume();
-  ASSERT_TRUE(wait_for([&] { return slow.over(); }));
-  EXPECT_LT(slow.lines(), made);
+  ASSERT_TRUE(wait_for([&] { return slow.finished(); }));
+  EXPECT_LT(slow.lines(), created);
   EXPECT_EQ(slow.events().back(), "ERROR Expired");
 }
 
-// Guards against requests that end a controller: a null is stored as it was sent, and an error tells a key
-// that is not UTF-8.
-TEST_F(KubernetesApi, NullsAndBrokenKeysEndNoController) {
+// Guards against requests that crash a controller: a null field is stored as submitted, and an error quotes a
+// key that is not UTF-8.
+TEST_F(KubernetesApi, NullsAndInvalidUtf8KeysCrashNoController) {
   start_controller("one");
   serve("one");
   wait_until_ready("one");
@@ -114,12 +117,13 @@
   object["spec"]["completions"] = nullptr;
   object["spec"]["parallelism"] = nullptr;
   WatchClient all(loop, port("one"), "");
-  ASSERT_TRUE(wait_for([&] { return all.begun(); }));
-  ASSERT_EQ(ask("one", "POST", "", object.dump()).code, 201);
+  ASSERT_TRUE(wait_for([&] { return all.started(); }));
+  ASSERT_EQ(send_and_wait("one", "POST", "", object.dump()).code, 201);
   ASSERT_TRUE(wait_for([&] { return all.events() == Events{"ADDED null"}; })) << all.body();
-  start_controller("two");  // reads it at its start
+  start_controller("two");  // loads the object at its start
   serve("two");
-  ASSERT_TRUE(wait_for([&] { return ask("two", "GET", "/null").body["spec"]["completions"] == 1; }));
+  ASSERT_TRUE(
+      wait_for([&] { return send_and_wait("two", "GET", "/null").body["spec"]["completions"] == 1; }));
   RawRequest request(loop, port("one"), "POST", kDefaultJobs, {"", "\xff: 1\n\xff: 2\n"});
   ASSERT_TRUE(wait_for([&] { return request.status() != 0; }));
   EXPECT_EQ(request.status(), 400);
--- a/tests/kubernetes_api.h
+++ b/tests/kubernetes_api.h
@@ -1,4 +1,5 @@
-// Controllers on loopback that serve Kubernetes-style clients, and such clients that speak HTTP themselves.
+// Test fixture: controllers on loopback that serve the Kubernetes API, and clients that send raw HTTP
+// requests.
 #pragma once
 #include <netinet/in.h>
 #include <sys/socket.h>
@@ -21,14 +22,14 @@
 
 inline constexpr const char* kDefaultJobs = "/apis/batch/v1/namespaces/default/jobs";
 
-/// What a RawRequest sends besides method and target.
+/// The optional parts of a RawRequest.
 struct RawRequestOptions {
-  std::string secret = {};  // of the Authorization header; empty: none is sent
+  std::string secret = {};  // of the Authorization header; empty: no such header is sent
   std::string body = {};    // YAML unless it begins with a brace
-  int receive_buffer = 0;   // bytes; 0: the system's choice
+  int receive_buffer = 0;   // bytes; 0: the system's default
 };
 
-/// One request on a connection of its own, whose answer is parsed as it comes.
+/// One request on a connection of its own. The response is parsed while it arrives.
 class RawRequest {
  public:
   RawRequest(Loop& loop, int port, const std::string& method, const std::string& target,
@@ -46,12 +47,12 @@
     EXPECT_EQ(::send(fd_.get(), text.data(), text.size(), 0), static_cast<ssize_t>(text.size()));
     io_.want(EV_READ);
   }
-  /// Of the complete answer; 0 before it has come.
-  int status() const { return over_ ? parser_.status : 0; }
-  /// Whether the answer is complete, or the connection is gone.
-  bool over() const { return over_; }
-  bool begun() const { return !parser_.idle(); }
-  /// What has come of the answer's body.
+  /// The status of the response; 0 until the response is complete.
+  int status() const { return finished_ ? parser_.status : 0; }
+  /// Returns whether the response is complete or the connection is closed.
+  bool finished() const { return finished_; }
+  bool started() const { return !parser_.idle(); }
+  /// The part of the response's body that was received so far.
   const std::string& body() const { return parser_.body; }
   void pause() { io_.want(0); }
   void resume() { io_.want(EV_READ); }
@@ -69,22 +70,22 @@
   void receive() {
     char bytes[65536];
     auto count = ::recv(fd_.get(), bytes, sizeof bytes, MSG_DONTWAIT);
-    over_ =
+    finished_ =
         count <= 0 || parser_.feed({bytes, static_cast<std::size_t>(count)}) != http::Parser::State::NeedMore;
-    if (over_) io_.want(0);
+    if (finished_) io_.want(0);
   }
   http::Fd fd_;
   http::Parser parser_;
   IoWatcher io_;
-  bool over_ = false;
+  bool finished_ = false;
 };
 
-/// A watch as the wire gives it: the lines of a chunked answer.
+/// A watch request. Its events are the lines of a chunked response.
 class WatchClient : public RawRequest {
  public:
   WatchClient(Loop& loop, int port, const std::string& query, int receive_buffer = 0)
       : RawRequest(loop, port, "GET", kDefaultJobs + ("?watch=true" + query), {"", "", receive_buffer}) {}
-  /// Type and name of each event but bookmarks; of an error its reason.
+  /// Returns "TYPE name" for each event except bookmarks; for errors, the reason in place of the name.
   std::vector<std::string> events() const {
     std::vector<std::string> texts;
     std::istringstream lines(body());
@@ -98,7 +99,7 @@
     }
     return texts;
   }
-  /// The resource version of the last event.
+  /// Returns the resource version of the last event.
   std::string revision() const {
     const std::string field = "\"resourceVersion\":\"";
     auto last = body().rfind(field);
@@ -111,23 +112,24 @@
   }
 };
 
+/// Controllers on loopback, each with a Kubernetes API server and an HTTP client of it, by label.
 class KubernetesApi : public LoopbackCluster {
  protected:
   void TearDown() override {
     users.clear();
-    apis.clear();
+    api_servers.clear();
   }
   void serve(const std::string& label, const std::string& tokens = "") {
     Settings settings;
     KubernetesChoices choices{"127.0.0.1:0", {{"default", "x"}, {"second", "x"}}, tokens};
     auto& controller = *controllers.at(label);
-    apis[label] = std::make_unique<kube::ApiServer>(loop, settings, choices, controller.state(),
-                                                    controller.admission(), controller.status_cache());
-    apis[label]->start();
-    users[label] =
-        std::make_unique<http::Client>(loop, "127.0.0.1:" + std::to_string(apis[label]->port()), 8, 100);
+    api_servers[label] = std::make_unique<kube::ApiServer>(loop, settings, choices, controller.state(),
+                                                           controller.admission(), controller.status_cache());
+    api_servers[label]->start();
+    users[label] = std::make_unique<http::Client>(
+        loop, "127.0.0.1:" + std::to_string(api_servers[label]->port()), 8, 100);
   }
-  int port(const std::string& label) const { return apis.at(label)->port(); }
+  int port(const std::string& label) const { return api_servers.at(label)->port(); }
   static std::string body(const std::string& name, int tasks = 1) {
     JobSpec spec;
     spec.job_class = "k";
@@ -144,11 +146,11 @@
     users.at(label)->request(method, kDefaultJobs + path, text, 10, std::move(then));
   }
   struct Answer {
-    int code = 0;  // 0: none came
+    int code = 0;  // 0: no response arrived
     Json body = {};
   };
-  Answer ask(const std::string& label, const char* method, const std::string& path,
-             const std::string& text = "") {
+  Answer send_and_wait(const std::string& label, const char* method, const std::string& path,
+                       const std::string& text = "") {
     std::optional<http::Result> result;
     send(label, method, path, text, [&](http::Result reply) { result = std::move(reply); });
     wait_for([&] { return result.has_value(); });
@@ -156,16 +158,17 @@
     return {result->status, Json::parse(result->body, nullptr, false)};
   }
   void wait_until_ready(const std::string& label) {
-    ASSERT_TRUE(wait_for([&] { return ask(label, "POST", "?dryRun=All", body("probe")).code == 201; }));
+    ASSERT_TRUE(
+        wait_for([&] { return send_and_wait(label, "POST", "?dryRun=All", body("probe")).code == 201; }));
   }
-  /// Records in the state store under the prefix.
-  std::size_t stored(const std::string& prefix) {
+  /// Returns the number of records in the state store under the prefix.
+  std::size_t count_records(const std::string& prefix) {
     const auto values = state.values();
     return static_cast<std::size_t>(std::count_if(values.begin(), values.end(), [&](const auto& record) {
       return record.first.rfind(prefix, 0) == 0;
     }));
   }
-  std::map<std::string, std::unique_ptr<kube::ApiServer>> apis;
+  std::map<std::string, std::unique_ptr<kube::ApiServer>> api_servers;
   std::map<std::string, std::unique_ptr<http::Client>> users;
 };
 
--- a/tests/kubernetes_objects.h
+++ b/tests/kubernetes_objects.h
@@ -1,4 +1,4 @@
-// Submissions of the Kubernetes API for tests.
+// Builds Kubernetes API submissions for tests.
 #pragma once
 #include <random>
 #include <string>
@@ -8,21 +8,23 @@
 
 namespace corkmux {
 
-/// The batch/v1 Job that says what the specification says, but for what no Job can say (id, team).
+/// Returns the batch/v1 Job equivalent to the specification, except for id and team, which a Job cannot
+/// express.
 inline kube::Json kubernetes_job(const JobSpec& spec) {
   using kube::Json;
-  auto whole = [](double amount) { return std::to_string(static_cast<int>(amount)); };
-  auto thousandths = [&](double amount) { return whole(amount * 1000) + "m"; };
+  auto integer_text = [](double amount) { return std::to_string(static_cast<int>(amount)); };
+  auto milli_quantity = [&](double amount) { return integer_text(amount * 1000) + "m"; };
   Json annotations = {{"corkmux.io/class", spec.job_class},
                       {"corkmux.io/gang", spec.kind == JobKind::Gang ? "true" : "false"},
                       {"corkmux.io/one-zone", spec.one_zone ? "true" : "false"},
                       {"corkmux.io/spread", spec.spread ? "true" : "false"},
-                      {"corkmux.io/image-gb", thousandths(spec.image_gb)},
-                      {"corkmux.io/estimate-s", whole(spec.estimate_s)},
-                      {"corkmux.io/checkpoint-s", whole(spec.checkpoint_s)},
-                      {"corkmux.io/save-s", whole(spec.save_s)}};
-  if (spec.deadline_s) annotations["corkmux.io/deadline-s"] = whole(*spec.deadline_s);
-  Json requests = {{"cpu", thousandths(spec.need.cpus)}, {"memory", whole(spec.need.memory_gb) + "G"}};
+                      {"corkmux.io/image-gb", milli_quantity(spec.image_gb)},
+                      {"corkmux.io/estimate-s", integer_text(spec.estimate_s)},
+                      {"corkmux.io/checkpoint-s", integer_text(spec.checkpoint_s)},
+                      {"corkmux.io/save-s", integer_text(spec.save_s)}};
+  if (spec.deadline_s) annotations["corkmux.io/deadline-s"] = integer_text(*spec.deadline_s);
+  Json requests = {{"cpu", milli_quantity(spec.need.cpus)},
+                   {"memory", integer_text(spec.need.memory_gb) + "G"}};
   if (spec.need.gpus > 0) requests["corkmux.io/accelerator"] = static_cast<int>(spec.need.gpus);
   static const char* const kPriorities[] = {"low", "normal", "high", "production"};
   Json container = {{"name", "main"}, {"image", spec.image}, {"resources", {{"requests", requests}}}};
@@ -39,7 +41,7 @@
       {"spec", {{"completions", spec.tasks}, {"parallelism", spec.tasks}, {"template", {{"spec", pod}}}}}};
 }
 
-/// Any job that a Kubernetes Job can say.
+/// Returns a random job among those that a Kubernetes Job can express.
 inline JobSpec random_job(std::mt19937& rng) {
   auto below = [&](int limit) { return static_cast<int>(rng() % static_cast<unsigned>(limit)); };
   JobSpec spec;
