--- a/benchmarks/scheduler_benchmark.cc
+++ b/benchmarks/scheduler_benchmark.cc
@@ -1,5 +1,5 @@
-// The scheduler on fleets of three sizes, full of work: what one cycle, heartbeat, load and batch of writes
-// takes.
+// Benchmarks of the scheduler on fully loaded fleets of three sizes: the time of one scheduling cycle,
+// heartbeat, load and batch of writes.
 #include <benchmark/benchmark.h>
 
 #include <algorithm>
@@ -26,8 +26,8 @@
   return scheduler;
 }
 
-/// A fleet full of work.
-struct Site {
+/// A fully loaded fleet.
+struct Fleet {
   std::unique_ptr<Scheduler> scheduler = empty_scheduler();
   std::vector<Heartbeat> workers;
   std::vector<JobSpec> jobs;
@@ -35,9 +35,9 @@
   std::uint64_t revision = 0;
   double now = 0;
 
-  explicit Site(int machines) {
+  explicit Fleet(int machines) {
     for (int i = 0; i < machines; ++i) boot(i);
-    // Jobs of 200 tasks, two tasks on each machine and a rest of room on some.
+    // Jobs of 200 tasks, two tasks on each machine, with a remainder of free capacity on some machines.
     for (int left = 2 * machines; left > 0; left -= 200)
       add(JobKind::Array, Priority::Normal, std::min(left, 200), {15, 0, 51});
     for (std::size_t before = 1, after = 0; before != after; after = started()) {
@@ -97,81 +97,83 @@
   }
 };
 
-/// The site of the size that the benchmark asks for; made once, since that takes longer than most benchmarks.
-Site& site_of(const benchmark::State& state) {
-  static std::map<int, std::unique_ptr<Site>> sites;
+/// The fleet of the size that the benchmark requests. Each is made once, because that takes longer than most
+/// benchmarks.
+Fleet& fleet_of(const benchmark::State& state) {
+  static std::map<int, std::unique_ptr<Fleet>> fleets;
   int machines = static_cast<int>(state.range(0));
-  auto& site = sites[machines];
-  if (!site) site = std::make_unique<Site>(machines);
-  return *site;
+  auto& fleet = fleets[machines];
+  if (!fleet) fleet = std::make_unique<Fleet>(machines);
+  return *fleet;
 }
 
-/// Forty gangs wait and nothing has room for any of them.
-void pass_over_a_waiting_queue(benchmark::State& state) {
-  Site& site = site_of(state);
+/// Forty gangs wait, and no machine has free capacity for any of them.
+void schedule_blocked_queue(benchmark::State& state) {
+  Fleet& fleet = fleet_of(state);
   std::vector<std::string> queue;
   for (int i = 0; i < 40; ++i)
-    queue.push_back(site.add(JobKind::Gang, Priority::Normal, 1 + i % 16, {15, 0, 51}));
-  for (auto _ : state) site.scheduler->schedule(site.now);
-  for (const auto& id : queue) site.scheduler->forget_job(id);
+    queue.push_back(fleet.add(JobKind::Gang, Priority::Normal, 1 + i % 16, {15, 0, 51}));
+  for (auto _ : state) fleet.scheduler->schedule(fleet.now);
+  for (const auto& id : queue) fleet.scheduler->forget_job(id);
 }
 
-/// One job of eight tasks comes, finds the little room that there is, and goes again.
-void pass_that_places_eight(benchmark::State& state) {
-  Site& site = site_of(state);
+/// One job of eight tasks arrives, is placed in the little free capacity, and is removed again.
+void schedule_eight_tasks(benchmark::State& state) {
+  Fleet& fleet = fleet_of(state);
   for (auto _ : state) {
-    auto id = site.add(JobKind::Array, Priority::Normal, 8, {1, 0, 1});
-    site.scheduler->schedule(site.now);
-    if (site.scheduler->job(id)->active.size() != 8) state.SkipWithError("not placed");
-    site.scheduler->forget_job(id);
+    auto id = fleet.add(JobKind::Array, Priority::Normal, 8, {1, 0, 1});
+    fleet.scheduler->schedule(fleet.now);
+    if (fleet.scheduler->job(id)->active.size() != 8) state.SkipWithError("not placed");
+    fleet.scheduler->forget_job(id);
   }
 }
 
 void one_heartbeat(benchmark::State& state) {
-  Site& site = site_of(state);
+  Fleet& fleet = fleet_of(state);
   std::size_t next = 0;
   for (auto _ : state) {
-    Heartbeat& heartbeat = site.workers[next++ % site.workers.size()];
+    Heartbeat& heartbeat = fleet.workers[next++ % fleet.workers.size()];
     ++heartbeat.seq;
     benchmark::DoNotOptimize(
-        site.scheduler->on_heartbeat(heartbeat, Scheduler::Channel::Heartbeat, site.now));
+        fleet.scheduler->on_heartbeat(heartbeat, Scheduler::Channel::Heartbeat, fleet.now));
   }
 }
 
-/// All jobs and records of a full fleet, as a new leader reads them.
+/// Loads all jobs and records of a full fleet, as a new leader does.
 void load(benchmark::State& state) {
-  Site& site = site_of(state);
+  Fleet& fleet = fleet_of(state);
   for (auto _ : state) {
     auto fresh = empty_scheduler();
     std::uint64_t revision = 0;
-    for (const auto& spec : site.jobs) fresh->upsert_job(spec, ++revision, false, 0, 100);
-    for (const auto& write : site.stored) fresh->load_record(write.key, write.value, 1);
+    for (const auto& spec : fleet.jobs) fresh->upsert_job(spec, ++revision, false, 0, 100);
+    for (const auto& write : fleet.stored) fresh->load_record(write.key, write.value, 1);
     fresh->records_loaded();
     benchmark::DoNotOptimize(fresh->jobs().size());
   }
 }
 
-/// The records of a job that was just placed on eight machines.
+/// Writes the records of a job that was just placed on eight machines.
 void write_batch(benchmark::State& state) {
-  Site& site = site_of(state);
+  Fleet& fleet = fleet_of(state);
   for (auto _ : state) {
     state.PauseTiming();
-    auto id = site.add(JobKind::Array, Priority::Normal, 8, {1, 0, 1});
-    site.scheduler->schedule(site.now);
+    auto id = fleet.add(JobKind::Array, Priority::Normal, 8, {1, 0, 1});
+    fleet.scheduler->schedule(fleet.now);
     state.ResumeTiming();
-    site.store(false);
+    fleet.store(false);
     state.PauseTiming();
-    site.scheduler->forget_job(id);
+    fleet.scheduler->forget_job(id);
     state.ResumeTiming();
   }
 }
 
-/// Names are those that earlier versions print, so that benchmarks/against sets them side by side.
+/// The printed names are the same as in earlier versions, so that the output of benchmarks/against can be
+/// compared.
 void at_all_sizes(benchmark::internal::Benchmark* benchmark, const char* name) {
   benchmark->Name(name)->Arg(1000)->Arg(5000)->Arg(20000)->Unit(benchmark::kMicrosecond);
 }
-BENCHMARK(pass_over_a_waiting_queue)->Apply([](auto* one) { at_all_sizes(one, "PassOverAWaitingQueue"); });
-BENCHMARK(pass_that_places_eight)->Apply([](auto* one) { at_all_sizes(one, "PassThatPlacesEight"); });
+BENCHMARK(schedule_blocked_queue)->Apply([](auto* one) { at_all_sizes(one, "PassOverAWaitingQueue"); });
+BENCHMARK(schedule_eight_tasks)->Apply([](auto* one) { at_all_sizes(one, "PassThatPlacesEight"); });
 BENCHMARK(one_heartbeat)->Apply([](auto* one) { at_all_sizes(one, "OneReport"); });
 BENCHMARK(load)->Apply([](auto* one) { at_all_sizes(one, "Load"); });
 BENCHMARK(write_batch)->Apply([](auto* one) { at_all_sizes(one, "WriteBatch"); });
--- a/benchmarks/submit_benchmark.cc
+++ b/benchmarks/submit_benchmark.cc
@@ -1,5 +1,6 @@
-// From sending a submission to its being stored, native and as a Kubernetes Job, side by side in one process:
-// real controllers on loopback against the stand-ins of the tests. And what a watcher takes.
+// Benchmarks the time from sending a submission to its being stored, native and as a Kubernetes Job, side by
+// side in one process: real controllers on loopback with the tests' stand-in state service and cloud. Also
+// measures the memory per watcher.
 #include <malloc.h>
 #include <spdlog/spdlog.h>
 
@@ -18,11 +19,11 @@
 using codec::Json;
 
 constexpr const char* kJobsPath = "/apis/batch/v1/namespaces/default/jobs";
-constexpr double kSettleTime = 0.5;  // s after the election until times are taken
+constexpr double kSettleTime = 0.5;  // s from the election to the start of the measurement
 constexpr double kMsPerSecond = 1000;
 constexpr double kBytesPerKib = 1024;
 
-/// As the platform sets them on a site without rate limits in the way.
+/// The settings that the platform writes, with rate limits too high to affect the benchmark.
 Settings controller_settings(int number, const simulation::Cloud& cloud,
                              const simulation::StateService& state) {
   Settings settings;
@@ -82,29 +83,29 @@
       .dump();
 }
 
-/// Times of answers.
+/// Response times.
 class Latencies {
  public:
   void add(double seconds) { ms_.push_back(kMsPerSecond * seconds); }
-  /// ms that this share of the times does not exceed; 0 without any.
+  /// The time in ms that this share of the times does not exceed; 0 without any times.
   double quantile(double share) {
     if (ms_.empty()) return 0;
     std::sort(ms_.begin(), ms_.end());
-    auto place = static_cast<std::size_t>(share * static_cast<double>(ms_.size()));
-    return ms_[std::min(ms_.size() - 1, place)];
+    auto index = static_cast<std::size_t>(share * static_cast<double>(ms_.size()));
+    return ms_[std::min(ms_.size() - 1, index)];
   }
 
  private:
   std::vector<double> ms_;
 };
 
-/// Controllers that serve both kinds of client, with a client of each kind for every one.
-class Site {
+/// Controllers that serve native and Kubernetes clients, with one client of each kind per controller.
+class BenchmarkCluster {
  public:
-  explicit Site(int controllers) {
+  explicit BenchmarkCluster(int controllers) {
     for (int number = 0; number < controllers; ++number) add_controller(number);
   }
-  /// Waits until one of the controllers leads.
+  /// Waits until one of the controllers is leader.
   void wait_for_leader() {
     run_until(
         [&] {
@@ -114,7 +115,8 @@
         20);
     run_for(kSettleTime);
   }
-  /// One submission of each kind in turn, at this rate, to all controllers in turn.
+  /// Sends `count` submissions of each kind, alternating, at this rate, to the controllers in turn; prints
+  /// the latencies.
   void compare(int count, double per_second) {
     Latencies native;
     Latencies translated;
@@ -144,7 +146,7 @@
         controllers_.size(), per_second, native.quantile(0.5), native.quantile(0.99),
         translated.quantile(0.5), translated.quantile(0.99), failed, 2 * count);
   }
-  /// Memory that connections take which watch one job.
+  /// Prints the memory per connection that watches one job.
   void measure_watchers(int count) {
     auto used_bytes = [] { return static_cast<double>(mallinfo2().uordblks); };
     std::vector<std::unique_ptr<http::Client>> watchers;
@@ -176,7 +178,7 @@
   std::unique_ptr<http::Client> client_of(int port) {
     return std::make_unique<http::Client>(loop_, "127.0.0.1:" + std::to_string(port), 8, 1000);
   }
-  /// Until the condition holds, but no longer than so many seconds.
+  /// Runs the loop until the condition holds, but no longer than `at_most_s`.
   template <typename Condition>
   void run_until(Condition met, double at_most_s) {
     Timer tick(loop_);
@@ -209,12 +211,12 @@
   spdlog::set_level(spdlog::level::off);
   for (int controllers : {1, 3, 5})
     for (double per_second : {50.0, 200.0, 500.0}) {
-      Site site(controllers);
-      site.wait_for_leader();
-      site.compare(count, per_second);
+      BenchmarkCluster cluster(controllers);
+      cluster.wait_for_leader();
+      cluster.compare(count, per_second);
     }
-  Site site(1);
-  site.wait_for_leader();
-  site.compare(5, 50);
-  site.measure_watchers(watchers);
+  BenchmarkCluster cluster(1);
+  cluster.wait_for_leader();
+  cluster.compare(5, 50);
+  cluster.measure_watchers(watchers);
 }
--- a/src/scale_test/child_process.cc
+++ b/src/scale_test/child_process.cc
@@ -12,20 +12,22 @@
 namespace corkmux::scale_test {
 namespace {
 
-constexpr int kCannotRun = 127;  // exit status, as shells have it
+constexpr int kCannotExecuteStatus =
+    127;  // exit status of a child whose program cannot be executed, as shells return it
 constexpr mode_t kLogMode = 0644;
 
-/// What is left to do between fork and exec: only calls that are safe there.
-[[noreturn]] void become(char* const* arguments, int log, pid_t parent) {
+/// Runs in the child between fork and exec, so it makes only calls that are async-signal-safe.
+[[noreturn]] void exec_command(char* const* arguments, int log, pid_t parent) {
   ::prctl(PR_SET_PDEATHSIG, SIGKILL);
-  if (::getppid() != parent) ::_exit(kCannotRun);  // the run ended before it could be noticed
+  if (::getppid() != parent)
+    ::_exit(kCannotExecuteStatus);  // the parent exited before PR_SET_PDEATHSIG took effect
   ::dup2(log, STDOUT_FILENO);
   ::dup2(log, STDERR_FILENO);
   sigset_t none;
   ::sigemptyset(&none);
   ::sigprocmask(SIG_SETMASK, &none, nullptr);
   ::execv(arguments[0], arguments);
-  ::_exit(kCannotRun);
+  ::_exit(kCannotExecuteStatus);
 }
 
 }  // namespace
@@ -38,7 +40,7 @@
   arguments.push_back(nullptr);
   pid_t parent = ::getpid();
   pid_t child = ::fork();
-  if (child == 0) become(arguments.data(), log_descriptor, parent);
+  if (child == 0) exec_command(arguments.data(), log_descriptor, parent);
   int error = errno;
   ::close(log_descriptor);
   if (child < 0) throw ProcessError(command.front() + " cannot be started: " + std::strerror(error));
--- a/src/scale_test/child_process.h
+++ b/src/scale_test/child_process.h
@@ -1,4 +1,5 @@
-// A process that the scale run starts, ends and measures. It ends with the run, however the run ends.
+// A child process that the scale run starts, kills and measures. The kernel kills it when the run's process
+// ends, including by a crash.
 #pragma once
 #include <sys/types.h>
 
@@ -11,31 +12,32 @@
 
 namespace corkmux::scale_test {
 
-/// A process that cannot be started, or lacks what it needs from the system; names the program, file or
-/// address.
+/// Thrown if a process cannot be started or a system resource that it needs is unavailable. The message names
+/// the program, file or address.
 struct ProcessError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
 class ChildProcess {
  public:
-  /// Starts it with standard output and error appended to the file `log`. Throws ProcessError if it cannot.
+  /// Starts the process, with its standard output and error appended to the file `log`. Throws ProcessError
+  /// on failure.
   ChildProcess(const std::vector<std::string>& command, const std::string& log);
   ~ChildProcess();
   ChildProcess(const ChildProcess&) = delete;
   ChildProcess& operator=(const ChildProcess&) = delete;
 
-  /// Ends it at once and waits until it is gone.
+  /// Sends SIGKILL and waits until the process has exited.
   void kill();
-  /// Does nothing once it has ended.
+  /// Sends the signal; does nothing once the process has exited.
   void signal(int number);
-  /// False also once it has ended by itself.
+  /// False after kill(), and also if the process has exited without it.
   bool running();
-  /// nullopt: it has ended.
+  /// nullopt: the process has exited.
   std::optional<ProcessUsage> usage(bool count_files) const;
 
  private:
-  std::optional<pid_t> id_;  // until it has ended and its status was collected
+  std::optional<pid_t> id_;  // set until the exit status is collected
 };
 
 }  // namespace corkmux::scale_test
--- a/src/scale_test/collector.cc
+++ b/src/scale_test/collector.cc
@@ -7,7 +7,7 @@
 namespace corkmux::scale_test {
 namespace {
 
-constexpr std::size_t kMaxConnections = kMostProcesses + 50;
+constexpr std::size_t kMaxConnections = kMaxProcesses + 50;
 
 }  // namespace
 
--- a/src/scale_test/collector.h
+++ b/src/scale_test/collector.h
@@ -1,5 +1,5 @@
-// The server to which the host processes of a run report. Parses their messages; what they mean is the
-// callbacks' matter.
+// HTTP server that receives the status messages of a run's host processes. Parses the messages and passes
+// them to callbacks, which interpret them.
 #pragma once
 #include <functional>
 #include <optional>
@@ -14,7 +14,7 @@
 class Collector {
  public:
   struct Callbacks {
-    /// What the host is to do; nullopt: there is no such host.
+    /// Returns the instructions for the host; nullopt: the host number is unknown.
     std::function<std::optional<HostInstructions>(const HostStatus&)> host_status;
     std::function<void(StateCounts)> state_counts;
   };
--- a/src/scale_test/controller_group.cc
+++ b/src/scale_test/controller_group.cc
@@ -12,7 +12,7 @@
 
 constexpr const char* kOperatorFile = "operator.textproto";
 
-/// What the last line about traffic in a controller's log says; nullopt: nothing yet.
+/// The counts in the last `traffic [` line of a controller's log; nullopt: none is logged yet.
 std::optional<codec::Json> last_traffic(const std::string& log) {
   std::ifstream in(log);
   std::string last;
@@ -28,7 +28,8 @@
 }  // namespace
 
 void ControllerGroup::start_all(const std::string& state, const std::string& cloud) {
-  // All addresses are reserved before the first controller starts and takes a free port for a connection.
+  // All addresses are reserved before the first controller starts, because its outgoing connections take free
+  // ports that a later reservation could need.
   for (int i = 0; i < plan_.controllers; ++i) {
     auto label = controller_label(static_cast<std::size_t>(i));
     controllers_.push_back(
@@ -41,7 +42,7 @@
     addresses.users.push_back(controller->user_address.text());
     addresses.peers.push_back(controller->peer_address.text());
   }
-  // Machines are a given of the run: none is provisioned or returned for load.
+  // The plan fixes the number of machines, so the controllers must not provision or return any for load.
   folder_.write(kOperatorFile, "manage_fleet: false\n");
   for (std::size_t number = 0; number < controllers_.size(); ++number) {
     folder_.write(controllers_[number]->label + ".toml", controller_settings(plan_, number, addresses));
--- a/src/scale_test/controller_group.h
+++ b/src/scale_test/controller_group.h
@@ -1,4 +1,4 @@
-// The deployed controllers of a run, one process each, with settings files of their own.
+// The controllers of a run: one process of the deployed program each, with its own settings file.
 #pragma once
 #include <cstddef>
 #include <map>
@@ -16,29 +16,30 @@
 
 class ControllerGroup {
  public:
-  /// The references have to outlive it. `program`: the deployed one.
+  /// The references must outlive the group. `program`: path of the deployed controller program.
   ControllerGroup(const ScaleTestPlan& plan, const RunFolder& folder, std::string program)
       : plan_(plan), folder_(folder), program_(std::move(program)) {}
 
-  /// Writes the settings and starts all. `state`, `cloud`: host:port. Throws std::runtime_error.
+  /// Writes the settings files and starts all controllers. `state`, `cloud`: host:port. Throws
+  /// std::runtime_error on failure.
   void start_all(const std::string& state, const std::string& cloud);
   void start(std::size_t number);
-  /// Ends it as a crash would, to be started again. False: it does not run.
-  bool end_for_restart(std::size_t number) { return controllers_[number]->process.end_for_restart(); }
-  /// Ends all.
+  /// Kills the controller as a crash would, so that start() can restart it. False: it is not running.
+  bool kill_for_restart(std::size_t number) { return controllers_[number]->process.kill_for_restart(); }
+  /// Kills all controllers.
   void end();
 
   std::size_t size() const { return controllers_.size(); }
   /// nullopt: no controller has that label.
   std::optional<std::size_t> find(const std::string& label) const;
-  /// By label.
+  /// The user-facing address of each controller, by label.
   std::map<std::string, std::string> user_addresses() const;
-  /// By number.
+  /// The processes in the order of the controllers' numbers.
   std::vector<MeasuredProcess*> processes() const;
 
-  /// Asks all to log their counts of messages, which takes a moment.
+  /// Signals all controllers (SIGUSR1) to log their message counts; the lines appear after a short delay.
   void request_traffic();
-  /// Reads what they have logged.
+  /// Reads the message counts that the controllers have logged.
   void read_traffic();
 
  private:
--- a/src/scale_test/controller_settings.cc
+++ b/src/scale_test/controller_settings.cc
@@ -5,7 +5,8 @@
 namespace corkmux::scale_test {
 namespace {
 
-constexpr double kNormalWithin = 30;  // s from submission to running, aimed at for jobs that are not urgent
+constexpr double kNormalWaitObjective =
+    30;  // s from submission to running, the objective for jobs that are not urgent
 
 std::string zone_of(const ScaleTestPlan& plan, std::size_t controller) {
   return plan.zone_names()[controller % static_cast<std::size_t>(plan.zones)];
@@ -40,9 +41,9 @@
 std::string objectives(const ScaleTestPlan& plan) {
   std::string text;
   for (const auto& job_class : plan.classes)
-    text +=
-        fmt::format("[[cluster.objectives]]\nkind = \"wait\"\nclass = \"{}\"\nwithin_s = {}\nshare = 0.9\n",
-                    job_class.name, job_class.priority == Priority::High ? kUrgentWithin : kNormalWithin);
+    text += fmt::format(
+        "[[cluster.objectives]]\nkind = \"wait\"\nclass = \"{}\"\nwithin_s = {}\nshare = 0.9\n",
+        job_class.name, job_class.priority == Priority::High ? kUrgentWaitObjective : kNormalWaitObjective);
   return text;
 }
 
--- a/src/scale_test/controller_settings.h
+++ b/src/scale_test/controller_settings.h
@@ -1,4 +1,4 @@
-// The settings file of one controller of a scale run, in the platform's form.
+// Generates the settings file of one controller of a scale run, in the same format that the platform writes.
 #pragma once
 #include <cstddef>
 #include <string>
@@ -8,7 +8,7 @@
 
 namespace corkmux::scale_test {
 
-/// Where the controllers of a run and the services they use are reached; every address is host:port.
+/// Addresses of a run's controllers and of the services that they use; each is host:port.
 struct RunAddresses {
   std::vector<std::string> users;  // of each controller
   std::vector<std::string> peers;  // of each controller
@@ -19,7 +19,7 @@
 /// "c01", "c02", ...
 std::string controller_label(std::size_t controller);
 
-/// The text of the settings file (TOML) of that controller, counted from 0.
+/// The text of the settings file (TOML) of the controller with this number, counted from 0.
 std::string controller_settings(const ScaleTestPlan& plan, std::size_t controller,
                                 const RunAddresses& addresses);
 
--- a/src/scale_test/event_merger.cc
+++ b/src/scale_test/event_merger.cc
@@ -19,9 +19,9 @@
                       const std::map<std::string, simulation::MachineFacts>& machines,
                       simulation::JobRegistry& jobs) {
   for (const auto& event : status.events) {
-    if (event.kind == MachineEvent::Kind::Up) continue;
+    if (event.kind == MachineEvent::Kind::Booted) continue;
     simulation::SimulatedJob* job = jobs.find(event.job);
-    if (!job) continue;  // a machine was told to start what nobody submitted: the worker refuses that itself
+    if (!job) continue;  // a start command for a job that was never submitted; the worker refuses it
     const auto machine = machines.find(event.machine);
     const simulation::MachineFacts* facts = machine == machines.end() ? nullptr : &machine->second;
     enqueue(event.at, [this, event, facts, job] { apply_machine_event(event, facts, *job); });
@@ -33,22 +33,23 @@
 void EventMerger::apply_machine_event(const MachineEvent& event, const simulation::MachineFacts* machine,
                                       simulation::SimulatedJob& job) {
   switch (event.kind) {
-    case MachineEvent::Kind::Up:
+    case MachineEvent::Kind::Booted:
       return;
-    case MachineEvent::Kind::On:
+    case MachineEvent::Kind::TaskPlaced:
       listener_.started(job, event.index, event.at);
       if (machine) checker_.task_placed(*machine, job, event.index, event.attempt);
       return;
-    case MachineEvent::Kind::Off:
+    case MachineEvent::Kind::TaskRemoved:
       listener_.left(job, event.why, event.at);
       return checker_.task_removed(event.machine, job, event.index, event.attempt, event.why);
-    case MachineEvent::Kind::Lost:
+    case MachineEvent::Kind::ProgressLost:
       return checker_.progress_lost(job, event.why, event.seconds);
-    case MachineEvent::Kind::Running:
+    case MachineEvent::Kind::TaskRunning:
       listener_.running(job, event.at);
       return checker_.task_running(job, event.index);
-    case MachineEvent::Kind::Done: {
-      // A task that ran again elsewhere, unknown to the first machine's process, is done once.
+    case MachineEvent::Kind::TaskDone: {
+      // A task can run again on a machine of another host, and both hosts then report its end: the task
+      // counts as done once.
       const auto index = static_cast<std::size_t>(event.index);
       if (job.done[index]) return;
       job.done[index] = true;
@@ -57,7 +58,7 @@
   }
 }
 
-void EventMerger::forget_host(int host) { complete_until_.erase(host); }
+void EventMerger::remove_host(int host) { complete_until_.erase(host); }
 
 // ---------------------------------------------------------------- users
 
@@ -66,11 +67,11 @@
 }
 
 void EventMerger::apply_user_event(const simulation::UserEvent& event, double at) {
-  tell_listener(event, at);
+  notify_listener(event, at);
   checker_.observe(event);
 }
 
-void EventMerger::tell_listener(const simulation::UserEvent& event, double at) {
+void EventMerger::notify_listener(const simulation::UserEvent& event, double at) {
   if (const auto* submission = std::get_if<simulation::JobSubmitted>(&event))
     return listener_.submitted(submission->spec, at);
   const auto* answer = std::get_if<UserAnswer>(&event);
@@ -85,7 +86,8 @@
 
 void EventMerger::apply() {
   double until = run_time();
-  for (const auto& [host, told_until] : complete_until_) until = std::min(until, told_until);
+  for (const auto& [host, host_complete_until] : complete_until_)
+    until = std::min(until, host_complete_until);
   while (!events_.empty() && events_.begin()->first <= until) {
     auto event = events_.extract(events_.begin());
     now_ = std::max(now_, event.key());
--- a/src/scale_test/fault_injector.h
+++ b/src/scale_test/fault_injector.h
@@ -1,4 +1,4 @@
-// Brings about the faults of a run's plan: controllers that end and come back, machines that are lost.
+// Injects the faults of a run's plan: kills and restarts controllers, terminates machines.
 #pragma once
 #include <cstddef>
 #include <functional>
@@ -12,32 +12,32 @@
 
 namespace corkmux::scale_test {
 
-inline constexpr double kRestartDelay = 3;  // s until a controller that was ended is back
-inline constexpr double kRollEvery = 10;    // s between controllers that are restarted in turn
+inline constexpr double kRestartDelay = 3;             // s from the kill of a controller to its restart
+inline constexpr double kRollingRestartInterval = 10;  // s between the controllers of a rolling restart
 
 class FaultInjector {
  public:
-  /// What it acts on. All have to outlive it.
+  /// The parts of the run that faults act on. All must outlive the injector.
   struct Targets {
     ControllerGroup& controllers;
     HollowFleet& fleet;
-    /// The number of the controller that leads now, if any does.
+    /// The number of the present leader; nullopt: there is none.
     std::function<std::optional<std::size_t>()> leader;
   };
-  /// `random`: shared with whatever else the run draws.
+  /// `random`: generator shared with the run's other random draws.
   FaultInjector(Loop& loop, const ScaleTestPlan& plan, Targets targets, std::mt19937_64& random)
       : loop_(loop), plan_(plan), targets_(std::move(targets)), random_(random) {}
 
   void inject(const Fault& fault);
-  /// No controller is ended or started any more.
+  /// From now on no controller is killed or started.
   void stop() { stopped_ = true; }
 
  private:
-  void end_leader();
-  void end_follower();
-  void restart_all_in_turn();
+  void kill_leader();
+  void kill_follower();
+  void restart_all_controllers();
   void restart_controller(std::size_t number);
-  void lose_machines(const HollowFleet::Loss& loss);
+  void lose_machines(const HollowFleet::MachineLoss& loss);
 
   Loop& loop_;
   const ScaleTestPlan& plan_;
--- a/src/scale_test/hollow_fleet.cc
+++ b/src/scale_test/hollow_fleet.cc
@@ -9,9 +9,9 @@
 namespace corkmux::scale_test {
 namespace {
 
-constexpr double kCloudBurst = 2;  // s worth of requests
-// The second number of the workers' loopback addresses. Each run draws one, so that two on one machine hardly
-// ever take the same.
+constexpr double kCloudBurst = 2;  // s: burst of the request rate limit, as a duration at the full rate
+// The second octet of the workers' loopback addresses. Each run draws it at random, so that two runs on one
+// machine rarely get the same.
 constexpr int kFirstNetwork = 10;
 constexpr unsigned kNetworkCount = 200;
 
@@ -29,7 +29,7 @@
       plan_(plan),
       zones_(plan.zone_names()),
       cloud_(loop, plan.types(), initial_capacity(), plan.site.list_lag_s,
-             // Also makes an entry for a machine that has not told its address yet.
+             // operator[] also inserts an empty entry for a machine whose address is not reported yet.
              {{}, {}, [this](const std::string& name) { return addresses_[name]; }}) {
   cloud_.request_rate.set(plan_.site.cloud_rps, kCloudBurst);
   for (std::size_t zone = 0; zone < zones_.size(); ++zone) {
@@ -76,9 +76,9 @@
   host.workers = status.workers;
   host.tasks = status.tasks;
   for (const auto& event : status.events)
-    if (event.kind == MachineEvent::Kind::Up) addresses_[event.machine] = event.why;
+    if (event.kind == MachineEvent::Kind::Booted) addresses_[event.machine] = event.why;
   HostInstructions instructions = std::exchange(host.next_instructions, {});
-  std::size_t boots = std::min(host.to_boot.size(), kBootsAtOnce);
+  std::size_t boots = std::min(host.to_boot.size(), kMaxBootsPerResponse);
   auto end = host.to_boot.begin() + static_cast<std::ptrdiff_t>(boots);
   instructions.boot.assign(host.to_boot.begin(), end);
   host.to_boot.erase(host.to_boot.begin(), end);
@@ -92,7 +92,7 @@
   return names;
 }
 
-void HollowFleet::lose_machines(std::size_t zone, const Loss& loss) {
+void HollowFleet::lose_machines(std::size_t zone, const MachineLoss& loss) {
   std::vector<std::string> lost;
   for (std::size_t tried = 0; tried < shared_zones(); ++tried) {
     std::size_t next_zone = (zone + tried) % shared_zones();
@@ -108,7 +108,7 @@
     addresses_.erase(name);
     cloud_.machine_died(name);
   }
-  if (loss.come_back) loop_.call_later(kRackBack, [this, lost] { boot_again(lost); });
+  if (loss.reboots) loop_.call_later(kRackRestartDelay, [this, lost] { boot_again(lost); });
 }
 
 void HollowFleet::boot_again(const std::vector<std::string>& lost) {
--- a/src/scale_test/hollow_fleet.h
+++ b/src/scale_test/hollow_fleet.h
@@ -1,5 +1,5 @@
-// The machines of a run: the stand-in cloud that lists them, the processes that host their hollow workers,
-// one a zone, and what these processes are told to boot and to lose.
+// The machines of a run: the stand-in cloud that lists them, the processes that host their hollow workers
+// (one process per zone), and the instructions to these processes to boot and terminate machines.
 #pragma once
 #include <cstddef>
 #include <map>
@@ -16,46 +16,45 @@
 
 namespace corkmux::scale_test {
 
-inline constexpr std::size_t kBootsAtOnce = 200;  // machines of one answer to a host
-inline constexpr double kRackBack = 20;           // s until a restarted rack's machines are back
+inline constexpr std::size_t kMaxBootsPerResponse = 200;  // machines in one response to a host
+inline constexpr double kRackRestartDelay = 20;  // s until the machines of a restarted rack boot again
 
 class HollowFleet {
  public:
   using Machines = std::map<std::string, simulation::MachineFacts>;  // by name
-  /// How a machine ends, as its worker and the cloud tell it.
-  struct Loss {
+  /// A loss of several machines at once.
+  struct MachineLoss {
     int machines = 0;
-    std::string why;
-    bool come_back = false;
+    std::string why;  // reason that the workers report
+    bool reboots = false;
   };
 
-  /// Makes the cloud and its machines; their hosts are not started yet. The references have to outlive it.
+  /// Makes the cloud and its machines, without starting the hosts. The references must outlive the fleet.
   HollowFleet(Loop& loop, const ScaleTestPlan& plan, const RunFolder& folder);
 
-  /// `command`: of a worker host, but for what is the host's own. `controllers`: label and users' address of
-  /// each. Throws ProcessError.
+  /// Starts all hosts. `command`: command line of a worker host without the arguments that differ between
+  /// hosts. `controllers`: user-facing address of each controller, by label. Throws ProcessError on failure.
   void start_hosts(const std::vector<std::string>& command,
                    const std::map<std::string, std::string>& controllers);
-  /// Ends all hosts.
+  /// Kills all hosts.
   void end();
 
-  /// Takes in what a host tells of its workers. Returns what the host is to do; nullopt: there is no such
-  /// host.
+  /// Records a host's status. Returns the instructions for the host; nullopt: the host number is unknown.
   std::optional<HostInstructions> host_status(const HostStatus& status);
-  /// Loses machines of one zone, which is what a rack or a switch takes down; of the next zones as well if it
-  /// has not as many. Those that come back have new names, as provisioned ones have.
-  void lose_machines(std::size_t zone, const Loss& loss);
+  /// Terminates machines of one zone, as the failure of a rack or switch does; if the zone has too few, also
+  /// machines of the next zones. Machines that boot again get new names, as newly provisioned machines do.
+  void lose_machines(std::size_t zone, const MachineLoss& loss);
 
   std::string cloud_address() const { return cloud_.address(); }
-  /// All machines so far, lost ones included.
+  /// All machines that the run has had, including the lost ones.
   const Machines& machines() const { return machines_; }
-  /// Machines that have told their address or whose address the cloud was asked for, without those that were
-  /// lost.
+  /// Number of machines whose address was reported by their host or requested from the cloud, without the
+  /// lost machines.
   std::size_t known_addresses() const { return addresses_.size(); }
-  /// As the hosts told last.
+  /// Sums over the latest statuses of the hosts.
   int workers() const;
   int tasks() const;
-  /// The hosts of the shared zones, and those of one worker each.
+  /// The processes that host the shared zones, and the processes that host one worker each.
   std::vector<MeasuredProcess*> zone_hosts() const;
   std::vector<MeasuredProcess*> single_hosts() const;
 
@@ -64,7 +63,7 @@
     explicit Host(std::string log) : process(std::move(log)) {}
     MeasuredProcess process;
     std::vector<simulation::MachineFacts> to_boot;
-    HostInstructions next_instructions;  // but for what it is to boot
+    HostInstructions next_instructions;  // without the machines to boot
     int workers = 0;
     int tasks = 0;
   };
@@ -78,7 +77,7 @@
   Loop& loop_;
   const ScaleTestPlan& plan_;
   std::vector<std::string> zones_;
-  std::map<std::string, std::string> addresses_;  // by machine; read by the cloud
+  std::map<std::string, std::string> addresses_;  // by machine; the cloud reads them
   simulation::Cloud cloud_;
   std::vector<std::unique_ptr<Host>> hosts_;  // by zone
   Machines machines_;
--- a/src/scale_test/hollow_worker_host.cc
+++ b/src/scale_test/hollow_worker_host.cc
@@ -8,11 +8,12 @@
 namespace corkmux::scale_test {
 namespace {
 
-constexpr std::size_t kNamePrefix = 2;           // of "n-17", as the cloud names machines
-constexpr int kAddressesPerBlock = 250;          // of the last number of an address: 1 to 250
-constexpr double kLingering = 2 * kEventsEvery;  // s in which messages may still name a lost worker
+constexpr std::size_t kNamePrefix = 2;   // length of the prefix of machine names, as in "n-17"
+constexpr int kAddressesPerBlock = 250;  // values of the last octet of an address: 1 to 250
+constexpr double kTerminatedWorkerRetention =
+    2 * kEventBatchInterval;  // s in which callbacks on the loop may still refer to a lost worker
 
-/// A loopback address of the machine's own, with any free port.
+/// The machine's own loopback address, with port 0 for any free port.
 std::string listen_address(int network, const std::string& machine) {
   int number = std::stoi(machine.substr(kNamePrefix));
   return fmt::format("127.{}.{}.{}:0", network, number / kAddressesPerBlock, number % kAddressesPerBlock + 1);
@@ -20,13 +21,13 @@
 
 }  // namespace
 
-HollowWorkerHost::HollowWorkerHost(Loop& loop, const ScaleTestPlan& plan, Place place)
+HollowWorkerHost::HollowWorkerHost(Loop& loop, const ScaleTestPlan& plan, HostConfig place)
     : loop_(loop),
       plan_(plan),
-      place_(std::move(place)),
+      config_(std::move(place)),
       jobs_(plan),
       registry_(loop, plan.times.gang_peer_s, *this, run_time),
-      collector_(loop, place_.collector),
+      collector_(loop, config_.collector),
       types_(plan.types()) {
   registry_.make_unknown_job = [this](const std::string& job) {
     auto number = JobSource::number(job);
@@ -36,7 +37,7 @@
   report();
 }
 
-// ---------------------------------------------------------------- what machines do
+// ---------------------------------------------------------------- machine events
 
 void HollowWorkerHost::add(MachineEvent event) {
   event.at = run_time();
@@ -45,7 +46,7 @@
 
 void HollowWorkerHost::task_placed(const simulation::MachineFacts& machine,
                                    const simulation::SimulatedJob& work, int index, std::uint64_t attempt) {
-  add({.kind = MachineEvent::Kind::On,
+  add({.kind = MachineEvent::Kind::TaskPlaced,
        .machine = machine.name,
        .job = work.spec.id,
        .index = index,
@@ -54,7 +55,7 @@
 
 void HollowWorkerHost::task_removed(const std::string& machine, const simulation::SimulatedJob& work,
                                     int index, std::uint64_t attempt, const std::string& why) {
-  add({.kind = MachineEvent::Kind::Off,
+  add({.kind = MachineEvent::Kind::TaskRemoved,
        .machine = machine,
        .job = work.spec.id,
        .index = index,
@@ -64,15 +65,15 @@
 
 void HollowWorkerHost::progress_lost(const simulation::SimulatedJob& work, const std::string& why,
                                      double seconds) {
-  add({.kind = MachineEvent::Kind::Lost, .job = work.spec.id, .why = why, .seconds = seconds});
+  add({.kind = MachineEvent::Kind::ProgressLost, .job = work.spec.id, .why = why, .seconds = seconds});
 }
 
 void HollowWorkerHost::task_running(const simulation::SimulatedJob& work, int index) {
-  add({.kind = MachineEvent::Kind::Running, .job = work.spec.id, .index = index});
+  add({.kind = MachineEvent::Kind::TaskRunning, .job = work.spec.id, .index = index});
 }
 
 void HollowWorkerHost::task_done(const simulation::SimulatedJob& work, int index) {
-  add({.kind = MachineEvent::Kind::Done, .job = work.spec.id, .index = index});
+  add({.kind = MachineEvent::Kind::TaskDone, .job = work.spec.id, .index = index});
 }
 
 // ---------------------------------------------------------------- messages to the collector
@@ -88,8 +89,8 @@
 
 HostStatus HollowWorkerHost::next_status() const {
   HostStatus status;
-  status.host = place_.host;
-  std::size_t count = std::min(events_.size(), kEventsAtOnce);
+  status.host = config_.host;
+  std::size_t count = std::min(events_.size(), kMaxEventsPerBatch);
   status.events.assign(events_.begin(), events_.begin() + static_cast<std::ptrdiff_t>(count));
   status.until = count < events_.size() ? status.events.back().at : run_time();
   status.traffic = traffic_to_wire();
@@ -103,23 +104,23 @@
   auto body = answer ? codec::unpack(*answer) : std::nullopt;
   if (body) {
     events_.erase(events_.begin(), events_.begin() + static_cast<std::ptrdiff_t>(events_sent));
-    obey(parse_host_instructions(*body, types_));
+    apply_instructions(parse_host_instructions(*body, types_));
   }
-  loop_.call_later(body && more ? 0 : kEventsEvery, [this] { report(); });
+  loop_.call_later(body && more ? 0 : kEventBatchInterval, [this] { report(); });
 }
 
 // ---------------------------------------------------------------- instructions
 
-void HollowWorkerHost::obey(const HostInstructions& instructions) {
+void HollowWorkerHost::apply_instructions(const HostInstructions& instructions) {
   for (const auto& facts : instructions.boot) boot(facts);
   for (const auto& name : instructions.lose) lose(name, instructions.why_lost);
 }
 
 void HollowWorkerHost::boot(const simulation::MachineFacts& facts) {
   if (workers_.contains(facts.name)) return;
-  auto worker = std::make_unique<simulation::Worker>(loop_, facts, plan_.times, place_.controllers, registry_,
-                                                     listen_address(place_.network, facts.name));
-  add({.kind = MachineEvent::Kind::Up, .machine = facts.name, .why = worker->address()});
+  auto worker = std::make_unique<simulation::Worker>(loop_, facts, plan_.times, config_.controllers,
+                                                     registry_, listen_address(config_.network, facts.name));
+  add({.kind = MachineEvent::Kind::Booted, .machine = facts.name, .why = worker->address()});
   workers_.emplace(facts.name, std::move(worker));
 }
 
@@ -127,9 +128,9 @@
   auto worker = workers_.extract(machine);
   if (!worker) return;
   worker.mapped()->terminate(why);
-  // Messages that name it may still wait on the loop; it is freed after them.
+  // Callbacks that are queued on the loop may still refer to the worker, so it is freed after them.
   std::shared_ptr<simulation::Worker> dead(std::move(worker.mapped()));
-  loop_.call_later(kLingering, [dead] {});
+  loop_.call_later(kTerminatedWorkerRetention, [dead] {});
 }
 
 }  // namespace corkmux::scale_test
--- a/src/scale_test/hollow_worker_host.h
+++ b/src/scale_test/hollow_worker_host.h
@@ -1,6 +1,7 @@
-// A process that hosts hollow workers: each has real sockets on a loopback address of its own, real
-// heartbeats, leases, fencing tokens, commands and image times, but executes nothing. All workers of one zone
-// share a process, so that the members of a gang, which are placed in one zone, find one another in it.
+// A process that hosts hollow workers: each has real sockets on its own loopback address, real heartbeats,
+// leases, fencing tokens, commands and image times, but executes nothing. All workers of one zone share a
+// process, because the members of a gang, which are placed in one zone, find one another through the
+// process's job registry.
 #pragma once
 #include <cstddef>
 #include <deque>
@@ -18,20 +19,21 @@
 
 namespace corkmux::scale_test {
 
-inline constexpr double kEventsEvery = 0.05;       // s between batches of events
-inline constexpr std::size_t kEventsAtOnce = 400;  // of one batch; some 100 bytes each, 64 KiB at most
+inline constexpr double kEventBatchInterval = 0.05;  // s between batches of events
+inline constexpr std::size_t kMaxEventsPerBatch =
+    400;  // in one batch; about 100 bytes each, a batch may have at most 64 KiB
 
 class HollowWorkerHost : public simulation::MachineObserver {
  public:
-  /// Which host of the run this is, and whom it talks to.
-  struct Place {
+  /// The host's number within the run, and the addresses that it uses.
+  struct HostConfig {
     int host = 0;
-    int network = 0;                                 // second number of the workers' loopback addresses
-    std::map<std::string, std::string> controllers;  // users' address of each, by label
+    int network = 0;                                 // second octet of the workers' loopback addresses
+    std::map<std::string, std::string> controllers;  // user-facing addresses, by label
     std::string collector;                           // host:port
   };
-  /// The references have to outlive it.
-  HollowWorkerHost(Loop& loop, const ScaleTestPlan& plan, Place place);
+  /// The references must outlive the host.
+  HollowWorkerHost(Loop& loop, const ScaleTestPlan& plan, HostConfig place);
 
   void task_placed(const simulation::MachineFacts& machine, const simulation::SimulatedJob& work, int index,
                    std::uint64_t attempt) override;
@@ -42,26 +44,28 @@
   void task_done(const simulation::SimulatedJob& work, int index) override;
 
  private:
-  /// Sends one batch of events, then the next after a pause; what is not taken is sent again.
+  /// Sends one batch of events, and schedules the next; events that the collector did not accept are sent
+  /// again.
   void report();
   HostStatus next_status() const;
-  /// To a message with so many events; `more`: others waited already when it was sent.
+  /// Handles the response to a batch of `events_sent` events; `more`: further events were queued when the
+  /// batch was sent.
   void on_answer(const std::optional<std::string>& answer, std::size_t events_sent, bool more);
-  void obey(const HostInstructions& instructions);
+  void apply_instructions(const HostInstructions& instructions);
   void boot(const simulation::MachineFacts& facts);
   void lose(const std::string& machine, const std::string& why);
-  /// Stamps it with the present time.
+  /// Queues the event with the present time.
   void add(MachineEvent event);
 
   Loop& loop_;
   const ScaleTestPlan& plan_;
-  Place place_;
+  HostConfig config_;
   JobSource jobs_;
   simulation::JobRegistry registry_;
   CollectorClient collector_;
   std::vector<MachineType> types_;
   std::map<std::string, std::unique_ptr<simulation::Worker>> workers_;  // by machine
-  std::deque<MachineEvent> events_;                                     // not taken yet
+  std::deque<MachineEvent> events_;                                     // not yet accepted by the collector
 };
 
 }  // namespace corkmux::scale_test
--- a/src/scale_test/job_source.cc
+++ b/src/scale_test/job_source.cc
@@ -10,7 +10,8 @@
 
 const std::string kPrefix = "run-";
 
-/// For what a generator's draws are, so that no purpose depends on another's draws.
+/// The use of a random generator: each has its own seed, so that the draws of one use do not shift those of
+/// another.
 enum class Purpose : unsigned { Description = 1, Cancellation = 2 };
 
 std::mt19937_64 generator(const ScaleTestPlan& plan, int number, Purpose purpose) {
@@ -20,7 +21,8 @@
 }
 
 const JobClass& draw_class(const ScaleTestPlan& plan, std::mt19937_64& random) {
-  std::vector<double> weights;  // of jobs: a class of large jobs needs few for its share of the tasks
+  std::vector<double>
+      weights;  // relative numbers of jobs: a class of large jobs needs few to start its share of the tasks
   for (const auto& job_class : plan.classes) weights.push_back(job_class.share / job_class.mean_tasks());
   std::discrete_distribution<std::size_t> draw(weights.begin(), weights.end());
   return plan.classes[draw(random)];
@@ -38,7 +40,8 @@
   spec.image = fmt::format("{}-{}", job_class.name, random() % static_cast<unsigned>(plan.images));
   spec.image_gb = plan.image_gb;
   spec.need = {plan.task_cpus, job_class.accelerators, 1};
-  spec.one_zone = job_class.kind == JobKind::Gang;  // members find one another in one process
+  spec.one_zone =
+      job_class.kind == JobKind::Gang;  // the members of a gang must share the process of one zone
   spec.estimate_s = plan.run_s;
   return spec;
 }
--- a/src/scale_test/job_source.h
+++ b/src/scale_test/job_source.h
@@ -1,5 +1,5 @@
-// The jobs of a scale run. Job number n is always the same for a plan, so every process that needs a job's
-// description computes it from the name alone; nothing has to be sent.
+// Generates the jobs of a scale run. A plan and a job number determine the job, so every process can compute
+// a job's description from its name, and descriptions need not be sent between processes.
 #pragma once
 #include <optional>
 #include <string>
@@ -9,18 +9,19 @@
 
 namespace corkmux::scale_test {
 
-inline constexpr double kRunSpread = 0.15;  // by which tasks run shorter or longer than the plan says
+inline constexpr double kRunSpread =
+    0.15;  // largest relative deviation of a task's run time from the plan's run_s
 
 class JobSource {
  public:
-  /// The plan has to outlive it.
+  /// The plan must outlive the source.
   explicit JobSource(const ScaleTestPlan& plan) : plan_(plan) {}
   static std::string name(int number);
-  /// No value: not a name that name() gives.
+  /// The inverse of name(); nullopt: `name` is not a name that name() returns.
   static std::optional<int> number(const std::string& name);
-  /// From 1 on.
+  /// The job with this number; numbers start at 1.
   simulation::SimulatedJob job(int number) const;
-  /// Whether its user cancels it some time after the submission.
+  /// Whether the job's user cancels it at some time after the submission.
   bool cancelled(int number) const;
 
  private:
--- a/src/scale_test/load_generator.h
+++ b/src/scale_test/load_generator.h
@@ -1,4 +1,4 @@
-// Submits a run's jobs through its users, one after the other at random intervals, at the plan's rate.
+// Submits a run's jobs through its users, one at a time as a Poisson process with the plan's rate.
 #pragma once
 #include <random>
 
@@ -11,13 +11,13 @@
 
 class LoadGenerator {
  public:
-  /// `random`: shared with whatever else the run draws. All references have to outlive it.
+  /// `random`: generator shared with the run's other random draws. All references must outlive the generator.
   LoadGenerator(Loop& loop, const ScaleTestPlan& plan, std::mt19937_64& random)
       : loop_(loop), plan_(plan), jobs_(plan), random_(random) {}
 
-  /// Submits the first job now. `users` have to outlive the generator.
+  /// Submits the first job at once and schedules the others. `users` must outlive the load generator.
   void start(simulation::Users& users);
-  /// Nothing is submitted any more.
+  /// From now on no job is submitted.
   void stop() { stopped_ = true; }
   int submitted() const { return submitted_; }
 
--- a/src/scale_test/machine_events.cc
+++ b/src/scale_test/machine_events.cc
@@ -7,7 +7,7 @@
 namespace corkmux::scale_test {
 namespace {
 
-/// As a list: a status message may hold hundreds of events.
+/// Encodes the event as a list without field names, because a status message may have hundreds of events.
 Json event_to_wire(const MachineEvent& event) {
   return {static_cast<int>(event.kind),
           event.at,
--- a/src/scale_test/machine_events.h
+++ b/src/scale_test/machine_events.h
@@ -1,5 +1,5 @@
-// What a process that hosts workers tells the collector of the run: events of its machines, in its own order,
-// and the moment up to which it has told everything.
+// The messages between a worker host and the collector of the run. The host sends the events of its machines,
+// in their order, with the time up to which they are complete; the collector responds with instructions.
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -13,25 +13,26 @@
 
 using codec::Json;
 
-/// s on the clock that all processes of one machine share.
+/// Time in s on the steady clock, which all processes of one machine share.
 double run_time();
 
 struct MachineEvent {
-  enum class Kind { Up, On, Off, Lost, Running, Done };
-  Kind kind = Kind::Up;
+  enum class Kind { Booted, TaskPlaced, TaskRemoved, ProgressLost, TaskRunning, TaskDone };
+  Kind kind = Kind::Booted;
   double at = 0;             // s of run_time()
-  std::string machine = {};  // Up, On, Off
-  std::string job = {};      // all but Up
+  std::string machine = {};  // Booted, TaskPlaced, TaskRemoved
+  std::string job = {};      // all kinds but Booted
   int index = 0;             // of the task
   std::uint64_t attempt = 0;
-  std::string why = {};  // Off, Lost; of Up the address at which the worker takes commands
-  double seconds = 0;    // Lost: of a task's run
+  std::string why =
+      {};  // TaskRemoved, ProgressLost: reason; Booted: address at which the worker accepts commands
+  double seconds = 0;  // ProgressLost: run time that a task has to repeat
 };
 
-/// One message of a host.
+/// One status message of a host.
 struct HostStatus {
   int host = 0;
-  double until = 0;  // s of run_time(): everything up to here has been told with this message
+  double until = 0;  // s of run_time(): with this message all events up to this time have been sent
   std::vector<MachineEvent> events;
   Json traffic = Json::object();  // http::Traffic of the process
   int workers = 0;
@@ -41,17 +42,17 @@
 /// nullopt: malformed.
 std::optional<HostStatus> parse_host_status(const Json& body);
 
-/// What the collector answers.
+/// The collector's response to a status message.
 struct HostInstructions {
   std::vector<simulation::MachineFacts> boot;
-  std::vector<std::string> lose;  // these machines end with all that is on them
+  std::vector<std::string> lose;  // machines to terminate, with all tasks on them
   std::string why_lost;
 };
 Json to_wire(const HostInstructions& instructions);
-/// `types`: all that the collector may name.
+/// `types`: must contain every machine type that the collector may name.
 HostInstructions parse_host_instructions(const Json& body, const std::vector<MachineType>& types);
 
-/// Traffic of this process, for a status message: [messages, bytes in, bytes out] by kind.
+/// The traffic of this process for a status message: [messages, bytes in, bytes out] by kind of message.
 Json traffic_to_wire();
 
 }  // namespace corkmux::scale_test
--- a/src/scale_test/machine_limits.cc
+++ b/src/scale_test/machine_limits.cc
@@ -19,18 +19,18 @@
 
 void check_open_files(const ScaleTestPlan& plan, const std::string& file) {
   double limit = max_open_files();
-  double sockets = plan.most_workers_in_zone() * kSocketsPerWorker + kSpareSockets;
+  double sockets = plan.max_workers_in_zone() * kSocketsPerWorker + kReservedSockets;
   if (sockets > limit)
     throw PlanTooLarge(fmt::format(
         "{}: {} workers of one zone need {} sockets, a process may have {}: more zones are needed", file,
-        plan.most_workers_in_zone(), sockets, limit));
+        plan.max_workers_in_zone(), sockets, limit));
   if (plan.fd_limit > limit)
     throw PlanTooLarge(fmt::format("{}: controller_limits.fd_limit is {}, a process may have {}", file,
                                    plan.fd_limit, limit));
 }
 
 void check_load(const ScaleTestPlan& plan, const std::string& file) {
-  double usable_cpus = kMostUse * plan.workers * kPlainSize.cpus;
+  double usable_cpus = kMaxCpuUtilization * plan.workers * kPlainSize.cpus;
   double used_cpus = plan.running_tasks() * plan.task_cpus;
   if (used_cpus > usable_cpus)
     throw PlanTooLarge(
@@ -39,16 +39,17 @@
 }
 
 void check_processes(const ScaleTestPlan& plan, const std::string& file) {
-  int processes = plan.controllers + plan.zones + plan.single_workers + 2;  // state service, this program
-  if (processes > kMostProcesses)
+  int processes =
+      plan.controllers + plan.zones + plan.single_workers + 2;  // 2: state service and this program
+  if (processes > kMaxProcesses)
     throw PlanTooLarge(
-        fmt::format("{}: {} processes would be started, {} at most are", file, processes, kMostProcesses));
+        fmt::format("{}: {} processes would be started, {} at most are", file, processes, kMaxProcesses));
 }
 
 void check_memory(const ScaleTestPlan& plan, const std::string& file) {
   constexpr double kBytesPerGb = 1e9;
-  double usable = kMostMemoryShare * memory_bytes();
-  double needed = plan.workers * kWorkerBytes + plan.controllers * kControllerBytes + kOwnBytes;
+  double usable = kMaxMemoryShare * memory_bytes();
+  double needed = plan.workers * kBytesPerWorker + plan.controllers * kBytesPerController + kOverheadBytes;
   if (needed > usable)
     throw PlanTooLarge(
         fmt::format("{}: some {:.1f} GB of memory would be taken, half of this machine's is {:.1f}", file,
--- a/src/scale_test/machine_limits.h
+++ b/src/scale_test/machine_limits.h
@@ -1,5 +1,5 @@
-// Whether this machine can carry a scale run within its limits on descriptors, processes and memory, and
-// whether the plan's workers can hold the plan's load. Checked before anything is started.
+// Checks, before a scale run starts any process, that the run fits this machine's limits on file descriptors,
+// processes and memory, and that the plan's workers have the capacity for the plan's load.
 #pragma once
 #include <string>
 
@@ -7,21 +7,23 @@
 
 namespace corkmux::scale_test {
 
-inline constexpr int kSocketsPerWorker = 3;      // its listener, its heartbeats and the controllers' commands
-inline constexpr int kSpareSockets = 200;        // of each process: files, pipes, users and services
-inline constexpr int kMostProcesses = 200;       // started by one run
-inline constexpr double kMostUse = 0.9;          // of the workers' processors that the running tasks may take
-inline constexpr double kMostMemoryShare = 0.5;  // of the machine's memory, all processes together
-inline constexpr double kWorkerBytes = 120e3;    // of memory a hollow worker is planned with
-inline constexpr double kControllerBytes = 80e6;  // of memory a controller is planned with
-inline constexpr double kOwnBytes = 400e6;        // of memory for users, checker and state service
+inline constexpr int kSocketsPerWorker =
+    3;  // its listener, its heartbeat connection and the controllers' command connection
+inline constexpr int kReservedSockets = 200;  // of each process, for files, pipes, users and services
+inline constexpr int kMaxProcesses = 200;     // started by one run
+inline constexpr double kMaxCpuUtilization =
+    0.9;                                          // share of the workers' CPUs that the running tasks may use
+inline constexpr double kMaxMemoryShare = 0.5;    // share of the machine's memory for all processes together
+inline constexpr double kBytesPerWorker = 120e3;  // memory estimate for one hollow worker
+inline constexpr double kBytesPerController = 80e6;  // memory estimate for one controller
+inline constexpr double kOverheadBytes = 400e6;      // memory estimate for users, checker and state service
 
-/// A plan that this machine cannot carry.
+/// Thrown for a plan that exceeds this machine's limits.
 struct PlanTooLarge : SettingsError {
   using SettingsError::SettingsError;
 };
 
-/// Throws PlanTooLarge, which names the file and the limit.
+/// Throws PlanTooLarge, whose message names the plan's file and the limit, if the plan exceeds a limit.
 void check_machine_limits(const ScaleTestPlan& plan, const std::string& file);
 
 }  // namespace corkmux::scale_test
--- a/src/scale_test/measured_process.cc
+++ b/src/scale_test/measured_process.cc
@@ -9,7 +9,7 @@
   process_ = std::make_unique<ChildProcess>(command, log_);
 }
 
-bool MeasuredProcess::end_for_restart() {
+bool MeasuredProcess::kill_for_restart() {
   if (!process_) return false;
   read_usage(false);
   cpu_of_ended_s_ += usage_.cpu_s;
@@ -27,12 +27,12 @@
   auto usage = process_ ? process_->usage(count_files) : std::nullopt;
   if (!usage) return;
   peak_memory_mb_ = std::max(peak_memory_mb_, usage->peak_mb);
-  most_files_ = std::max(most_files_, usage->files);
+  max_open_files_ = std::max(max_open_files_, usage->files);
   usage_ = *usage;
 }
 
 void MeasuredProcess::open_window() {
-  most_files_before_window_ = std::exchange(most_files_, 0);
+  max_open_files_before_window_ = std::exchange(max_open_files_, 0);
   read_usage(true);
   cpu_at_window_open_s_ = cpu_s();
   traffic_at_window_open_ = traffic_;
--- a/src/scale_test/plan_overrides.h
+++ b/src/scale_test/plan_overrides.h
@@ -1,5 +1,6 @@
-// What the command line of a scale run says instead of the plan's file, for runs that differ in one count. A
-// run hands them on to the processes that it starts, so that all play one plan.
+// Command-line values of a scale run that replace values of the plan's file, for runs that differ in one
+// count. The run passes the overrides on to the processes that it starts, so that all processes use the same
+// plan.
 #pragma once
 #include <string>
 #include <vector>
@@ -8,7 +9,7 @@
 
 namespace corkmux::scale_test {
 
-/// Each replaces what the plan has, unless it is 0 or less.
+/// Each field replaces the plan's value, unless it is 0 or less.
 struct PlanOverrides {
   int workers = 0;  // the count of accelerators changes by the same factor
   int controllers = 0;
@@ -16,11 +17,12 @@
   double starts_per_s = 0;
   double run_s = 0;
   double for_s = 0;
-  double tasks_per_job = 0;  // of arrays
+  double tasks_per_job = 0;  // size of every array
 
-  /// Throws SettingsError, which names the file and the field, if the result is no plan.
+  /// Applies the overrides to the plan. Throws SettingsError, whose message names the file and the field, if
+  /// the resulting plan is invalid.
   void apply(ScaleTestPlan& plan, const std::string& file) const;
-  /// As arguments of the program.
+  /// The overrides as command-line arguments of the scale-test program.
   std::vector<std::string> to_arguments() const;
 };
 
--- a/src/scale_test/process_sampler.cc
+++ b/src/scale_test/process_sampler.cc
@@ -11,11 +11,11 @@
   ++samples_;
   if (reading_) read_usage();
   for (auto* process : callbacks_.processes()) {
-    if (!process->ended_by_itself()) continue;
+    if (!process->exited_unexpectedly()) continue;
     stopped_ = true;
-    return callbacks_.ended_by_itself(*process);
+    return callbacks_.exited_unexpectedly(*process);
   }
-  loop_.call_later(kSampleEvery, [this] { sample(); });
+  loop_.call_later(kSampleInterval, [this] { sample(); });
 }
 
 void ProcessSampler::read_usage() {
--- a/src/scale_test/process_sampler.h
+++ b/src/scale_test/process_sampler.h
@@ -1,4 +1,5 @@
-// Reads at short intervals what the processes of a run use, and notices one that has ended by itself.
+// Reads the resource usage of a run's processes at short intervals, and detects a process that exits
+// unexpectedly.
 #pragma once
 #include <functional>
 #include <string>
@@ -9,24 +10,25 @@
 
 namespace corkmux::scale_test {
 
-inline constexpr double kSampleEvery = 0.5;          // s between readings
-inline constexpr int kSamplesBetweenFileCounts = 8;  // counting open files takes longer than the rest
+inline constexpr double kSampleInterval = 0.5;  // s between readings
+inline constexpr int kSamplesBetweenFileCounts =
+    8;  // counting open files takes longer than the other readings
 
 class ProcessSampler {
  public:
   struct Callbacks {
-    /// Those that there are now.
+    /// Returns the processes that the run has at present.
     std::function<std::vector<MeasuredProcess*>()> processes;
-    /// Called once; nothing is read any more.
-    std::function<void(const MeasuredProcess&)> ended_by_itself;
+    /// Called once, for the first such process; sampling stops then.
+    std::function<void(const MeasuredProcess&)> exited_unexpectedly;
   };
   ProcessSampler(Loop& loop, Callbacks callbacks) : loop_(loop), callbacks_(std::move(callbacks)) {}
 
   void start() { sample(); }
-  /// Leaves what was read of each process as it is, and goes on watching for those that end.
+  /// Stops reading the resource usage, and continues to detect processes that exit unexpectedly.
   void stop_reading() { reading_ = false; }
   void stop() { stopped_ = true; }
-  /// Memory of all processes together, this one included; the largest sum so far.
+  /// The largest sum so far, in MB, of the memory of all processes, this process included.
   double peak_memory_mb() const { return peak_memory_mb_; }
 
  private:
--- a/src/scale_test/process_usage.cc
+++ b/src/scale_test/process_usage.cc
@@ -15,14 +15,14 @@
 
 constexpr double kKibPerMib = 1024;
 constexpr double kBytesPerMib = 1024 * 1024;
-constexpr int kFieldsBeforeCpuTimes = 11;  // of /proc/PID/stat, after the name: state to cmajflt
+constexpr int kFieldsBeforeCpuTimes = 11;  // of /proc/PID/stat, after the name: from state to cmajflt
 
 std::string read_all(const std::string& path) {
   std::ifstream in(path);
   return {std::istreambuf_iterator<char>(in), {}};
 }
 
-/// User and system time; nullopt if the text is not that of /proc/PID/stat.
+/// The sum of user and system time; nullopt if the text is not the content of /proc/PID/stat.
 std::optional<double> cpu_seconds(const std::string& stat) {
   auto name_end = stat.rfind(')');
   if (name_end == std::string::npos) return std::nullopt;
@@ -35,8 +35,9 @@
   return (user_ticks + system_ticks) / static_cast<double>(::sysconf(_SC_CLK_TCK));
 }
 
-/// A field of /proc/PID/status that is given in KiB; 0 if it is missing, as it is once the process has ended.
-double megabytes_in(const std::string& status, const char* field) {
+/// Returns in MiB a field of /proc/PID/status that the kernel gives in KiB; 0 if the field is missing, as it
+/// is after the process has exited.
+double field_in_mb(const std::string& status, const char* field) {
   auto at = status.find(field);
   if (at == std::string::npos) return 0;
   return std::strtod(status.c_str() + at + std::strlen(field), nullptr) / kKibPerMib;
@@ -61,8 +62,8 @@
   auto status = read_all(folder + "/status");
   ProcessUsage usage;
   usage.cpu_s = *cpu_s;
-  usage.peak_mb = megabytes_in(status, "VmHWM:");
-  usage.now_mb = megabytes_in(status, "VmRSS:");
+  usage.peak_mb = field_in_mb(status, "VmHWM:");
+  usage.now_mb = field_in_mb(status, "VmRSS:");
   if (count_files) usage.files = count_entries(folder + "/fd");
   return usage;
 }
--- a/src/scale_test/reserved_address.h
+++ b/src/scale_test/reserved_address.h
@@ -1,5 +1,5 @@
-// A TCP address that stays free for a process yet to be started: bound here, never listened on. The process
-// has to bind it with SO_REUSEADDR.
+// Reserves a TCP address for a process that is started later: a socket is bound to the address but never
+// listens. The process must bind the address with SO_REUSEADDR.
 #pragma once
 #include <string>
 
@@ -9,7 +9,7 @@
 
 class ReservedAddress {
  public:
-  /// A free port of that IPv4 address. Throws ProcessError if there is none.
+  /// Reserves a free port of the IPv4 address `ip`. Throws ProcessError if there is none.
   explicit ReservedAddress(const std::string& ip);
   /// host:port
   const std::string& text() const { return text_; }
--- a/src/scale_test/run_metrics.cc
+++ b/src/scale_test/run_metrics.cc
@@ -6,7 +6,7 @@
 namespace corkmux::scale_test {
 namespace {
 
-constexpr double kSmallestLength = 1e-9;  // s; keeps a rate finite
+constexpr double kMinWindowLength = 1e-9;  // s; keeps a rate finite
 
 codec::Json quantiles(const TimeHistogram& times) {
   return {{"count", times.count()},
@@ -27,7 +27,7 @@
     so_far += *bin;
     if (so_far >= rank) return bin.bin().upper();
   }
-  return kMostTime;
+  return kMaxTime;
 }
 
 double TimeHistogram::share_within(double seconds) const {
@@ -41,12 +41,12 @@
 void RunMetrics::submitted(const JobSpec& job, double at) {
   if (!counts(at)) return;
   ++submitted_;
-  waiting_for_answer_[job.id] = at;
+  waiting_for_acceptance_[job.id] = at;
   waiting_for_start_[job.id] = {at, job.priority == Priority::High};
 }
 
 void RunMetrics::accepted(const std::string& job, double at) {
-  auto since = waiting_for_answer_.extract(job);
+  auto since = waiting_for_acceptance_.extract(job);
   if (since) accepted_in_.add(at - since.mapped());
 }
 
@@ -54,7 +54,7 @@
 
 void RunMetrics::started(const simulation::SimulatedJob& /*work*/, int /*index*/, double at) {
   ++running_now_;
-  most_running_ = std::max(most_running_, running_now_);
+  max_running_ = std::max(max_running_, running_now_);
   if (counts(at)) {
     ++starts_;
     if (last_start_) longest_pause_ = std::max(longest_pause_, at - *last_start_);
@@ -64,7 +64,7 @@
 }
 
 void RunMetrics::extend_pauses(double start_at) {
-  // Once nothing is submitted any more, a time without starts is no pause.
+  // Submissions stop at the end of the window, so a time without starts after it is not a pause.
   if (!window_ || start_at >= window_->to) return;
   double last_start = last_start_.value_or(kLongAgo);
   for (auto& pause : pauses_)
@@ -72,7 +72,8 @@
       pause.longest_s = std::max(pause.longest_s, start_at - std::max(last_start, pause.at));
 }
 
-/// Of a gang all tasks run from the same moment on; of an array the first counts.
+/// Records the first `running` event of a job: all tasks of a gang start to run at the same time, and of an
+/// array the first task counts.
 void RunMetrics::running(const simulation::SimulatedJob& work, double at) {
   auto job = waiting_for_start_.extract(work.spec.id);
   if (!job) return;
@@ -97,19 +98,19 @@
 codec::Json RunMetrics::to_json() const {
   double length_s = window_ ? window_->length_s() : 0;
   auto urgent = quantiles(urgent_running_in_);
-  urgent["share_within_aim"] = urgent_running_in_.share_within(kUrgentWithin);
-  int urgent_left = 0;
+  urgent["share_within_aim"] = urgent_running_in_.share_within(kUrgentWaitObjective);
+  int urgent_waiting = 0;
   for (const auto& [id, job] : waiting_for_start_)
-    if (job.urgent) ++urgent_left;
+    if (job.urgent) ++urgent_waiting;
   auto refusals = codec::Json::object();
   for (const auto& [status, count] : refusals_) refusals[std::to_string(status)] = count;
   return {{"submitted", submitted_},
           {"starts", starts_},
-          {"starts_per_s", starts_ / std::max(kSmallestLength, length_s)},
-          {"most_tasks_on_machines", most_running_},
+          {"starts_per_s", starts_ / std::max(kMinWindowLength, length_s)},
+          {"most_tasks_on_machines", max_running_},
           {"accepted_in", quantiles(accepted_in_)},
           {"urgent_running_in", urgent},
-          {"urgent_never_running", urgent_left},
+          {"urgent_never_running", urgent_waiting},
           {"other_running_in", quantiles(other_running_in_)},
           {"longest_pause_s", longest_pause_},
           {"refused_submissions", refusals},
--- a/src/scale_test/run_metrics.h
+++ b/src/scale_test/run_metrics.h
@@ -1,5 +1,5 @@
-// What a scale run measures of users and machines: histograms of waits, starts and the pauses between them.
-// Told of events in the order of their times.
+// The measurements of a scale run from the events of users and machines: histograms of waits, counts of
+// starts, and the pauses between starts. Events must arrive in the order of their times.
 #pragma once
 #include <algorithm>
 #include <boost/histogram.hpp>
@@ -14,29 +14,30 @@
 
 namespace corkmux::scale_test {
 
-// Bins of the histograms: logarithmic from a millisecond to the longest wait, 100 per factor of ten.
-inline constexpr double kLeastTime = 0.001;  // s
-inline constexpr double kMostTime = 1000;    // s
+// Bins of the histograms: logarithmic, from a millisecond to the longest wait, 100 bins per factor of ten.
+inline constexpr double kMinTime = 0.001;  // s
+inline constexpr double kMaxTime = 1000;   // s
 inline constexpr int kTimeBins = 600;
-inline constexpr double kPauseWindow = 20;  // s after a fault in which a pause is put down to it
+inline constexpr double kPauseWindow = 20;  // s after a fault in which a pause is attributed to that fault
 
-/// Times on a logarithmic scale.
+/// A histogram of times with logarithmic bins.
 class TimeHistogram {
  public:
-  void add(double seconds) { histogram_(std::clamp(seconds, kLeastTime, kMostTime * 0.999)); }
-  /// s that this share of the times does not exceed, to the width of a bin; 0 without any.
+  void add(double seconds) { histogram_(std::clamp(seconds, kMinTime, kMaxTime * 0.999)); }
+  /// The time in s that this share of the times does not exceed, with the precision of a bin; 0 without any
+  /// times.
   double quantile(double share) const;
-  /// The share of the times that do not exceed it; 1 without any.
+  /// The share of the times that do not exceed `seconds`; 1 without any times.
   double share_within(double seconds) const;
   double count() const;
 
  private:
   using Axis = boost::histogram::axis::regular<double, boost::histogram::axis::transform::log>;
   boost::histogram::histogram<std::tuple<Axis>> histogram_ =
-      boost::histogram::make_histogram(Axis(kTimeBins, kLeastTime, kMostTime));
+      boost::histogram::make_histogram(Axis(kTimeBins, kMinTime, kMaxTime));
 };
 
-/// s of run_time() between which a run is measured.
+/// The time interval, in s of run_time(), in which a run is measured.
 struct MeasurementWindow {
   double from = 0;
   double to = 0;
@@ -44,16 +45,16 @@
   bool contains(double at) const { return at >= from && at < to; }
 };
 
-/// A pause in placing: the longest time without any start after a moment.
+/// The longest time without any task start after a fault.
 struct Pause {
-  std::string after;  // which fault
+  std::string after;  // name of the fault
   double at = 0;      // s of run_time()
   double longest_s = 0;
 };
 
 class RunMetrics : public EventMerger::Listener {
  public:
-  /// Only what is submitted or starts in the window counts; without one nothing does.
+  /// Only submissions and starts within the window count; without a window none do.
   void set_window(MeasurementWindow window) { window_ = window; }
   void fault(const std::string& name, double at) { pauses_.push_back({name, at, 0}); }
   void submitted(const JobSpec& job, double at) override;
@@ -80,8 +81,8 @@
   int starts_ = 0;
   int submitted_ = 0;
   int running_now_ = 0;
-  int most_running_ = 0;
-  std::map<std::string, double> waiting_for_answer_;  // since when, by job
+  int max_running_ = 0;
+  std::map<std::string, double> waiting_for_acceptance_;  // time of submission, by job
   std::map<std::string, WaitingJob> waiting_for_start_;
   std::map<int, int> refusals_;              // by status
   std::map<std::string, int> exits_by_why_;  // of tasks
--- a/src/scale_test/run_report.cc
+++ b/src/scale_test/run_report.cc
@@ -10,10 +10,10 @@
 
 namespace {
 
-constexpr double kSmallestLength = 1e-9;   // s; keeps a rate finite
-constexpr std::size_t kTrafficCounts = 3;  // of a kind: messages, bytes in, bytes out
+constexpr double kMinWindowLength = 1e-9;  // s; keeps a rate finite
+constexpr std::size_t kTrafficCounts = 3;  // counts per kind: messages, bytes in, bytes out
 
-/// Rates by kind, from two readings of [messages, bytes in, bytes out].
+/// Rates by kind of message, from two readings of [messages, bytes in, bytes out].
 Json per_second(const Json& now, const Json& before, double seconds) {
   Json rates = Json::object();
   for (const auto& entry : now.items()) {
@@ -37,9 +37,9 @@
 
 using Shares = std::map<std::string, simulation::JobStatistics>;
 
-void add_unserved(const char* what, const Shares& shares, std::vector<std::string>& problems) {
+void add_underserved(const char* what, const Shares& shares, std::vector<std::string>& problems) {
   for (const auto& [name, share] : shares)
-    if (share.served() < kServed)
+    if (share.served() < kMinServedShare)
       problems.push_back(
           fmt::format("served: {} {} only {:.2f} of {} jobs", what, name, share.served(), share.submitted));
 }
@@ -75,7 +75,7 @@
       "  accepted in {:.3f} s (half), {:.3f} s (19 of 20); urgent running in {:.3f} s, {:.3f} s, {:.3f} "
       "within {} s\n",
       accepted["p50_s"].get<double>(), accepted["p95_s"].get<double>(), urgent["p50_s"].get<double>(),
-      urgent["p95_s"].get<double>(), urgent["share_within_aim"].get<double>(), kUrgentWithin);
+      urgent["p95_s"].get<double>(), urgent["share_within_aim"].get<double>(), kUrgentWaitObjective);
   for (const auto& pause : users["pauses"])
     text += fmt::format("  {} at {:.1f} s: longest pause {:.2f} s\n", pause["fault"].get<std::string>(),
                         pause["at_s"].get<double>(), pause["longest_pause_s"].get<double>());
@@ -84,17 +84,17 @@
 
 }  // namespace
 
-double RunReport::seconds() const { return std::max(kSmallestLength, results_.window_s); }
+double RunReport::seconds() const { return std::max(kMinWindowLength, results_.window_s); }
 
 std::vector<std::string> RunReport::problems() const {
   if (results_.failure) return {"run: " + *results_.failure};
   auto problems = checker_.violations();
-  add_unserved("class", checker_.by_class(), problems);
-  add_unserved("team", checker_.by_team(), problems);
+  add_underserved("class", checker_.by_class(), problems);
+  add_underserved("team", checker_.by_team(), problems);
   return problems;
 }
 
-Json RunReport::role_account(const RunResults::Processes& processes) const {
+Json RunReport::role_usage(const RunResults::Processes& processes) const {
   double cores = 0;
   double cores_of_busiest = 0;
   double peak_mb = 0;
@@ -107,9 +107,9 @@
     cores += used;
     cores_of_busiest = std::max(cores_of_busiest, used);
     peak_mb = std::max(peak_mb, process->peak_memory_mb());
-    files = std::max(files, process->most_files_in_window());
-    files_before = std::max(files_before, process->most_files_before_window());
-    if (process->restarts() > 0) continue;  // its counts of messages began anew
+    files = std::max(files, process->max_open_files_in_window());
+    files_before = std::max(files_before, process->max_open_files_before_window());
+    if (process->restarts() > 0) continue;  // its message counts started at 0 again
     add_traffic(traffic, process->traffic());
     add_traffic(traffic_before, process->traffic_at_window_open());
   }
@@ -122,10 +122,10 @@
           {"per_second", per_second(traffic, traffic_before, seconds())}};
 }
 
-Json RunReport::state_account() const {
+Json RunReport::state_service_usage() const {
   const StateCounts& now = results_.state;
   const StateCounts& before = results_.state_at_window_open;
-  Json account = role_account(results_.state_service);
+  Json report = role_usage(results_.state_service);
   double changes_per_s = 0;
   Json by_kind = Json::object();
   for (const auto& [kind, count] : now.changes_by_kind) {
@@ -136,13 +136,13 @@
     changes_per_s += rate;
   }
   double starts_per_s = metrics_.starts() / seconds();
-  account["changes_per_s"] = changes_per_s;
-  account["changes_per_s_by_kind_of_key"] = by_kind;
-  account["changes_per_start"] = changes_per_s / std::max(kSmallestLength, starts_per_s);
-  account["requests_per_s"] = static_cast<double>(now.served - before.served) / seconds();
-  account["over_rate"] = now.over_rate;
-  account["keys"] = now.keys;
-  return account;
+  report["changes_per_s"] = changes_per_s;
+  report["changes_per_s_by_kind_of_key"] = by_kind;
+  report["changes_per_start"] = changes_per_s / std::max(kMinWindowLength, starts_per_s);
+  report["requests_per_s"] = static_cast<double>(now.served - before.served) / seconds();
+  report["over_rate"] = now.over_rate;
+  report["keys"] = now.keys;
+  return report;
 }
 
 Json RunReport::to_json() const {
@@ -165,11 +165,11 @@
           {"leader_changed", results_.leader_changed},
           {"users", metrics_.to_json()},
           {"roles",
-           {{"leader", role_account(results_.leader)},
-            {"other_controllers", role_account(results_.other_controllers)},
-            {"state_service", state_account()},
-            {"hollow_workers", role_account(results_.zone_hosts)},
-            {"single_workers", role_account(results_.single_hosts)}}},
+           {{"leader", role_usage(results_.leader)},
+            {"other_controllers", role_usage(results_.other_controllers)},
+            {"state_service", state_service_usage()},
+            {"hollow_workers", role_usage(results_.zone_hosts)},
+            {"single_workers", role_usage(results_.single_hosts)}}},
           {"peak_mb_of_all", results_.peak_memory_mb},
           {"classes", classes},
           {"least_served_team", least_served},
@@ -177,13 +177,13 @@
 }
 
 std::string RunReport::to_text() const {
-  auto account = to_json();
+  auto report = to_json();
   std::string text =
       fmt::format("{}: {} hollow workers, {} controllers, {} teams; window of {:.0f} s\n", plan_.name,
                   plan_.workers, plan_.controllers, plan_.teams, results_.window_s);
-  text += role_lines(account["roles"]);
-  text += state_line(account["roles"]["state_service"]);
-  text += user_lines(account["users"]);
+  text += role_lines(report["roles"]);
+  text += state_line(report["roles"]["state_service"]);
+  text += user_lines(report["users"]);
   text += fmt::format("  peak memory of all processes together: {:.0f} MB\n", results_.peak_memory_mb);
   for (const auto& problem : problems()) text += "  WRONG: " + problem + "\n";
   if (good()) text += "  every rule held, every class and team was served\n";
--- a/src/scale_test/run_report.h
+++ b/src/scale_test/run_report.h
@@ -1,5 +1,5 @@
-// What a scale run reports: what each role used, how users fared, and which rules broke. As JSON and for a
-// reader.
+// The report of a scale run, as JSON and as text: the resource usage of each role, the users' waiting times,
+// and the invariants that were violated.
 #pragma once
 #include <optional>
 #include <string>
@@ -14,16 +14,17 @@
 
 namespace corkmux::scale_test {
 
-inline constexpr double kServed = 0.5;  // of a class or team, below which a run has failed
+inline constexpr double kMinServedShare =
+    0.5;  // share of a class's or team's jobs; a run with less has failed
 
-/// What a run has measured besides its metrics.
+/// The results of a run that RunMetrics does not have.
 struct RunResults {
   using Processes = std::vector<MeasuredProcess*>;
 
-  std::optional<std::string> failure;  // why it was broken off
-  double window_s = 0;                 // length of the measurement window; 0 if it was not closed
-  bool leader_changed = false;         // within the window
-  Processes leader;                    // the controller that led as the window opened, if any did
+  std::optional<std::string> failure;  // why the run was aborted
+  double window_s = 0;                 // length of the measurement window; 0 if the window was not closed
+  bool leader_changed = false;         // between the window's opening and closing
+  Processes leader;                    // the controller that was leader when the window opened, if any
   Processes other_controllers;
   Processes state_service;
   Processes zone_hosts;
@@ -35,23 +36,23 @@
 
 class RunReport {
  public:
-  /// The references have to outlive it.
+  /// The references must outlive the report.
   RunReport(const ScaleTestPlan& plan, const RunMetrics& metrics, const simulation::InvariantChecker& checker,
             RunResults results)
       : plan_(plan), metrics_(metrics), checker_(checker), results_(std::move(results)) {}
 
-  /// Rules that broke, classes and teams that were not served enough, or why the run was broken off.
+  /// Violated invariants and underserved classes and teams; or, if the run was aborted, the reason.
   std::vector<std::string> problems() const;
-  /// Every rule held and enough of every class and team was served.
+  /// True if every invariant held and enough jobs of every class and team were served.
   bool good() const { return problems().empty(); }
   codec::Json to_json() const;
   std::string to_text() const;
 
  private:
-  /// Length by which counts are divided.
+  /// Length of the measurement window by which counts are divided; never 0.
   double seconds() const;
-  codec::Json role_account(const RunResults::Processes& processes) const;
-  codec::Json state_account() const;
+  codec::Json role_usage(const RunResults::Processes& processes) const;
+  codec::Json state_service_usage() const;
 
   const ScaleTestPlan& plan_;
   const RunMetrics& metrics_;
--- a/src/scale_test/scale_test_plan.cc
+++ b/src/scale_test/scale_test_plan.cc
@@ -9,7 +9,7 @@
 namespace corkmux::scale_test {
 namespace {
 
-/// What the largest gang takes, all of its tasks together.
+/// The maximum over all gangs of the tasks and of the accelerators that the gang needs.
 struct LargestGang {
   double tasks = 0;
   double accelerators = 0;
@@ -94,7 +94,7 @@
   return type == "plain" ? share_of_zone(zone, shared) - accelerated : accelerated;
 }
 
-int ScaleTestPlan::most_workers_in_zone() const {
+int ScaleTestPlan::max_workers_in_zone() const {
   return machines_in(0, "plain") + machines_in(0, "accelerated");
 }
 
--- a/src/scale_test/scale_test_plan_parser.cc
+++ b/src/scale_test/scale_test_plan_parser.cc
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr double kMaxCount = 1e9;
-constexpr double kMaxTasks = 100000;  // of a job
+constexpr double kMaxTasks = 100000;  // maximum for one job
 constexpr int kMinTxnOps = 2;
 
 int read_count(const Reader& reader, const char* name, int least) {
--- a/src/scale_test/scale_test_plan_parser.h
+++ b/src/scale_test/scale_test_plan_parser.h
@@ -1,4 +1,4 @@
-// Reads a scale run's plan from TOML and checks each field. Every field that is not known is refused.
+// Parses a scale run's plan from TOML and checks each field. Unknown fields are rejected.
 #pragma once
 #include <string>
 
@@ -6,7 +6,7 @@
 
 namespace corkmux::scale_test {
 
-/// Both throw SettingsError, which names the file and the field.
+/// Both functions throw SettingsError, whose message names the file and the field, for an invalid plan.
 ScaleTestPlan parse_scale_plan(const std::string& text, const std::string& file);
 ScaleTestPlan load_scale_plan(const std::string& file);
 
--- a/src/scale_test/scale_test_run.cc
+++ b/src/scale_test/scale_test_run.cc
@@ -23,7 +23,7 @@
       load_(loop, plan_, random_),
       faults_(loop, plan_, {controllers_, fleet_, [this] { return leader(); }}, random_),
       sampler_(loop, {[this] { return processes(); },
-                      [this](const MeasuredProcess& process) { on_process_ended(process); }}) {}
+                      [this](const MeasuredProcess& process) { on_unexpected_exit(process); }}) {}
 
 ScaleTestRun::~ScaleTestRun() {
   controllers_.end();
@@ -39,7 +39,7 @@
   sampler_.start();
   log_progress();
   wait_for({"the state service", [this] { return state_counts_.port != 0; },
-            [this] { start_controllers_and_workers(); }, run_time() + kUpPatience});
+            [this] { start_controllers_and_workers(); }, run_time() + kStartStepTimeout});
 }
 
 std::vector<std::string> ScaleTestRun::role_command(const std::string& role) const {
@@ -50,10 +50,10 @@
 }
 
 void ScaleTestRun::wait_for(StartStep step) {
-  if (over_) return;
+  if (ended_) return;
   if (step.reached()) return step.next();
   if (run_time() > step.give_up_at) return fail(step.what + " did not come up");
-  loop_.call_later(kStartCheckEvery, [this, step = std::move(step)] { wait_for(step); });
+  loop_.call_later(kStartCheckInterval, [this, step = std::move(step)] { wait_for(step); });
 }
 
 void ScaleTestRun::start_controllers_and_workers() {
@@ -61,10 +61,10 @@
   fleet_.start_hosts(role_command("workers"), controllers_.user_addresses());
   wait_for({"the workers and a leader",
             [this] { return static_cast<int>(fleet_.known_addresses()) >= plan_.workers && leader(); },
-            [this] { begin_load(); }, run_time() + kUpPatience});
+            [this] { begin_load(); }, run_time() + kStartStepTimeout});
 }
 
-// ---------------------------------------------------------------- what the other processes tell
+// ---------------------------------------------------------------- messages of the other processes
 
 std::optional<HostInstructions> ScaleTestRun::on_host_status(const HostStatus& status) {
   auto instructions = fleet_.host_status(status);
@@ -79,7 +79,7 @@
   state_counts_ = std::move(counts);
 }
 
-void ScaleTestRun::on_process_ended(const MeasuredProcess& process) {
+void ScaleTestRun::on_unexpected_exit(const MeasuredProcess& process) {
   fail(fmt::format("a process has ended by itself, see {}", process.log()));
 }
 
@@ -90,7 +90,8 @@
   load_began_at_ = now;
   users_ = std::make_unique<simulation::Users>(loop_, controllers_.user_addresses(), merger_, registry_);
   metrics_.set_window({now + plan_.warm_s, now + plan_.for_s});
-  // The users' balancer probes each second; before its first answer no controller counts as healthy.
+  // The users' load balancer probes the controllers each second, and no controller counts as healthy before
+  // its first response; so the load starts after two probe intervals.
   loop_.call_later(2 * simulation::kProbeInterval, [this] { load_.start(*users_); });
   loop_.call_later(plan_.warm_s, [this] { open_window(); });
   loop_.call_later(plan_.for_s, [this] { close_window(); });
@@ -99,7 +100,7 @@
 
 void ScaleTestRun::with_traffic(std::function<void()> then) {
   controllers_.request_traffic();
-  loop_.call_later(kTrafficPatience, [this, then = std::move(then)] {
+  loop_.call_later(kTrafficLogDelay, [this, then = std::move(then)] {
     controllers_.read_traffic();
     then();
   });
@@ -126,7 +127,7 @@
 }
 
 void ScaleTestRun::inject(const Fault& fault) {
-  if (over_) return;
+  if (ended_) return;
   const char* name = Fault::name(fault.kind);
   std::cerr << fmt::format("{:6.1f} s  fault: {} ({})\n", load_s(), name, fault.count);
   metrics_.fault(name, run_time());
@@ -136,14 +137,14 @@
 // ---------------------------------------------------------------- end
 
 void ScaleTestRun::drain() {
-  if (over_) return;
+  if (ended_) return;
   bool all_ended = fleet_.tasks() == 0 && merger_.checker().waiting_jobs(registry_).empty();
   if (all_ended || load_s() > plan_.for_s + plan_.drain_s) return finish();
-  loop_.call_later(kDrainCheckEvery, [this] { drain(); });
+  loop_.call_later(kDrainCheckInterval, [this] { drain(); });
 }
 
 void ScaleTestRun::finish() {
-  if (over_) return;
+  if (ended_) return;
   for (const auto& open : merger_.checker().waiting_jobs(registry_))
     std::cerr << fmt::format("at the end {} ({}, {} tasks) still waits for {} starts\n", open.job->spec.id,
                              open.job->spec.job_class, open.job->spec.tasks, open.waiting_tasks);
@@ -153,21 +154,21 @@
 }
 
 void ScaleTestRun::fail(const std::string& why) {
-  if (over_) return;
+  if (ended_) return;
   failure_ = why + fmt::format(" (logs: {})", folder_.path());
   folder_.keep();
   end();
 }
 
 void ScaleTestRun::end() {
-  over_ = true;
+  ended_ = true;
   load_.stop();
   faults_.stop();
   sampler_.stop();
   done_();
 }
 
-// ---------------------------------------------------------------- what is told of it
+// ---------------------------------------------------------------- progress and report
 
 std::vector<MeasuredProcess*> ScaleTestRun::processes() {
   std::vector<MeasuredProcess*> processes{&state_service_};
@@ -179,12 +180,12 @@
 double ScaleTestRun::load_s() const { return load_began_at_ ? run_time() - *load_began_at_ : 0; }
 
 void ScaleTestRun::log_progress() {
-  if (over_) return;
+  if (ended_) return;
   std::cerr << fmt::format(
       "{:6.1f} s  {} of {} workers, {} tasks on them, {} jobs submitted, {} starts, leader {}\n", load_s(),
       fleet_.workers(), plan_.workers, fleet_.tasks(), load_.submitted(), merger_.checker().starts(),
       state_counts_.leader.empty() ? "none" : state_counts_.leader);
-  loop_.call_later(kProgressEvery, [this] { log_progress(); });
+  loop_.call_later(kProgressInterval, [this] { log_progress(); });
 }
 
 RunReport ScaleTestRun::report() {
--- a/src/scale_test/scale_test_run.h
+++ b/src/scale_test/scale_test_run.h
@@ -1,7 +1,7 @@
-// The course of one scale run: starts a stand-in state store and cloud, deployed controllers and hollow
-// workers as processes of their own, loads them with users' jobs on the sockets and the clock of this
-// machine, opens and closes the measurement window, and waits for the jobs to end. Which faults come, what is
-// measured and what is reported is its members' matter.
+// Executes one scale run: starts a stand-in state store and cloud, and as separate processes the deployed
+// controllers and hollow workers; submits users' jobs over the real sockets and clock of this machine; opens
+// and closes the measurement window, and waits for the jobs to end. The members of ScaleTestRun inject the
+// faults, measure and report.
 #pragma once
 #include <functional>
 #include <memory>
@@ -25,34 +25,37 @@
 
 namespace corkmux::scale_test {
 
-inline constexpr double kProgressEvery = 5;       // s between lines of progress
-inline constexpr double kDrainCheckEvery = 1;     // s between looks whether all jobs have ended
-inline constexpr double kStartCheckEvery = 0.05;  // s between looks whether all processes are up
-inline constexpr double kUpPatience = 60;         // s until hosts, controllers and workers are up
-inline constexpr double kTrafficPatience = 0.5;   // s a controller has to log what it was asked for
+inline constexpr double kProgressInterval = 5;    // s between progress lines
+inline constexpr double kDrainCheckInterval = 1;  // s between checks whether all jobs have ended
+inline constexpr double kStartCheckInterval =
+    0.05;  // s between checks whether a step of the start-up is complete
+inline constexpr double kStartStepTimeout =
+    60;  // s for each step of the start-up: state service; workers and leader
+inline constexpr double kTrafficLogDelay =
+    0.5;  // s from the request to a controller to log its counts until the log is read
 
 /// The programs that a run starts.
 struct Programs {
-  std::string own;                         // this program, for its other roles
-  std::vector<std::string> own_arguments;  // the plan's file and what replaces parts of it, for these roles
-  std::string controller;                  // the deployed program
+  std::string own;                         // path of this program, which also runs the host roles
+  std::vector<std::string> own_arguments;  // plan file and overrides, passed to the host roles
+  std::string controller;                  // path of the deployed controller program
 };
 
 class ScaleTestRun {
  public:
   ScaleTestRun(Loop& loop, ScaleTestPlan plan, Programs programs);
-  /// Ends all processes of the run.
+  /// Kills all processes of the run.
   ~ScaleTestRun();
   ScaleTestRun(const ScaleTestRun&) = delete;
   ScaleTestRun& operator=(const ScaleTestRun&) = delete;
 
-  /// Plays the plan; `done` when it is over. Throws std::runtime_error if something cannot be started.
+  /// Executes the plan and calls `done` at its end. Throws std::runtime_error if a process cannot be started.
   void start(std::function<void()> done);
-  /// Refers to the run.
+  /// The report keeps references into the run, which must outlive it.
   RunReport report();
 
  private:
-  /// What the start waits for, and what comes then.
+  /// A step of the start-up: the condition to wait for, and the action that follows.
   struct StartStep {
     std::string what;
     std::function<bool()> reached;
@@ -63,26 +66,28 @@
   std::vector<std::string> role_command(const std::string& role) const;
   std::optional<HostInstructions> on_host_status(const HostStatus& status);
   void on_state_counts(StateCounts counts);
-  void on_process_ended(const MeasuredProcess& process);
-  /// The run fails if the step is not reached in time.
+  void on_unexpected_exit(const MeasuredProcess& process);
+  /// Polls until the step's condition holds, then calls its `next`; the run fails if the deadline passes
+  /// first.
   void wait_for(StartStep step);
   void start_controllers_and_workers();
   void begin_load();
   void open_window();
   void close_window();
-  /// Calls back once the controllers have had time to log their counts of messages, with these read.
+  /// Requests the controllers' message counts, gives them time to log the counts, reads these, and calls
+  /// `then`.
   void with_traffic(std::function<void()> then);
   void inject(const Fault& fault);
-  /// Waits until every job is over, or the plan's patience is.
+  /// Waits until every job has ended, but at most the plan's drain_s, and finishes the run.
   void drain();
   void finish();
   void fail(const std::string& why);
   void end();
   void log_progress();
-  /// Number of the controller that leads, by the leader's record in the state store.
+  /// The number of the leading controller, according to the leader's record in the state store.
   std::optional<std::size_t> leader() const { return controllers_.find(state_counts_.leader); }
   std::vector<MeasuredProcess*> processes();
-  /// s since the load began; 0 before.
+  /// s since the start of the load; 0 before.
   double load_s() const;
 
   Loop& loop_;
@@ -92,7 +97,7 @@
   std::mt19937_64 random_;
   RunMetrics metrics_;
   EventMerger merger_;
-  simulation::MachineObserver unobserved_;  // machines are in other processes
+  simulation::MachineObserver unobserved_;  // the machines are in other processes
   simulation::JobRegistry registry_;
   Collector collector_;
   MeasuredProcess state_service_;
@@ -106,11 +111,11 @@
   StateCounts state_counts_at_window_open_;
   std::optional<std::size_t> leader_at_window_open_;
   std::optional<std::size_t> leader_at_window_close_;
-  // s of run_time()
+  // In s of run_time().
   std::optional<double> load_began_at_;
   std::optional<double> window_opened_at_;
   std::optional<double> window_closed_at_;
-  bool over_ = false;
+  bool ended_ = false;
   std::optional<std::string> failure_;
   std::function<void()> done_;
 };
--- a/src/scale_test/state_host.cc
+++ b/src/scale_test/state_host.cc
@@ -50,9 +50,9 @@
 }
 
 void StateHost::report() {
-  // Counts only grow: a message that was not taken needs no repetition, the next says more.
+  // Counts are cumulative, so a failed message is not repeated: the next one includes its counts.
   collector_.send("/state", to_wire(counts()), [this](const std::optional<std::string>&) {
-    loop_.call_later(kCountsEvery, [this] { report(); });
+    loop_.call_later(kCountsInterval, [this] { report(); });
   });
 }
 
--- a/src/scale_test/state_host.h
+++ b/src/scale_test/state_host.h
@@ -1,4 +1,4 @@
-// A process that hosts the stand-in state service and tells the collector of the run what it counts.
+// A process that hosts the stand-in state service and sends the service's counts to the collector of the run.
 #pragma once
 #include <cstdint>
 #include <map>
@@ -10,12 +10,12 @@
 
 namespace corkmux::scale_test {
 
-inline constexpr double kCountsEvery = 0.5;  // s between the state service's counts
+inline constexpr double kCountsInterval = 0.5;  // s between two messages with the counts
 
-/// What the state service has counted so far.
+/// The cumulative counts of the state service.
 struct StateCounts {
   int port = 0;
-  std::string leader;  // label in the leader's record; empty: nobody leads
+  std::string leader;  // label in the leader's record; empty: there is no leader
   std::uint64_t served = 0;
   std::uint64_t over_rate = 0;
   std::uint64_t keys = 0;
--- a/tests/scale_test_run_test.cc
+++ b/tests/scale_test_run_test.cc
@@ -1,5 +1,6 @@
-// The scale run: what its plan says and refuses, jobs that every process computes alike, events of several
-// processes in one order, and a run of seconds with the deployed program. Counts and rules, never times.
+// Tests of the scale run: parsing and rejection of plans, jobs that every process computes identically, the
+// merged order of several processes' events, and a run of seconds with the deployed program. Checks counts
+// and invariants, never times.
 #include <gtest/gtest.h>
 #include <sys/wait.h>
 
@@ -31,7 +32,7 @@
   return text.replace(at, what.size(), by);
 }
 
-/// What the function throws as SettingsError; nullopt: nothing.
+/// The message of the SettingsError that the function throws; nullopt: it throws none.
 template <typename Function>
 std::optional<std::string> settings_error_of(Function function) {
   try {
@@ -46,7 +47,7 @@
   return settings_error_of([&] { parse_scale_plan(text, "plan.toml"); });
 }
 
-TEST(ScaleTestPlanParser, SaysWhichFieldIsWrong) {
+TEST(ScaleTestPlanParser, ErrorsNameTheInvalidField) {
   EXPECT_EQ(parse_error(small_text()), std::nullopt);
   EXPECT_EQ(parse_error(replaced(small_text(), "workers = 122", "workers = 2.5")),
             "plan.toml: workers: not a count");
@@ -69,7 +70,7 @@
   EXPECT_EQ(accelerators, plan.accelerators);
 }
 
-TEST(PlanOverrides, ReplaceWhatTheFileSays) {
+TEST(PlanOverrides, ReplaceValuesOfTheFile) {
   PlanOverrides overrides;
   overrides.workers = 61;
   overrides.starts_per_s = 2.5;
@@ -88,7 +89,7 @@
             (std::vector<std::string>{"--workers", "61", "--starts-per-s", "2.5", "--tasks-per-job", "3"}));
 }
 
-TEST(PlanOverrides, SayWhichFieldIsWrong) {
+TEST(PlanOverrides, ErrorsNameTheInvalidField) {
   auto error_with = [](const PlanOverrides& overrides) {
     return settings_error_of([&] {
       auto plan = small_plan();
@@ -104,8 +105,8 @@
   EXPECT_EQ(error_with(too_small), "plan.toml: workers: fewer than zones and single_workers");
 }
 
-/// The message of the refusal; nullopt: the machine can carry the plan.
-std::optional<std::string> refusal_of(const ScaleTestPlan& plan) {
+/// The message of the PlanTooLarge error; nullopt: the plan fits the machine.
+std::optional<std::string> limit_error_of(const ScaleTestPlan& plan) {
   try {
     check_machine_limits(plan, "plan.toml");
   } catch (const PlanTooLarge& error) {
@@ -114,29 +115,29 @@
   return std::nullopt;
 }
 
-/// Whether the message names the file and what is short.
-::testing::AssertionResult refused_for(const char* what, const ScaleTestPlan& plan) {
-  auto refusal = refusal_of(plan);
-  if (!refusal) return ::testing::AssertionFailure() << "the plan is not refused";
-  if (refusal->rfind("plan.toml: ", 0) == 0 && refusal->find(what) != std::string::npos)
+/// Whether the plan is rejected with a message that names the file and the resource `what`.
+::testing::AssertionResult rejected_for(const char* what, const ScaleTestPlan& plan) {
+  auto error = limit_error_of(plan);
+  if (!error) return ::testing::AssertionFailure() << "the plan is not refused";
+  if (error->rfind("plan.toml: ", 0) == 0 && error->find(what) != std::string::npos)
     return ::testing::AssertionSuccess();
-  return ::testing::AssertionFailure() << *refusal;
+  return ::testing::AssertionFailure() << *error;
 }
 
-TEST(MachineLimits, RefuseWhatTheMachineCannotCarry) {
-  EXPECT_EQ(refusal_of(small_plan()), std::nullopt);
+TEST(MachineLimits, RejectPlansThatExceedTheMachine) {
+  EXPECT_EQ(limit_error_of(small_plan()), std::nullopt);
   auto plan = small_plan();
   plan.workers = 3'000'000;
-  EXPECT_TRUE(refused_for("sockets", plan));
+  EXPECT_TRUE(rejected_for("sockets", plan));
   plan = small_plan();
   plan.controllers = 500;
-  EXPECT_TRUE(refused_for("processes", plan));
+  EXPECT_TRUE(rejected_for("processes", plan));
   plan = small_plan();
   plan.starts_per_s = 1e6;
-  EXPECT_TRUE(refused_for("CPUs", plan));
+  EXPECT_TRUE(rejected_for("CPUs", plan));
 }
 
-TEST(ControllerSettings, AreTakenByAController) {
+TEST(ControllerSettings, AreAcceptedByTheSettingsParser) {
   RunAddresses addresses;
   addresses.users = {"127.0.1.1:1", "127.0.1.2:2"};
   addresses.peers = {"127.0.1.1:3", "127.0.1.2:4"};
@@ -190,7 +191,7 @@
   return {name, type, zone};
 }
 
-/// Two hosts, one machine and zone each, and one job of one task.
+/// Two hosts with one machine and zone each, and one job with one task.
 class EventMergerTest : public ::testing::Test {
  protected:
   EventMergerTest()
@@ -201,7 +202,7 @@
   MachineEvent event(MachineEvent::Kind kind, double at, const std::string& machine) {
     return {kind, at, machine, kJob, 0, 1, "halted", 0};
   }
-  void tell(int host, double until, std::vector<MachineEvent> events) {
+  void add_status(int host, double until, std::vector<MachineEvent> events) {
     merger_.add({host, until, std::move(events), Json::object(), 1, 1}, machines_, registry_);
     merger_.apply();
   }
@@ -215,31 +216,33 @@
   std::map<std::string, simulation::MachineFacts> machines_;
 };
 
-TEST_F(EventMergerTest, AMoveHeardInTheWrongOrderIsNoSecondRun) {
-  tell(1, begin_ + 3, {event(MachineEvent::Kind::On, begin_ + 2, "n-2")});
-  EXPECT_EQ(merger_.checker().starts(), 0) << "what the other process saw before that is not known yet";
-  tell(0, begin_ + 3,
-       {event(MachineEvent::Kind::On, begin_, "n-1"), event(MachineEvent::Kind::Off, begin_ + 1, "n-1")});
+TEST_F(EventMergerTest, TaskMoveReportedOutOfOrderIsNotASecondRun) {
+  add_status(1, begin_ + 3, {event(MachineEvent::Kind::TaskPlaced, begin_ + 2, "n-2")});
+  EXPECT_EQ(merger_.checker().starts(), 0) << "earlier events of the other host are not reported yet";
+  add_status(0, begin_ + 3,
+             {event(MachineEvent::Kind::TaskPlaced, begin_, "n-1"),
+              event(MachineEvent::Kind::TaskRemoved, begin_ + 1, "n-1")});
   EXPECT_EQ(merger_.checker().starts(), 2);
   EXPECT_TRUE(merger_.checker().violations().empty());
 }
 
-TEST_F(EventMergerTest, ATaskOnTwoMachinesIsFound) {
-  tell(1, begin_ + 3, {event(MachineEvent::Kind::On, begin_ + 2, "n-2")});
-  tell(0, begin_ + 4,
-       {event(MachineEvent::Kind::On, begin_, "n-1"), event(MachineEvent::Kind::Off, begin_ + 3, "n-1")});
+TEST_F(EventMergerTest, DetectsATaskOnTwoMachines) {
+  add_status(1, begin_ + 3, {event(MachineEvent::Kind::TaskPlaced, begin_ + 2, "n-2")});
+  add_status(0, begin_ + 4,
+             {event(MachineEvent::Kind::TaskPlaced, begin_, "n-1"),
+              event(MachineEvent::Kind::TaskRemoved, begin_ + 3, "n-1")});
   EXPECT_TRUE(merger_.checker().violates("ran_twice"));
 }
 
-TEST_F(EventMergerTest, AHostThatHasEndedIsNotWaitedFor) {
-  tell(0, begin_ + 3, {event(MachineEvent::Kind::On, begin_, "n-1")});
+TEST_F(EventMergerTest, DoesNotWaitForARemovedHost) {
+  add_status(0, begin_ + 3, {event(MachineEvent::Kind::TaskPlaced, begin_, "n-1")});
   EXPECT_EQ(merger_.checker().starts(), 0);
-  merger_.forget_host(1);
+  merger_.remove_host(1);
   merger_.apply();
   EXPECT_EQ(merger_.checker().starts(), 1);
 }
 
-/// Counts the tasks that come onto machines.
+/// Counts the tasks that are placed on machines.
 struct StartCounter : simulation::MachineObserver {
   int starts = 0;
   void task_placed(const simulation::MachineFacts& /*machine*/, const simulation::SimulatedJob& /*job*/,
@@ -248,7 +251,7 @@
   }
 };
 
-/// One worker and a job of two tasks.
+/// One worker and one job with two tasks.
 class HollowWorkerTest : public ::testing::Test {
  protected:
   HollowWorkerTest()
@@ -264,7 +267,7 @@
     loop_.call_later(seconds, [&] { waited = true; });
     while (!waited) loop_.run_once();
   }
-  /// Sends the worker a command to start the task, waits for the answer or for none, and then a moment.
+  /// Sends the worker a command to start the task, waits for the response or its timeout, and then 0.2 s.
   void send_start(int index) {
     http::Client client(loop_, worker_.address(), 1, 1);
     bool over = false;
@@ -281,8 +284,8 @@
   simulation::Worker worker_;
 };
 
-/// A run whose machines took commands after their end would look as if tasks had run twice.
-TEST_F(HollowWorkerTest, TakesNoCommandsAfterItsEnd) {
+/// If a terminated worker accepted commands, the tasks that it started would appear to run twice.
+TEST_F(HollowWorkerTest, RejectsCommandsAfterTermination) {
   send_start(0);
   EXPECT_EQ(starts_.starts, 1);
   worker_.terminate("died");
@@ -290,9 +293,9 @@
   EXPECT_EQ(starts_.starts, 1);
 }
 
-/// What the program wrote, and its exit status.
+/// The output of the program and its exit status.
 struct ProgramResult {
-  std::optional<int> status;  // nullopt: a signal ended it
+  std::optional<int> status;  // nullopt: the program was terminated by a signal
   std::string output;
 };
 
@@ -308,28 +311,28 @@
   return result;
 }
 
-TEST(ScaleTestProgram, AWrongFileIsStatusTwo) {
+TEST(ScaleTestProgram, ExitsWithStatusTwoForAnUnreadablePlan) {
   auto result = run_scale_test("/nonexistent.toml");
   EXPECT_EQ(result.status, 2);
   EXPECT_NE(result.output.find("/nonexistent.toml"), std::string::npos);
 }
 
-TEST(ScaleTestProgram, AnExcessiveRunIsRefusedBeforeAnythingStarts) {
+TEST(ScaleTestProgram, RejectsAnExcessivePlanBeforeStartingProcesses) {
   auto result = run_scale_test(plan_file("small.toml") + " --workers 2000000");
   EXPECT_EQ(result.status, 2);
   EXPECT_NE(result.output.find("more zones are needed"), std::string::npos) << result.output;
 }
 
-TEST(ScaleTestProgram, TheSmallRunHoldsAllRulesThroughTheLeadersEnd) {
-  auto account_file = ::testing::TempDir() + "/scale-run-test.json";
-  auto result = run_scale_test(plan_file("small.toml") + " --json " + account_file);
+TEST(ScaleTestProgram, SmallRunKeepsAllInvariantsWhenTheLeaderIsKilled) {
+  auto report_file = ::testing::TempDir() + "/scale-run-test.json";
+  auto result = run_scale_test(plan_file("small.toml") + " --json " + report_file);
   EXPECT_EQ(result.status, 0) << result.output;
-  auto account = Json::parse(read_file(account_file));
-  EXPECT_TRUE(account["problems"].empty()) << account["problems"].dump();
-  EXPECT_GT(account["users"]["starts"].get<int>(), 100);
-  EXPECT_EQ(account["users"]["pauses"].size(), 2u);
-  EXPECT_EQ(account["roles"]["single_workers"]["processes"], 2);
-  EXPECT_GT(account["roles"]["state_service"]["changes_per_s_by_kind_of_key"]["t"].get<double>(), 0);
+  auto report = Json::parse(read_file(report_file));
+  EXPECT_TRUE(report["problems"].empty()) << report["problems"].dump();
+  EXPECT_GT(report["users"]["starts"].get<int>(), 100);
+  EXPECT_EQ(report["users"]["pauses"].size(), 2u);
+  EXPECT_EQ(report["roles"]["single_workers"]["processes"], 2);
+  EXPECT_GT(report["roles"]["state_service"]["changes_per_s_by_kind_of_key"]["t"].get<double>(), 0);
 }
 
 }  // namespace
