--- a/src/scale_test/child_process.cc
+++ b/src/scale_test/child_process.cc
@@ -12,8 +12,8 @@
 namespace corkmux::scale_test {
 namespace {
 
-constexpr int kCannotExecuteStatus =
-    127;  // exit status of a child whose program cannot be executed, as shells return it
+// Exit status of a child whose program cannot be executed, as shells return it.
+constexpr int kCannotExecuteStatus = 127;
 constexpr mode_t kLogMode = 0644;
 
 /// Runs in the child between fork and exec, so it makes only calls that are async-signal-safe.
--- a/src/scale_test/controller_settings.cc
+++ b/src/scale_test/controller_settings.cc
@@ -5,8 +5,8 @@
 namespace corkmux::scale_test {
 namespace {
 
-constexpr double kNormalWaitObjective =
-    30;  // s from submission to running, the objective for jobs that are not urgent
+// s from submission to running: the objective for jobs that are not urgent.
+constexpr double kNormalWaitObjective = 30;
 
 std::string zone_of(const ScaleTestPlan& plan, std::size_t controller) {
   return plan.zone_names()[controller % static_cast<std::size_t>(plan.zones)];
--- a/src/scale_test/hollow_worker_host.cc
+++ b/src/scale_test/hollow_worker_host.cc
@@ -10,8 +10,8 @@
 
 constexpr std::size_t kNamePrefix = 2;   // length of the prefix of machine names, as in "n-17"
 constexpr int kAddressesPerBlock = 250;  // values of the last octet of an address: 1 to 250
-constexpr double kTerminatedWorkerRetention =
-    2 * kEventBatchInterval;  // s in which callbacks on the loop may still refer to a lost worker
+// s in which callbacks on the loop may still refer to a lost worker.
+constexpr double kTerminatedWorkerRetention = 2 * kEventBatchInterval;
 
 /// The machine's own loopback address, with port 0 for any free port.
 std::string listen_address(int network, const std::string& machine) {
--- a/src/scale_test/hollow_worker_host.h
+++ b/src/scale_test/hollow_worker_host.h
@@ -20,8 +20,8 @@
 namespace corkmux::scale_test {
 
 inline constexpr double kEventBatchInterval = 0.05;  // s between batches of events
-inline constexpr std::size_t kMaxEventsPerBatch =
-    400;  // in one batch; about 100 bytes each, a batch may have at most 64 KiB
+// An event takes about 100 bytes, and a batch may have at most 64 KiB.
+inline constexpr std::size_t kMaxEventsPerBatch = 400;
 
 class HollowWorkerHost : public simulation::MachineObserver {
  public:
--- a/src/scale_test/job_source.cc
+++ b/src/scale_test/job_source.cc
@@ -21,8 +21,8 @@
 }
 
 const JobClass& draw_class(const ScaleTestPlan& plan, std::mt19937_64& random) {
-  std::vector<double>
-      weights;  // relative numbers of jobs: a class of large jobs needs few to start its share of the tasks
+  // Relative numbers of jobs: a class of large jobs needs few jobs to start its share of the tasks.
+  std::vector<double> weights;
   for (const auto& job_class : plan.classes) weights.push_back(job_class.share / job_class.mean_tasks());
   std::discrete_distribution<std::size_t> draw(weights.begin(), weights.end());
   return plan.classes[draw(random)];
@@ -40,8 +40,8 @@
   spec.image = fmt::format("{}-{}", job_class.name, random() % static_cast<unsigned>(plan.images));
   spec.image_gb = plan.image_gb;
   spec.need = {plan.task_cpus, job_class.accelerators, 1};
-  spec.one_zone =
-      job_class.kind == JobKind::Gang;  // the members of a gang must share the process of one zone
+  // The members of a gang must share the process of one zone.
+  spec.one_zone = job_class.kind == JobKind::Gang;
   spec.estimate_s = plan.run_s;
   return spec;
 }
--- a/src/scale_test/job_source.h
+++ b/src/scale_test/job_source.h
@@ -9,8 +9,8 @@
 
 namespace corkmux::scale_test {
 
-inline constexpr double kRunSpread =
-    0.15;  // largest relative deviation of a task's run time from the plan's run_s
+// Largest relative deviation of a task's run time from the plan's run_s.
+inline constexpr double kRunSpread = 0.15;
 
 class JobSource {
  public:
--- a/src/scale_test/machine_events.h
+++ b/src/scale_test/machine_events.h
@@ -24,8 +24,8 @@
   std::string job = {};      // all kinds but Booted
   int index = 0;             // of the task
   std::uint64_t attempt = 0;
-  std::string why =
-      {};  // TaskRemoved, ProgressLost: reason; Booted: address at which the worker accepts commands
+  // TaskRemoved, ProgressLost: reason; Booted: address at which the worker accepts commands.
+  std::string why = {};
   double seconds = 0;  // ProgressLost: run time that a task has to repeat
 };
 
--- a/src/scale_test/machine_limits.cc
+++ b/src/scale_test/machine_limits.cc
@@ -39,8 +39,8 @@
 }
 
 void check_processes(const ScaleTestPlan& plan, const std::string& file) {
-  int processes =
-      plan.controllers + plan.zones + plan.single_workers + 2;  // 2: state service and this program
+  // The 2 are the state service and this program.
+  int processes = plan.controllers + plan.zones + plan.single_workers + 2;
   if (processes > kMaxProcesses)
     throw PlanTooLarge(
         fmt::format("{}: {} processes would be started, {} at most are", file, processes, kMaxProcesses));
--- a/src/scale_test/machine_limits.h
+++ b/src/scale_test/machine_limits.h
@@ -7,12 +7,12 @@
 
 namespace corkmux::scale_test {
 
-inline constexpr int kSocketsPerWorker =
-    3;  // its listener, its heartbeat connection and the controllers' command connection
+// A worker's listener, its heartbeat connection and the controllers' command connection.
+inline constexpr int kSocketsPerWorker = 3;
 inline constexpr int kReservedSockets = 200;  // of each process, for files, pipes, users and services
 inline constexpr int kMaxProcesses = 200;     // started by one run
-inline constexpr double kMaxCpuUtilization =
-    0.9;                                          // share of the workers' CPUs that the running tasks may use
+// Share of the workers' CPUs that the running tasks may use.
+inline constexpr double kMaxCpuUtilization = 0.9;
 inline constexpr double kMaxMemoryShare = 0.5;    // share of the machine's memory for all processes together
 inline constexpr double kBytesPerWorker = 120e3;  // memory estimate for one hollow worker
 inline constexpr double kBytesPerController = 80e6;  // memory estimate for one controller
--- a/src/scale_test/process_sampler.h
+++ b/src/scale_test/process_sampler.h
@@ -11,8 +11,8 @@
 namespace corkmux::scale_test {
 
 inline constexpr double kSampleInterval = 0.5;  // s between readings
-inline constexpr int kSamplesBetweenFileCounts =
-    8;  // counting open files takes longer than the other readings
+// Open files are counted less often, because counting them takes longer than the other readings.
+inline constexpr int kSamplesBetweenFileCounts = 8;
 
 class ProcessSampler {
  public:
--- a/src/scale_test/run_report.h
+++ b/src/scale_test/run_report.h
@@ -14,8 +14,8 @@
 
 namespace corkmux::scale_test {
 
-inline constexpr double kMinServedShare =
-    0.5;  // share of a class's or team's jobs; a run with less has failed
+// Share of the jobs of a class or team that must be served; a run with less has failed.
+inline constexpr double kMinServedShare = 0.5;
 
 /// The results of a run that RunMetrics does not have.
 struct RunResults {
--- a/src/scale_test/scale_test_plan.h
+++ b/src/scale_test/scale_test_plan.h
@@ -14,8 +14,8 @@
 
 inline constexpr Resources kPlainSize{32, 0, 128};        // a machine without accelerators
 inline constexpr Resources kAcceleratedSize{32, 8, 256};  // a machine with accelerators
-inline constexpr double kUrgentWaitObjective =
-    1.2;  // s from submission to running, the operators' objective for urgent jobs
+// s from submission to running: the operators' objective for urgent jobs.
+inline constexpr double kUrgentWaitObjective = 1.2;
 inline constexpr double kQuotaSlack = 3;         // a team's limit as a multiple of its fair share
 inline constexpr double kGuaranteedShare = 0.9;  // share of a team's fair share that is guaranteed
 
--- a/src/scale_test/scale_test_run.h
+++ b/src/scale_test/scale_test_run.h
@@ -27,12 +27,12 @@
 
 inline constexpr double kProgressInterval = 5;    // s between progress lines
 inline constexpr double kDrainCheckInterval = 1;  // s between checks whether all jobs have ended
-inline constexpr double kStartCheckInterval =
-    0.05;  // s between checks whether a step of the start-up is complete
-inline constexpr double kStartStepTimeout =
-    60;  // s for each step of the start-up: state service; workers and leader
-inline constexpr double kTrafficLogDelay =
-    0.5;  // s from the request to a controller to log its counts until the log is read
+// s between checks whether a step of the start-up is complete.
+inline constexpr double kStartCheckInterval = 0.05;
+// s for each step of the start-up: first the state service; then the workers and a leader.
+inline constexpr double kStartStepTimeout = 60;
+// s from the request to a controller to log its message counts until the log is read.
+inline constexpr double kTrafficLogDelay = 0.5;
 
 /// The programs that a run starts.
 struct Programs {
