--- a/src/leader/heartbeat_delta_cache.cc
+++ b/src/leader/heartbeat_delta_cache.cc
@@ -25,15 +25,15 @@
   if (last == last_full_.end()) return Error::FullHeartbeatRequired;
   const Heartbeat& full = last->second;
   bool repeats =
-      full.worker_epoch == delta.worker_epoch && full.seq == delta.same_as && delta.number > delta.same_as;
+      full.worker_epoch == delta.worker_epoch && full.seq == delta.base_seq && delta.seq > delta.base_seq;
   if (!repeats) return Error::FullHeartbeatRequired;
   Heartbeat heartbeat = full;
-  heartbeat.seq = delta.number;
+  heartbeat.seq = delta.seq;
   return heartbeat;
 }
 
 void HeartbeatDeltaCache::forget_unknown_machines(const Scheduler& scheduler) {
-  std::erase_if(last_full_, [&](const auto& known) { return !scheduler.machines().contains(known.first); });
+  std::erase_if(last_full_, [&](const auto& entry) { return !scheduler.machines().contains(entry.first); });
 }
 
 }  // namespace corkmux
--- a/src/simulation/cloud.cc
+++ b/src/simulation/cloud.cc
@@ -14,9 +14,10 @@
 
 constexpr double kMinBilledTime = 60;  // s
 constexpr double kSecondsPerHour = 3600;
-constexpr int kMaxProvisionedAtOnce = 50;
-constexpr std::size_t kMaxListedAtOnce = 500;
-// A boot takes between these multiples of its type's usual time, a list's age of the usual lag.
+constexpr int kMaxProvisionedAtOnce = 50;      // machines per request
+constexpr std::size_t kMaxListedAtOnce = 500;  // machines per page of a list
+// Bounds of a boot's duration as multiples of its type's usual boot time, and of a list's age as multiples of
+// the usual lag.
 constexpr double kMinBootShare = 0.6;
 constexpr double kMaxBootShare = 1.5;
 constexpr double kMinLagShare = 0.5;
@@ -34,7 +35,7 @@
       list_lag_s_(list_lag_s),
       callbacks_(std::move(callbacks)),
       rng_(fresh_seed()),
-      server_(loop, listen, kCloudConnections,
+      server_(loop, listen, kMaxCloudConnections,
               [this](http::Server::ConnectionId id, const http::Request& request) {
                 answer(id, handle(request));
               }) {}
@@ -78,8 +79,8 @@
     if (capacity.type == type && capacity.zone == zone && capacity.spot == spot) free = capacity.max_machines;
   for (const auto& [name, machine] : machines_) {
     const MachineFacts& facts = machine.facts;
-    const bool there = !machine.gone_at && !machine.died_at;
-    if (there && facts.type.name == type && facts.zone == zone && facts.spot == spot) --free;
+    const bool exists = !machine.gone_at && !machine.died_at;
+    if (exists && facts.type.name == type && facts.zone == zone && facts.spot == spot) --free;
   }
   return free;
 }
@@ -101,7 +102,7 @@
 void Cloud::answer(http::Server::ConnectionId id, const ServiceReply& reply) {
   http::Response response{reply.status, codec::pack(reply.body), 0, false};
   if (!loop_.runtime()) return server_.respond(id, response);
-  loop_.runtime()->start(kCloudAnswer,
+  loop_.runtime()->start(kCloudResponseDelay,
                          [this, id, response = std::move(response)] { server_.respond(id, response); });
 }
 
@@ -131,7 +132,7 @@
   for (int i = 0; i < count; ++i) {
     Machine& machine = create(type, zone, spot);
     names.push_back(machine.facts.name);
-    if (chance(rng_) < kNeverUp) continue;
+    if (chance(rng_) < kFailedBootShare) continue;
     boot(machine, machine.facts.type.boot_s * boot_share(rng_));
   }
   const Json answer = {{"hosts", names}};
@@ -154,7 +155,7 @@
 
 ServiceReply Cloud::list(const std::string& target) {
   const auto after = query_field(target, "after");
-  // The zero stands for a field that is not there.
+  // The prefixed zero makes an absent field read as 0.
   const std::size_t wanted = std::stoul("0" + query_field(target, "most"));
   const std::size_t max_machines = std::min(kMaxListedAtOnce, wanted);
   std::uniform_real_distribution<double> lag_share(kMinLagShare, kMaxLagShare);
@@ -177,7 +178,7 @@
   const MachineFacts& facts = machine.facts;
   const char* phase = "starting";
   if (machine.up_at && *machine.up_at <= as_of) phase = "running";
-  if (machine.died_at && *machine.died_at + kDeadListed <= as_of) phase = "failed";
+  if (machine.died_at && *machine.died_at + kDeadListingTime <= as_of) phase = "failed";
   return {{"ref", facts.name},
           {"address", callbacks_.address ? callbacks_.address(facts.name) : ""},
           {"build", facts.type.name},
