--- a/src/cmd/cmd_constants.h
+++ b/src/cmd/cmd_constants.h
@@ -1,8 +1,8 @@
-// Times of the programs.
+// Delays used by the programs.
 #pragma once
 
 namespace corkmux::constants {
 
-inline constexpr double kKubeRetry = 10;  // s until an address that could not be had is tried again
+inline constexpr double kKubeRetry = 10;  // s until binding the Kubernetes API's address is retried
 
 }  // namespace corkmux::constants
--- a/src/cmd/corkmux_main.cc
+++ b/src/cmd/corkmux_main.cc
@@ -1,4 +1,4 @@
-// The controller: reads its settings, then serves until a signal ends it.
+// The controller program: reads its settings, then serves requests until a signal ends it.
 #include <CLI/CLI.hpp>
 #include <csignal>
 #include <iostream>
@@ -16,7 +16,7 @@
 using namespace corkmux;
 
 constexpr int kFailed = 1;              // exit status
-constexpr int kSignalExitStatus = 128;  // plus the signal's number, as shells have it
+constexpr int kSignalExitStatus = 128;  // plus the signal's number, as in shells
 
 struct Arguments {
   std::string settings_file;
@@ -24,7 +24,8 @@
   bool check = false;
 };
 
-/// One line with the messages and bytes of this process so far, by kind, for an operator or the scale test.
+/// Logs one line with the messages and bytes of this process so far, by kind, for operators and the scale
+/// test.
 void log_traffic() {
   auto kinds = nlohmann::json::object();
   for (const auto& [kind, count] : http::Traffic::of_process().counts())
@@ -32,7 +33,7 @@
   spdlog::info("traffic [messages, bytes in, bytes out]: {}", kinds.dump());
 }
 
-/// Throws SettingsError.
+/// Loads and checks the operators' settings and the token file they name. Throws SettingsError.
 OperatorChoices load_choices(const Arguments& arguments, const Settings& settings) {
   auto choices = load_operator(arguments.operator_file);
   check_choices(choices, settings);
@@ -41,17 +42,17 @@
   return choices;
 }
 
-/// Sockets for Kubernetes-style clients are taken off those for users and workers.
-Settings share_connections(Settings settings, const OperatorChoices& choices) {
+/// Subtracts the connections of Kubernetes-style clients from the limit for users and workers.
+Settings reserve_kubernetes_connections(Settings settings, const OperatorChoices& choices) {
   if (choices.kubernetes) settings.max_connections -= kube::ApiServer::connections(settings);
   return settings;
 }
 
-/// The running program: a controller, the API for Kubernetes-style clients if there is one, and the signals.
+/// The running program: a controller, the Kubernetes-style API if it is configured, and the signal handlers.
 class Program {
  public:
   Program(const Settings& settings, const OperatorChoices& choices)
-      : settings_(share_connections(settings, choices)),
+      : settings_(reserve_kubernetes_connections(settings, choices)),
         choices_(choices),
         controller_(loop_, settings_, choices_),
         kubernetes_retry_(loop_) {}
@@ -61,38 +62,38 @@
     if (choices_.kubernetes) open_kubernetes();
     controller_.start();
     watch_signals();
-    spdlog::info("{} serves {} in {}", settings_.label, settings_.listen, settings_.zone);
+    spdlog::info("{} listening on {} in zone {}", settings_.label, settings_.listen, settings_.zone);
     loop_.run();
     return status_;
   }
 
  private:
   void open_kubernetes() {
-    // Guards against an address in the operators' file that cannot be had here: the scheduler itself goes on.
+    // An address in the operators' file that cannot be bound on this host must not stop the scheduler.
     try {
       kubernetes_.emplace(loop_, settings_, *choices_.kubernetes, controller_.state(),
                           controller_.admission(), controller_.status_cache());
     } catch (const std::runtime_error& error) {
-      spdlog::error("Kubernetes-style clients are not served: {}; tried again", error.what());
+      spdlog::error("Kubernetes-style clients are not served: {}; retrying", error.what());
       return kubernetes_retry_.once(constants::kKubeRetry, [this] { open_kubernetes(); });
     }
-    spdlog::info("serves Kubernetes-style clients on port {}", kubernetes_->port());
+    spdlog::info("serving Kubernetes-style clients on port {}", kubernetes_->port());
     kubernetes_->start();
   }
 
   void watch_signals() {
-    terminate_.emplace(loop_, SIGTERM, [this] { on_end_signal(SIGTERM); });
-    interrupt_.emplace(loop_, SIGINT, [this] { on_end_signal(SIGINT); });
+    terminate_.emplace(loop_, SIGTERM, [this] { on_stop_signal(SIGTERM); });
+    interrupt_.emplace(loop_, SIGINT, [this] { on_stop_signal(SIGINT); });
     traffic_.emplace(loop_, SIGUSR1, [] { log_traffic(); });
     if (choices_.kubernetes) hangup_.emplace(loop_, SIGHUP, [this] { reload_tokens(); });
   }
 
-  void on_end_signal(int signal) {
-    if (ending_) {  // asked twice: at once, as after a crash
+  void on_stop_signal(int signal) {
+    if (stopping_) {  // a second signal exits at once, without a graceful shutdown
       status_ = kSignalExitStatus + signal;
       return loop_.stop();
     }
-    ending_ = true;
+    stopping_ = true;
     kubernetes_retry_.stop();
     if (kubernetes_) kubernetes_->close();
     spdlog::info("ending in order: signal {}; a second one ends at once", signal);
@@ -104,8 +105,8 @@
 
   void reload_tokens() {
     auto error = kubernetes_ ? kubernetes_->reload_tokens() : std::nullopt;
-    if (!error) return spdlog::info("tokens are read again");
-    spdlog::error("tokens stay as they were: {}", error->what());
+    if (!error) return spdlog::info("tokens reloaded");
+    spdlog::error("tokens not reloaded, the previous tokens stay in use: {}", error->what());
   }
 
   Settings settings_;
@@ -115,7 +116,7 @@
   std::optional<kube::ApiServer> kubernetes_;
   Timer kubernetes_retry_;
   int status_ = 0;
-  bool ending_ = false;
+  bool stopping_ = false;
   std::optional<SignalWatcher> terminate_;
   std::optional<SignalWatcher> interrupt_;
   std::optional<SignalWatcher> traffic_;
@@ -139,7 +140,7 @@
   CLI::App app{"corkmux: a controller of the cluster scheduler"};
   Arguments arguments;
   app.add_option("--config", arguments.settings_file, "the platform's settings file (TOML)")->required();
-  app.add_option("--operator", arguments.operator_file, "the operators' own settings (protobuf text format)");
+  app.add_option("--operator", arguments.operator_file, "the operators' settings (protobuf text format)");
   app.add_flag("--check", arguments.check, "check the settings and exit");
   app.set_version_flag("--version", std::string("corkmux ") + CORKMUX_VERSION);
   CLI11_PARSE(app, argc, argv);
--- a/src/cmd/logging.h
+++ b/src/cmd/logging.h
@@ -1,4 +1,5 @@
-// Logging of the programs: lines on standard error, at the level that the environment names.
+// Sets up logging for the programs: lines on standard error, at the level that the environment variable
+// LOG_LEVEL names.
 #pragma once
 #include <spdlog/pattern_formatter.h>
 #include <spdlog/sinks/stdout_sinks.h>
@@ -10,19 +11,20 @@
 
 namespace corkmux {
 
-/// Lines on standard error, as spdlog has them if nothing is said.
+/// Logs to standard error in spdlog's default format.
 inline void log_to_stderr() {
   spdlog::set_default_logger(
       std::make_shared<spdlog::logger>("", std::make_shared<spdlog::sinks::stderr_sink_st>()));
 }
 
-/// Lines on standard error in the formatter's form, at the level LOG_LEVEL, or `otherwise` if that is not
+/// Logs to standard error with this formatter, at the level LOG_LEVEL, or `default_level` if LOG_LEVEL is not
 /// set.
-inline void start_logging(std::unique_ptr<spdlog::formatter> formatter, spdlog::level::level_enum otherwise) {
+inline void start_logging(std::unique_ptr<spdlog::formatter> formatter,
+                          spdlog::level::level_enum default_level) {
   log_to_stderr();
   spdlog::set_formatter(std::move(formatter));
   const char* level = std::getenv("LOG_LEVEL");
-  spdlog::set_level(level ? spdlog::level::from_str(level) : otherwise);
+  spdlog::set_level(level ? spdlog::level::from_str(level) : default_level);
 }
 
 }  // namespace corkmux
--- a/src/cmd/program.h
+++ b/src/cmd/program.h
@@ -1,12 +1,12 @@
-// What the mains have in common: how an error ends a program.
+// Error handling shared by the main functions.
 #pragma once
 #include <exception>
 #include <iostream>
 
 namespace corkmux {
 
-/// Runs `body` and returns its exit status. An exception that leaves it is written to standard error, after
-/// the program's name, and the status is `error_status`.
+/// Runs `body` and returns its exit status. If `body` throws, writes the program's name and the error
+/// to standard error and returns `error_status`.
 template <typename Body>
 int run_program(const char* name, int error_status, Body body) {
   try {
--- a/src/cmd/scale_test_main.cc
+++ b/src/cmd/scale_test_main.cc
@@ -1,5 +1,5 @@
-// Runs deployed controllers against hollow workers and measures what each role uses. Exit status: 0 when
-// every rule held and every class and team was served, 1 when not, 2 when the plan cannot be run.
+// Runs deployed controllers against hollow workers and measures what each role uses. Exit status: 0 if
+// no protocol rule was violated and every class and team was served, 1 if not, 2 if the plan cannot be run.
 #include <CLI/CLI.hpp>
 #include <csignal>
 #include <filesystem>
@@ -23,14 +23,14 @@
 
 constexpr int kRulesBroken = 1;         // exit status
 constexpr int kCannotRun = 2;           // exit status
-constexpr int kSignalExitStatus = 128;  // plus the signal's number, as shells have it
+constexpr int kSignalExitStatus = 128;  // plus the signal's number, as in shells
 
 struct Arguments {
   std::string file;
   std::string json;
   scale_test::PlanOverrides overrides;
-  std::string controller;  // program; empty: the one beside this program
-  // For the processes that a run starts itself:
+  std::string controller;  // path of the program; empty: in this program's directory
+  // For the child processes of a run:
   std::string role = "run";
   std::string collector;             // address
   std::string controller_addresses;  // name=address, separated by commas
@@ -38,7 +38,8 @@
   int network = 10;
 };
 
-/// Throws SettingsError. What was left out is told by the run alone, not by each process that it starts.
+/// Throws SettingsError. Only the run itself prints the gangs that were left out, not each of its child
+/// processes.
 scale_test::ScaleTestPlan load_plan(const Arguments& arguments) {
   auto plan = scale_test::load_scale_plan(arguments.file);
   arguments.overrides.apply(plan, arguments.file);
@@ -76,7 +77,7 @@
   return 0;
 }
 
-/// Throws SettingsError if there is no program for the controllers.
+/// Throws SettingsError if the controllers' program does not exist.
 scale_test::Programs find_programs(const Arguments& arguments) {
   scale_test::Programs programs;
   auto own = std::filesystem::read_symlink("/proc/self/exe");
@@ -91,8 +92,8 @@
   return programs;
 }
 
-/// Until the run is over or a signal has come, which is returned.
-std::optional<int> play(Loop& loop, scale_test::ScaleTestRun& run) {
+/// Runs until the plan is complete or SIGTERM or SIGINT arrives; returns the signal, if any.
+std::optional<int> run_until_signal(Loop& loop, scale_test::ScaleTestRun& run) {
   std::optional<int> interrupted;
   auto interrupt = [&](int signal) {
     interrupted = signal;
@@ -117,8 +118,8 @@
   auto programs = find_programs(arguments);
   Loop loop;
   scale_test::ScaleTestRun run(loop, plan, programs);
-  if (auto signal = play(loop, run)) {
-    std::cerr << "interrupted: every process of the run is ended\n";
+  if (auto signal = run_until_signal(loop, run)) {
+    std::cerr << "interrupted: every process of the run was terminated\n";
     return kSignalExitStatus + *signal;
   }
   auto report = run.report();
@@ -146,10 +147,10 @@
   app.add_option("--teams", overrides.teams, "teams with quotas");
   app.add_option("--for", overrides.for_s, "s of load");
   app.add_option("--controllers", overrides.controllers, "controllers, one process each");
-  app.add_option("--json", arguments.json, "also write the account there as JSON");
+  app.add_option("--json", arguments.json, "also write the report there as JSON");
   app.add_option("--controller-program", arguments.controller,
-                 "the controllers' program; beside this one if not given");
-  // For the processes that a run starts itself.
+                 "the controllers' program; default: corkmux in this program's directory");
+  // For the child processes of a run.
   app.add_option("--role", arguments.role)->group("");
   app.add_option("--collector", arguments.collector)->group("");
   app.add_option("--host", arguments.host)->group("");
@@ -163,12 +164,14 @@
   CLI::App app{
       "corkmux-scale-test: runs deployed controllers, one process each, against hollow workers (real "
       "sockets,\n"
-      "reports, leases, orders and image times; no task is executed), a stand-in state service and cloud, "
+      "heartbeats, leases, commands and image times; no task is executed), a simulated state service and "
+      "cloud, "
       "and\n"
-      "users. Prints processor time, memory, sockets, messages and waits, and holds the rules of the "
-      "protocol\n"
-      "against what was seen. Ends with status 1 when a rule broke or less than half of a class or team was\n"
-      "served, with 2 when the plan is wrong or too large for this machine.\n"
+      "users. Prints processor time, memory, sockets, messages and waits, and checks what happened against "
+      "the\n"
+      "rules of the protocol. Exits with status 1 if a rule was violated or less than half of a class or "
+      "team\n"
+      "was served, with 2 if the plan is invalid or too large for this machine.\n"
       "Plans: benchmarks/scale/small.toml (seconds), benchmarks/scale/target.toml (the operators' fleet)."};
   Arguments arguments;
   add_options(app, arguments);
--- a/src/cmd/simulator_main.cc
+++ b/src/cmd/simulator_main.cc
@@ -1,5 +1,5 @@
-// Plays a simulation from its file and prints what happened. Exit status: 0 when every rule held and every
-// class and team was served, 1 when not, 2 when the file cannot be played.
+// Runs a simulation from its plan and prints a report. Exit status: 0 if no protocol rule was violated and
+// every class and team was served, 1 if not, 2 if the plan cannot be run.
 #include <CLI/CLI.hpp>
 #include <fstream>
 #include <iostream>
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr int kCannotPlay = 2;  // exit status
+constexpr int kCannotRun = 2;  // exit status
 
 struct Arguments {
   std::string file;
@@ -37,14 +37,14 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  CLI::App app{"corkmux-simulator: plays a whole cluster, simulated, from one seed"};
+  CLI::App app{"corkmux-simulator: simulates a whole cluster from one random seed"};
   Arguments arguments;
   app.add_option("file", arguments.file, "the plan (TOML; docs/simulation.md)")->required();
-  app.add_option("--day", arguments.scenario, "which of its scenarios; the first if not given");
-  app.add_option("--seed", arguments.seed, "where the random draws begin");
+  app.add_option("--day", arguments.scenario, "the scenario to run; default: the first of the plan");
+  app.add_option("--seed", arguments.seed, "the random seed");
   app.add_option("--json", arguments.json_file, "also write the report there as JSON");
   CLI11_PARSE(app, argc, argv);
 
   corkmux::start_logging(corkmux::simulation::log_formatter(), spdlog::level::off);
-  return corkmux::run_program("corkmux-simulator", kCannotPlay, [&] { return run(arguments); });
+  return corkmux::run_program("corkmux-simulator", kCannotRun, [&] { return run(arguments); });
 }
--- a/src/common/constants.h
+++ b/src/common/constants.h
@@ -5,17 +5,20 @@
 
 namespace corkmux::constants {
 
-/// Share by which two steady clocks may differ: PROTOCOL promises 0.0005 for each of the two.
+/// Maximum relative rate difference of two steady clocks: the protocol guarantees 0.0005 for each of the two.
 inline constexpr double kClockDrift = 0.001;
-/// s added to every time-out that proves something: timer steps, scheduling of this process.
-inline constexpr double kProofMargin = 0.5;
+/// s added to every timeout that safety depends on; covers timer granularity and scheduling delays of this
+/// process.
+inline constexpr double kTimeoutSafetyMargin = 0.5;
 
-inline constexpr double kRetryPause = 0.15;  // s before a refused request to the state store is tried again
-inline constexpr int kRecordFormat = 2;      // of the records that this version writes, see docs/design.md
-inline constexpr std::size_t kSmallestRecord = 256;  // bytes; one task with long names still fits
-inline constexpr double kRecordShare = 0.8;  // of value_kb for a list in one record; the rest is its frame
+inline constexpr double kRetryPause = 0.15;  // s before a rejected request to the state store is retried
+inline constexpr int kRecordFormat = 2;      // record format that this version writes, see docs/design.md
+inline constexpr std::size_t kSmallestRecord = 256;  // bytes; enough for one task with long names
+inline constexpr double kRecordShare =
+    0.8;  // of value_kb for the list of one record; other fields need the rest
 
-/// The state store counts terms; in the bits below, the leader numbers fencing tokens and attempts itself.
+/// bits of a fencing token or attempt number that the leader numbers itself; the bits above are the term,
+/// which the state store counts.
 inline constexpr int kTermShift = 20;
 
 }  // namespace corkmux::constants
--- a/src/common/heartbeat.h
+++ b/src/common/heartbeat.h
@@ -1,4 +1,4 @@
-// A worker's heartbeat: who it is, and the status of each of its tasks.
+// A worker's heartbeat: its identity and the status of each of its tasks.
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -8,7 +8,7 @@
 namespace corkmux {
 
 enum class TaskState { Fetching, Waiting, Running, Saving, Exited };
-enum class ExitReason { None, Done, Stopped, PeersGone, Alone, Error, NoRoom, Busy, Unknown };
+enum class ExitReason { None, Done, Stopped, PeersGone, Alone, Error, NoCapacity, Busy, Unknown };
 
 struct TaskStatus {
   std::string job;
@@ -28,8 +28,8 @@
   bool spot = false;
   std::uint64_t worker_epoch = 0;
   std::uint64_t seq = 0;            // within the epoch
-  std::uint64_t fencing_token = 0;  // the highest that the worker has seen
-  std::optional<double> notice_s;   // until the cloud takes a spot machine back
+  std::uint64_t fencing_token = 0;  // the highest that the worker has received
+  std::optional<double> notice_s;   // s until the cloud reclaims a spot machine
   std::vector<TaskStatus> tasks;
   bool operator==(const Heartbeat&) const = default;
 };
--- a/src/common/io_watcher.h
+++ b/src/common/io_watcher.h
@@ -1,4 +1,4 @@
-// Calls back on the loop when a file descriptor can be read or written. Does not own the descriptor. Not
+// Calls back on the loop when a file descriptor is readable or writable. Does not own the descriptor. Not
 // available in a simulation.
 #pragma once
 #include <ev.h>
@@ -12,7 +12,7 @@
 
 class IoWatcher {
  public:
-  /// Receives the events that occurred, of EV_READ and EV_WRITE.
+  /// `events`: the events that occurred, a combination of EV_READ and EV_WRITE.
   using Callback = std::function<void(int events)>;
   IoWatcher(Loop& loop, int descriptor, Callback callback) : loop_(loop), callback_(std::move(callback)) {
     ev_io_init(&io_, &IoWatcher::on_ready, descriptor, EV_NONE);
@@ -21,8 +21,8 @@
   ~IoWatcher() { ev_io_stop(loop_.raw(), &io_); }
   IoWatcher(const IoWatcher&) = delete;
   IoWatcher& operator=(const IoWatcher&) = delete;
-  /// Sets which of EV_READ and EV_WRITE are waited for; 0: none.
-  void want(int events) {
+  /// Sets the events to wait for, a combination of EV_READ and EV_WRITE; 0: none.
+  void set_events(int events) {
     if (events == events_) return;
     events_ = events;
     ev_io_stop(loop_.raw(), &io_);
@@ -33,7 +33,8 @@
 
  private:
   static void on_ready(struct ev_loop*, ev_io* io, int events) {
-    auto callback = static_cast<IoWatcher*>(io->data)->callback_;  // a copy: it may destroy this watcher
+    // Copied, since the callback may destroy this watcher.
+    auto callback = static_cast<IoWatcher*>(io->data)->callback_;
     callback(events);
   }
 
--- a/src/common/job_spec.h
+++ b/src/common/job_spec.h
@@ -1,4 +1,4 @@
-// A job as its user submitted it. Never changes after submission.
+// A job as its user submitted it; immutable after submission.
 #pragma once
 #include <algorithm>
 #include <optional>
@@ -9,7 +9,7 @@
 
 namespace corkmux {
 
-/// How the tasks of a job belong together: independent, all at once, or kept running.
+/// Array: independent tasks; Gang: all tasks run at the same time; Service: tasks are kept running.
 enum class JobKind { Array, Gang, Service };
 enum class Priority { Low, Normal, High, Production };
 
@@ -32,11 +32,11 @@
   double checkpoint_s = 0;
   double save_s = 0;
   std::optional<double> deadline_s;
-  std::vector<std::string> dependencies;  // jobs that have to be done before any task of this one starts
+  std::vector<std::string> dependencies;  // jobs that have to be done before any task of this job starts
 
-  /// What has to be free for it to start: of a gang all tasks, else one.
-  Resources at_once() const {
-    // Added task by task: a product would round differently.
+  /// Resources that have to be free for the job to start: those of all tasks for a gang, else of one task.
+  Resources resources_to_start() const {
+    // Summed task by task, since a product would round differently.
     Resources all;
     int together = kind == JobKind::Gang ? tasks : 1;
     for (int i = 0; i < together; ++i) all += need;
--- a/src/common/loop.h
+++ b/src/common/loop.h
@@ -1,5 +1,5 @@
-// The event loop of a program or of one simulated host: a queue of messages and delayed calls. Owns the libev
-// loop, or drives itself by a Runtime. Single-threaded; never runs a message inside the call that posts it.
+// The event loop of a program or of one simulated host: a queue of messages and delayed calls. Owns a libev
+// loop, or runs on a Runtime. Single-threaded; never runs a message inside the call that posts it.
 #pragma once
 #include <ev.h>
 
@@ -22,7 +22,7 @@
     ev_idle_init(&idle_, &Loop::on_idle);
     idle_.data = this;
   }
-  /// A loop on a simulated host: the runtime drives it, and it has neither IoWatcher nor SignalWatcher.
+  /// A loop on a simulated host, driven by the runtime; IoWatcher and SignalWatcher are not available.
   explicit Loop(Runtime& runtime) : runtime_(&runtime) {}
   ~Loop() {
     queue_.clear();  // queued messages may own watchers, which need the loop
@@ -52,7 +52,7 @@
     queue_.push_back(std::move(message));
   }
 
-  /// Runs `callback` once, `after_s` from now. Returns its id for cancel(), never 0.
+  /// Runs `callback` once, `after_s` seconds from now. Returns its id for cancel(), never 0.
   std::uint64_t call_later(double after_s, std::function<void()> callback) {
     if (runtime_) return runtime_->start(after_s, std::move(callback));
     auto id = ++last_delayed_;
@@ -82,7 +82,8 @@
   };
   static void on_delayed(struct ev_loop*, ev_timer* timer, int) {
     auto* due = static_cast<DelayedCall*>(timer->data);
-    auto call = due->loop->delayed_.extract(due->id);  // removed before it runs: it may start others
+    // Removed before it runs, since the callback may add delayed calls.
+    auto call = due->loop->delayed_.extract(due->id);
     call.mapped()->callback();
   }
   static void on_idle(struct ev_loop* raw, ev_idle* watcher, int) {
--- a/src/common/mutation.h
+++ b/src/common/mutation.h
@@ -1,5 +1,5 @@
-// Mutations: defects that tests switch on by name, to show that a simulation finds them. In the programs
-// mutation_enabled() is a constant false, and the code that depends on it is not compiled in.
+// Mutations: defects that tests enable by name, to verify that the simulation detects them. In the deployed
+// programs mutation_enabled() is constant false, and the code that depends on it is not compiled in.
 #pragma once
 #include <string>
 #include <string_view>
--- a/src/common/resources.h
+++ b/src/common/resources.h
@@ -1,10 +1,11 @@
-// Amounts of what machines have and tasks need.
+// Amounts of CPUs, GPUs and memory that machines have and tasks need.
 #pragma once
 #include <algorithm>
 
 namespace corkmux {
 
-/// Amounts that differ by less are equal: sums of shares round differently by the order of addition.
+/// Amounts that differ by less count as equal, since sums of fractions round differently by the order of
+/// addition.
 inline constexpr double kResourceTolerance = 1e-6;
 
 struct Resources {
@@ -24,7 +25,8 @@
     memory_gb -= other.memory_gb;
     return *this;
   }
-  /// How many requests of this size the capacity holds; at most a million, which an empty request gives.
+  /// How many requests of this size fit into the capacity: at most a million, which is also the result for an
+  /// empty request.
   int times_in(const Resources& capacity) const {
     double times = 1e6;
     if (cpus > 0) times = std::min(times, capacity.cpus / cpus);
@@ -32,7 +34,7 @@
     if (memory_gb > 0) times = std::min(times, capacity.memory_gb / memory_gb);
     return std::max(0, static_cast<int>(times + kResourceTolerance));
   }
-  /// Whether a request of this size is within the capacity.
+  /// Whether a request of this size fits into the capacity.
   bool fits(const Resources& capacity) const {
     return cpus <= capacity.cpus + kResourceTolerance && gpus <= capacity.gpus + kResourceTolerance &&
            memory_gb <= capacity.memory_gb + kResourceTolerance;
--- a/src/common/task_command.h
+++ b/src/common/task_command.h
@@ -1,4 +1,4 @@
-// What the leader tells a worker to do with one attempt of a task.
+// A command of the leader to a worker, about one attempt of a task.
 #pragma once
 #include <cstdint>
 #include <string>
@@ -11,7 +11,7 @@
   std::string job;
   int index = 0;
   std::uint64_t attempt = 0;
-  double grace_s = 0;  // of a stop: for saving
+  double grace_s = 0;  // of a stop: time for the task to save its state
 };
 
 }  // namespace corkmux
--- a/src/common/team.h
+++ b/src/common/team.h
@@ -1,4 +1,4 @@
-// A team's quota: what it is guaranteed, and what it may use at most.
+// A team's quota: its guaranteed resources and its upper limits.
 #pragma once
 #include <string>
 
@@ -18,7 +18,7 @@
     return (cpus_max <= 0 || use.cpus <= cpus_max + kResourceTolerance) &&
            (gpus_max <= 0 || use.gpus <= gpus_max + kResourceTolerance);
   }
-  /// Whether all of the use is guaranteed. Accelerators count where they are metered.
+  /// Whether the use is within the guarantee. GPUs count only if the team has a GPU guarantee or limit.
   bool guarantees(const Resources& use) const {
     bool gpus_metered = gpus > 0 || gpus_max > 0;
     return use.cpus <= cpus + kResourceTolerance && (!gpus_metered || use.gpus <= gpus + kResourceTolerance);
--- a/src/common/time_constants.h
+++ b/src/common/time_constants.h
@@ -1,5 +1,5 @@
-// Times that stand for "never" and "long ago" on the steady clock. Both stay ordinary numbers: they compare
-// and subtract like any other time.
+// Times that represent "never" and "long ago" on the steady clock. Both are finite, so they compare and
+// subtract like any other time.
 #pragma once
 
 namespace corkmux {
--- a/src/common/timer.h
+++ b/src/common/timer.h
@@ -1,4 +1,4 @@
-// A timer that its owner can start again and that stops when it is destroyed.
+// A restartable timer that stops when it is destroyed.
 #pragma once
 #include <ev.h>
 
@@ -19,7 +19,7 @@
   ~Timer() { stop(); }
   Timer(const Timer&) = delete;
   Timer& operator=(const Timer&) = delete;
-  /// Both replace what the timer was set to before.
+  /// once() and every() replace the timer's previous setting.
   void once(double after_s, std::function<void()> callback) { start(after_s, 0., std::move(callback)); }
   void every(double period_s, std::function<void()> callback) {
     start(period_s, period_s, std::move(callback));
@@ -49,7 +49,8 @@
     });
   }
   static void on_fired(struct ev_loop*, ev_timer* timer, int) {
-    auto callback = static_cast<Timer*>(timer->data)->callback_;  // a copy: it may restart or end the timer
+    // Copied, since the callback may restart or destroy the timer.
+    auto callback = static_cast<Timer*>(timer->data)->callback_;
     callback();
   }
 
--- a/src/config/settings.cc
+++ b/src/config/settings.cc
@@ -13,11 +13,11 @@
 namespace {
 
 constexpr int kMinTxnOps = 2;
-constexpr std::size_t kMaxNamespaceName = 63;  // bytes; RFC 1123, as Kubernetes has it
+constexpr std::size_t kMaxNamespaceName = 63;  // bytes; RFC 1123, as in Kubernetes
 constexpr double kMaxHeadroomShare = 10;
 constexpr int kMaxHeadroomMachines = 1000;
 
-/// Keeps the first error of a protobuf text.
+/// Collects the first error of a protobuf text.
 class FirstError : public google::protobuf::io::ErrorCollector {
  public:
   void AddError(int line, google::protobuf::io::ColumnNumber, const std::string& message) override {
@@ -29,7 +29,7 @@
   std::string text_;
 };
 
-/// The tightest of the aims so far and this one; `so_far` 0: there was none.
+/// The tighter of the objectives so far and this one; `so_far` 0: none so far.
 double tightest(double so_far, double within) { return so_far > 0 ? std::min(so_far, within) : within; }
 
 void read_identity(const Reader& top, Settings& settings) {
@@ -74,15 +74,15 @@
 void read_objective(const Reader& entry, Settings& settings) {
   auto kind = entry.text("kind");
   if (kind == "wait") {
-    auto& aims = settings.start_within[entry.text("class")];
-    aims.push_back(entry.amount("within_s", true));
-    std::sort(aims.begin(), aims.end());
+    auto& objectives = settings.start_within[entry.text("class")];
+    objectives.push_back(entry.amount("within_s", true));
+    std::sort(objectives.begin(), objectives.end());
   } else if (kind == "guarantee") {
     settings.guarantee_within = tightest(settings.guarantee_within, entry.amount("within_s", true));
   } else if (kind == "finished") {
     double within = entry.amount("within_s", true);
-    auto& aim = settings.finish_within[entry.text("class")];
-    aim = tightest(aim, within);
+    auto& objective = settings.finish_within[entry.text("class")];
+    objective = tightest(objective, within);
   }
 }
 
@@ -98,7 +98,7 @@
     workers.fail("cancel_s", "not longer than lease_s, so a cut-off worker breaks it");
 }
 
-/// The announced limits; each is at most today's.
+/// Reads the announced future limits, each capped at the current one.
 void read_next_limits(const Reader& state, Settings& settings) {
   StateLimits& limits = settings.next;
   limits = {settings.state_write_rps, settings.value_kb, settings.txn_ops};
@@ -157,7 +157,7 @@
 }
 
 void check_ranges(const OperatorChoices& choices, const std::string& file) {
-  // Written so that what is not a number fails too.
+  // The conditions are negated so that NaN fails too.
   if (!(choices.headroom_share >= 0 && choices.headroom_share <= kMaxHeadroomShare))
     throw SettingsError(file + ": headroom_share: out of range (0 to 10)");
   if (choices.headroom_machines < 0 || choices.headroom_machines > kMaxHeadroomMachines)
--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -1,5 +1,5 @@
-// The platform's settings file (TOML, unknown fields ignored) and the operators' own (protobuf text format,
-// unknown fields refused).
+// The platform's settings file (TOML, unknown fields ignored) and the operators' settings (protobuf text
+// format, unknown fields rejected).
 #pragma once
 #include <map>
 #include <optional>
@@ -11,7 +11,7 @@
 
 namespace corkmux {
 
-/// The base of all errors in files that operators write. Names the file and the field.
+/// The base class of all errors in files that operators write. The message names the file and the field.
 struct SettingsError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
@@ -22,7 +22,7 @@
   std::string address;
 };
 
-/// Of the state store.
+/// Limits of the state store.
 struct StateLimits {
   double write_rps = 0;
   double value_kb = 0;
@@ -40,9 +40,10 @@
   std::string state;  // address
   std::vector<std::string> zones;
   std::vector<Team> teams;
-  std::map<std::string, std::vector<double>> start_within;  // s, per class: the aims on starting, rising
-  std::map<std::string, double> finish_within;              // s, per class: the tightest aim on finishing
-  double guarantee_within = 0;  // s: the tightest aim on starting what is within a guarantee; 0: none
+  std::map<std::string, std::vector<double>>
+      start_within;                             // s, per class: objectives for starting, ascending
+  std::map<std::string, double> finish_within;  // s, per class: the tightest objective for finishing
+  double guarantee_within = 0;  // s: the tightest objective for starting tasks within a guarantee; 0: none
   double report_s = 0;          // between heartbeats of a worker
   double lease_s = 0;           // of a worker
   double gang_wait_s = 0;
@@ -52,21 +53,23 @@
   double state_write_rps = 0;
   double value_kb = 0;
   int txn_ops = 0;
-  StateLimits next;  // what the state store may fall to once all controllers are new; at most the above
+  /// Announced limits that the state store may adopt once all controllers run the new version; at most the
+  /// limits above.
+  StateLimits next;
   double cloud_rps = 0;
-  double list_lag_s = 0;  // by which the cloud's list of machines may be late
+  double list_lag_s = 0;  // by which the cloud's list of machines may be out of date
   int max_connections = 1024;
   double mem_mb = 64;  // of this process
 };
 
-/// Where Kubernetes-style clients are served, and which team each of their namespaces is.
+/// The Kubernetes-style API: its address, and the team of each namespace.
 struct KubernetesChoices {
   std::string listen;
   std::map<std::string, std::string> teams;  // by namespace
-  std::string tokens;                        // a file; empty: no tokens, and then only addresses on loopback
+  std::string tokens;  // path of the token file; empty: no tokens, and only loopback addresses are allowed
 };
 
-/// The operators' own settings.
+/// The operators' settings.
 struct OperatorChoices {
   double headroom_share = 0;
   double idle_return_s = 0;
@@ -75,14 +78,14 @@
   std::optional<KubernetesChoices> kubernetes = {};
 };
 
-/// Both throw SettingsError.
+/// parse_settings() and load_settings() throw SettingsError.
 Settings parse_settings(const std::string& text, const std::string& file);
 Settings load_settings(const std::string& file);
 /// Throws SettingsError.
 OperatorChoices parse_operator(const std::string& text, const std::string& file);
-/// What the operators say about the platform's teams has to be about teams that there are.
+/// Throws SettingsError if the operators' settings name a team that the platform's settings lack.
 void check_choices(const OperatorChoices& choices, const Settings& settings);
-/// An empty name gives the defaults.
+/// Throws SettingsError. An empty file name gives the defaults.
 OperatorChoices load_operator(const std::string& file);
 
 }  // namespace corkmux
--- a/src/config/toml_reader.h
+++ b/src/config/toml_reader.h
@@ -1,5 +1,5 @@
-// A table of a TOML file whose fields are read with checks. Throws SettingsError, which names the file and
-// the field.
+// Reads and checks the fields of a table of a TOML file. Throws SettingsError, which names the file and the
+// field.
 #pragma once
 #include <algorithm>
 #include <cmath>
@@ -16,7 +16,7 @@
 
 namespace corkmux {
 
-/// Reads one table. The file's name and the table have to outlive it.
+/// Reads one table. The file's name and the table have to outlive the reader.
 class Reader {
  public:
   Reader(const std::string& file, const toml::table& table, std::string where = "")
@@ -25,11 +25,11 @@
   [[noreturn]] void fail(const std::string& name, const std::string& what) const {
     throw SettingsError(file_ + ": " + where_ + name + ": " + what);
   }
-  std::string text_or(const char* name, const std::string& otherwise) const {
-    return table_.contains(name) ? text(name) : otherwise;
+  std::string text_or(const char* name, const std::string& default_value) const {
+    return table_.contains(name) ? text(name) : default_value;
   }
-  bool flag_or(const char* name, bool otherwise) const {
-    if (!table_.contains(name)) return otherwise;
+  bool flag_or(const char* name, bool default_value) const {
+    if (!table_.contains(name)) return default_value;
     auto value = table_[name].value<bool>();
     if (!value) fail(name, "neither true nor false");
     return *value;
@@ -39,24 +39,24 @@
     if (!value || value->empty()) fail(name, "missing or not a text");
     return *value;
   }
-  /// A finite number, not negative; `positive`: nor 0.
+  /// Reads a finite number that is not negative and, if `positive`, not 0.
   double amount(const char* name, bool positive) const {
     auto value = table_[name].value<double>();
     if (!value) fail(name, "missing or not a number");
     if (!std::isfinite(*value) || *value < 0 || (positive && *value <= 0)) fail(name, "out of range");
     return *value;
   }
-  double amount_or(const char* name, double otherwise) const {
-    return table_.contains(name) ? amount(name, false) : otherwise;
+  double amount_or(const char* name, double default_value) const {
+    return table_.contains(name) ? amount(name, false) : default_value;
   }
-  /// The table in that field.
+  /// A reader of the table in that field.
   Reader sub(const char* name) const {
     const auto* table = table_[name].as_table();
     if (!table) fail(name, "missing or not a table");
     return Reader(file_, *table, where_ + name + ".");
   }
   bool has(const char* name) const { return table_.contains(name); }
-  /// For files of our own: a field that means nothing is a mistake.
+  /// Rejects fields with other names; for this project's own files, where an unknown field is an error.
   template <typename Names = std::initializer_list<std::string_view>>
   void only(const Names& names) const {
     for (const auto& [key, value] : table_)
--- a/src/controller/lease_proxy.cc
+++ b/src/controller/lease_proxy.cc
@@ -13,7 +13,7 @@
 LeaseProxy::LeaseProxy(Loop& loop, const Settings& settings, StateClient& state)
     : Actor(loop),
       record_validity_(lease_proxy_span(settings.lease_s)),
-      forget_after_(settings.lease_s * (1 + constants::kClockDrift) + 2 * constants::kProofMargin),
+      forget_after_(settings.lease_s * (1 + constants::kClockDrift) + 2 * constants::kTimeoutSafetyMargin),
       records_(settings, state),
       unfinished_jobs_(loop, state),
       write_timer_(loop) {}
@@ -21,7 +21,7 @@
 bool LeaseProxy::has_valid_record(const std::string& machine) const {
   if (mutation_enabled("a lease proxy answers before its record is stored")) return true;
   return recorded_machines_.contains(machine) &&
-         steady_now() - written_at_ < record_validity_ - constants::kProofMargin;
+         steady_now() - written_at_ < record_validity_ - constants::kTimeoutSafetyMargin;
 }
 
 // ---------------------------------------------------------------- messages
--- a/src/controller/relay_record.cc
+++ b/src/controller/relay_record.cc
@@ -23,7 +23,7 @@
 RelayedAnswer answer_from(std::uint64_t id, const Json& item) {
   int status = item.value("s", 0);
   auto compact = item.find("r");
-  Json body = compact != item.end() ? codec::expand_answer(*compact) : item.value("b", Json());
+  Json body = compact != item.end() ? codec::expand_commands(*compact) : item.value("b", Json());
   return {id, LeaderReply::from_wire(status, body.is_null() ? "" : codec::pack(body))};
 }
 
@@ -54,7 +54,7 @@
   auto body = codec::unpack(reply.body());
   Json item = {{"a", id}, {"s", reply.wire_status()}};
   if (encoding == RelayEncoding::Compact && reply.is_answered() && body)
-    item["r"] = codec::compact_answer(*body);
+    item["r"] = codec::compact_commands(*body);
   else
     item["b"] = body ? std::move(*body) : Json();
   return {std::nullopt, std::move(item)};
--- a/src/kube/api_server.cc
+++ b/src/kube/api_server.cc
@@ -293,7 +293,7 @@
   begin_watch(call);
   // As long as the list itself would be, which is bounded.
   for (const auto& object : page.objects)
-    if (!server_.part(call->id, WatchCache::event_line("ADDED", object))) return;
+    if (!server_.send_chunk(call->id, WatchCache::event_line("ADDED", object))) return;
   request.after = page.revision;
   watch_cache_.watch(call->id, std::move(request));
 }
--- a/src/kube/watch_cache.cc
+++ b/src/kube/watch_cache.cc
@@ -206,7 +206,7 @@
       if (!send_.active()) send_.once(kSendInterval, [this] { send_changes_to_all(); });
       return WatchState::Open;
     }
-    if (!server_.part(id, entry.line)) return WatchState::Over;
+    if (!server_.send_chunk(id, entry.line)) return WatchState::Over;
   }
   return WatchState::Open;
 }
@@ -219,7 +219,8 @@
 }
 
 void WatchCache::expire(Id id, const char* why) {
-  server_.part(id, event_line("ERROR", status_object({.code = 410, .reason = "Expired", .message = why})));
+  server_.send_chunk(id,
+                     event_line("ERROR", status_object({.code = 410, .reason = "Expired", .message = why})));
   server_.end(id);
 }
 
@@ -253,7 +254,7 @@
   const bool wants_bookmark =
       send_bookmarks && watch.request.bookmarks && up_to_date && position_ > watch.request.after;
   if (!wants_bookmark) return WatchState::Open;
-  return server_.part(id, bookmark()) ? WatchState::Open : WatchState::Over;
+  return server_.send_chunk(id, bookmark()) ? WatchState::Open : WatchState::Over;
 }
 
 void WatchCache::tick() {
--- a/src/leader/machine_provisioner.cc
+++ b/src/leader/machine_provisioner.cc
@@ -79,10 +79,10 @@
   }
   in_flight_.insert(request.key());
   const ScaleOutRequest requested = pending.request;
-  auto body = codec::pack(
-      codec::rent_request(pending.name, requested.type, requested.zone, requested.spot, requested.count));
+  auto body = codec::pack(codec::provision_request(pending.name, requested.type, requested.zone,
+                                                   requested.spot, requested.count));
   cloud_.request(
-      "POST", codec::kRentPath, std::move(body), c::kCloudTimeout,
+      "POST", codec::kProvisionPath, std::move(body), c::kCloudTimeout,
       term_.guard([this, requested](const http::Result& result) { provisioned(requested, result); }));
 }
 
@@ -94,7 +94,7 @@
   auto body = codec::unpack(result.body);
   if (result.ok() && body) {
     pending_.erase(kind);
-    add_machines(request, codec::parse_rented(*body));
+    add_machines(request, codec::parse_provisioned(*body));
   } else if (result.status == 503 || result.status == 400) {
     pending_.erase(kind);
     bool no_capacity = body && codec::is_no_capacity(*body);
--- a/src/net/http.h
+++ b/src/net/http.h
@@ -1,4 +1,4 @@
-// HTTP/1.1 over libev: messages, an incremental parser, a server and a pooled client. No request is
+// HTTP/1.1 over libev: messages, an incremental parser, a server and a pooled client. Requests are never
 // pipelined.
 #pragma once
 #include "http_client.h"
--- a/src/net/http_client.h
+++ b/src/net/http_client.h
@@ -1,5 +1,5 @@
-// A pooled HTTP/1.1 client of one address, on libev or on the transport of a simulated host. Bounds its
-// connections and its queue; each request has a deadline; none is pipelined and none is sent twice.
+// A pooled HTTP/1.1 client of one address, on libev or on the transport of a simulated host. Connections and
+// queue are bounded, and each request has a deadline. Requests are neither pipelined nor retried.
 #pragma once
 #include <cstddef>
 #include <cstdint>
@@ -24,9 +24,9 @@
   /// Throws std::runtime_error if `address` is not an IPv4 address with a port.
   Client(Loop& loop, std::string address, std::size_t max_connections, std::size_t max_queue);
   ~Client();
-  /// Calls back exactly once, in a later turn of the loop, unless the client is destroyed before.
+  /// Calls `done` exactly once, in a later turn of the loop, unless the client is destroyed first.
   void request(std::string method, std::string target, std::string body, double timeout_s, Callback done);
-  /// Sees how each request ended, before its caller does.
+  /// Sets an observer, which receives the result of each request before the request's callback does.
   void observe(Observer observer) { observer_ = std::move(observer); }
   const std::string& address() const { return address_; }
   bool busy() const { return !active_.empty() || !queue_.empty() || !transported_.empty(); }
@@ -36,8 +36,8 @@
     std::string bytes;
     double deadline = 0;  // s of the steady clock
     Callback done;
-    Request request = {};  // for a transport, instead of the bytes
-    bool sent = false;     // by a transport
+    Request request = {};  // used instead of `bytes` with a transport
+    bool sent = false;     // set with a transport only
     TrafficCount* traffic = nullptr;
   };
   struct Connection;
@@ -46,8 +46,9 @@
   PendingRequest serialize(const std::string& method, const std::string& target,
                            const std::string& body) const;
   PendingRequest take_from_queue();
-  /// Hands queued requests to connections, or to the transport, as far as there are free ones.
+  /// Starts queued requests while a connection is idle or a new one may be opened.
   void pump();
+  /// The same as pump(), on the transport.
   void pump_transport();
   void on_transported(std::uint64_t id, Result result);
   void open_connection(PendingRequest pending);
@@ -55,20 +56,20 @@
   void start(Connection& connection, PendingRequest pending);
 
   void on_ready(Connection* connection, int events);
-  /// Whether the connection is established; if it cannot be, its request has failed.
+  /// Returns whether the connection is established. If connecting failed, fails its request.
   bool finish_connecting(Connection* connection, int events);
-  /// Whether the connection is still usable.
+  /// Returns whether the connection is still usable.
   bool write_request(Connection* connection);
   void read_response(Connection* connection);
   void on_peer_closed(Connection* connection);
-  void forget_idle(const Connection* connection);
+  void remove_idle(const Connection* connection);
   void complete(Connection* connection, Result result, bool reusable);
   void fail(Connection* connection, const char* why);
 
   void check_deadlines();
-  std::vector<PendingRequest> take_late_queued(double now);
-  std::vector<PendingRequest> take_late_transported(double now);
-  std::vector<Connection*> late_connections(double now) const;
+  std::vector<PendingRequest> take_expired_queued(double now);
+  std::vector<PendingRequest> take_expired_transported(double now);
+  std::vector<Connection*> expired_connections(double now) const;
   double next_deadline() const;
   void arm_deadline_timer();
 
@@ -80,7 +81,7 @@
   std::list<PendingRequest> queue_;
   Connections active_;
   Connections idle_;
-  Transport* transport_;  // null: sockets
+  Transport* transport_;  // null: sockets are used
   std::map<std::uint64_t, PendingRequest> transported_;
   std::uint64_t next_transported_ = 1;
   std::size_t transported_idle_ = 0;  // open connections of the transport that are not in use
--- a/src/net/http_message.cc
+++ b/src/net/http_message.cc
@@ -38,7 +38,7 @@
   }
 }
 
-/// Guards against splitting the header: only printable characters, without those that end the quotes.
+/// Prevents header injection: drops non-printable characters and replaces quotes and backslashes.
 std::string quoted_text(const std::string& text) {
   std::string out;
   for (char character : text) {
--- a/src/net/http_message.h
+++ b/src/net/http_message.h
@@ -11,7 +11,7 @@
   std::string target;
   std::string body;
   bool keep_alive = true;
-  // As sent, empty if not:
+  // Header values; empty if the header is missing:
   std::string content_type = {};
   std::string accept = {};
   std::string authorization = {};
@@ -28,20 +28,20 @@
 
 /// How a request ended.
 struct Result {
-  int status = 0;  // 0: no response; the request may or may not have been executed
+  int status = 0;  // 0: no response; the request may have been executed unless `sent` is false
   std::string body;
-  bool sent = true;        // false: it surely never left this process
+  bool sent = true;        // false: the request certainly never left this process
   std::string error = {};  // why there is no response, for logs
   bool ok() const { return status == 200; }
 
   static Result response(int status, std::string body) { return {status, std::move(body), true}; }
-  /// It never left this process.
+  /// The request never left this process.
   static Result not_sent(std::string why) { return {0, "", false, std::move(why)}; }
-  /// It may have been executed.
+  /// The request may have been executed.
   static Result unanswered(std::string why) { return {0, "", true, std::move(why)}; }
 };
 
-/// The bytes of a response; `chunked`: of its head only, the body follows in chunks.
+/// Returns the bytes of a response; if `chunked`, of its head only, since the body follows in chunks.
 std::string serialize(const Response& response, bool keep_alive, bool chunked = false);
 
 }  // namespace corkmux::http
--- a/src/net/http_parser.cc
+++ b/src/net/http_parser.cc
@@ -31,7 +31,7 @@
   return std::all_of(text.begin(), text.end(), [](char c) { return c >= 'A' && c <= 'Z'; });
 }
 
-/// Takes the first line off the text.
+/// Removes the first line from the text and returns it, without the line end.
 std::string_view take_line(std::string_view& text) {
   auto end = text.find(kLineEnd);
   auto line = text.substr(0, end);
@@ -136,7 +136,7 @@
 }
 
 bool Parser::begin_body(const Framing& framing) {
-  // Guards against smuggling: two ways to tell one length would let two readers disagree.
+  // Prevents request smuggling: with both headers, two parsers could disagree on the length of the body.
   if (framing.has_length && framing.chunked) return reject(400);
   if (framing.has_length && length_ > max_body_) return reject(413);
   if (framing.chunked) {
@@ -182,11 +182,11 @@
 }
 
 Parser::Step Parser::read_head() {
-  // Blank lines before a request are tolerated, as RFC 9112 asks.
+  // RFC 9112 asks to ignore blank lines before a request.
   std::size_t blank = 0;
   while (scanned_ == 0 && buffer_.compare(blank, kLineEnd.size(), kLineEnd) == 0) blank += kLineEnd.size();
   buffer_.erase(0, blank);
-  // The mark may have begun in the bytes that were scanned before.
+  // The end of the head may have begun in the bytes scanned before.
   auto end = buffer_.find(kHeadEnd, scanned_ >= kHeadEnd.size() ? scanned_ - (kHeadEnd.size() - 1) : 0);
   auto head_bytes = end == std::string::npos ? buffer_.size() : end;
   if (head_bytes > constants::kMaxHeaderBytes) return bad(431);
@@ -214,7 +214,7 @@
   if (end == std::string::npos)
     return buffer_.size() > constants::kMaxChunkSizeLine ? bad(400) : State::NeedMore;
   auto line = std::string_view(buffer_).substr(0, end);
-  auto size = trim(line.substr(0, line.find(';')));  // what follows the semicolon is an extension
+  auto size = trim(line.substr(0, line.find(';')));  // chunk extensions follow the semicolon
   if (!parse_number(size, length_, 16)) return bad(400);
   buffer_.erase(0, end + kLineEnd.size());
   if (length_ > max_body_ || body.size() + length_ > max_body_) return bad(413);
--- a/src/net/http_parser.h
+++ b/src/net/http_parser.h
@@ -1,4 +1,5 @@
-// An incremental parser of HTTP/1.1 requests or responses. Takes any split of the bytes; knows no sockets.
+// An incremental parser of HTTP/1.1 requests or responses. Accepts the bytes in pieces of any size;
+// independent of sockets.
 #pragma once
 #include <cstddef>
 #include <optional>
@@ -13,15 +14,15 @@
   enum class State { NeedMore, Done, Bad };
   Parser(Mode mode, std::size_t max_body) : mode_(mode), max_body_(max_body) {}
   State feed(std::string_view bytes);
-  /// The peer closed: completes a response whose length only the end tells.
+  /// Handles a close by the peer: completes a response whose body is delimited by the close.
   State finish();
-  /// Makes ready for the next message; bytes that came after the last one stay.
+  /// Prepares for the next message; keeps the bytes received after the last one.
   void reset();
 
   int error_status() const { return error_; }  // 400, 413, 431 or 501 after Bad
   bool idle() const { return stage_ == Stage::Head && buffer_.empty(); }
 
-  // What was parsed; complete after Done.
+  // The parsed message; complete after Done.
   std::string method;
   std::string target;
   std::string body;
@@ -33,12 +34,12 @@
 
  private:
   enum class Stage { Head, Body, ChunkSize, ChunkData, Trailer, UntilClose, Done, Bad };
-  /// What the head says about the length of the body.
+  /// How the head delimits the body.
   struct Framing {
     bool has_length = false;
     bool chunked = false;
   };
-  /// The state to return, or nothing when the next stage can go on with the buffered bytes.
+  /// The state to return, or nullopt if the next stage can continue with the buffered bytes.
   using Step = std::optional<State>;
   Step advance();
   Step read_head();
@@ -62,8 +63,8 @@
   std::size_t max_body_;  // bytes
   Stage stage_ = Stage::Head;
   std::string buffer_;
-  std::size_t scanned_ = 0;  // bytes of the buffer in which no head ends
-  std::size_t length_ = 0;   // bytes of the body, or of the chunk
+  std::size_t scanned_ = 0;  // bytes of the buffer already searched for the end of the head
+  std::size_t length_ = 0;   // bytes of the body or of the current chunk
   int error_ = 400;
 };
 
--- a/src/net/http_server.cc
+++ b/src/net/http_server.cc
@@ -24,7 +24,7 @@
   Parser parser;
   std::unique_ptr<IoWatcher> io;
   std::string out;
-  std::size_t offset = 0;           // bytes of `out` that are sent
+  std::size_t offset = 0;           // bytes of `out` that have been sent
   std::string waiting;              // received while a request is served
   std::size_t received = 0;         // bytes of the request that is being read
   TrafficCount* traffic = nullptr;  // of the request that is being served
@@ -68,7 +68,7 @@
   ::getsockname(listener_->get(), reinterpret_cast<sockaddr*>(&socket_address), &size);
   port_ = ntohs(socket_address.sin_port);
   accept_io_ = std::make_unique<IoWatcher>(loop_, listener_->get(), [this](int) { on_acceptable(); });
-  accept_io_->want(EV_READ);
+  accept_io_->set_events(EV_READ);
   idle_timer_.every(constants::kIdleConnection / 4, [this] { drop_idle(); });
 }
 
@@ -99,7 +99,7 @@
 }
 
 bool Server::ensure_capacity() {
-  // Guards memory and sockets in a reconnect storm: beyond the limit the longest idle caller goes first.
+  // Bounds memory and sockets in a reconnect storm: at the limit, the longest idle connection is dropped.
   if (connections_.size() < max_connections_) return true;
   const Connection* oldest = nullptr;
   for (const auto& [id, connection] : connections_) {
@@ -117,7 +117,7 @@
   auto connection = std::make_unique<Connection>(id, descriptor);
   connection->io =
       std::make_unique<IoWatcher>(loop_, descriptor, [this, id](int events) { on_ready(id, events); });
-  connection->io->want(EV_READ);
+  connection->io->set_events(EV_READ);
   connections_.emplace(id, std::move(connection));
 }
 
@@ -148,7 +148,7 @@
   }
   connection.last_used = steady_now();
   if (!connection.serving) return advance(connection, bytes);
-  // Nobody pipelines; a bounded amount is kept all the same.
+  // Clients are not expected to pipeline; a bounded number of early bytes is buffered nevertheless.
   if (connection.waiting.size() + bytes.size() > constants::kMaxRequestBody) return drop(connection.id);
   connection.waiting += bytes;
 }
@@ -211,10 +211,10 @@
   flush(*connection);
 }
 
-bool Server::part(ConnectionId id, std::string_view bytes) {
+bool Server::send_chunk(ConnectionId id, std::string_view bytes) {
   Connection* connection = find(id);
   if (!connection) return false;
-  if (bytes.empty()) return true;  // a chunk without bytes would end the response
+  if (bytes.empty()) return true;  // an empty chunk would end the response
   char size[20];
   auto* end = std::to_chars(size, size + sizeof size, bytes.size(), 16).ptr;
   connection->out.append(size, end).append("\r\n").append(bytes).append("\r\n");
@@ -243,10 +243,10 @@
     case IoStatus::Closed:
       return drop(connection.id);
     case IoStatus::Blocked:
-      return connection.io->want(EV_READ | EV_WRITE);
+      return connection.io->set_events(EV_READ | EV_WRITE);
     case IoStatus::Done:
       if (connection.closing && !connection.serving) return drop(connection.id);
-      connection.io->want(EV_READ);
+      connection.io->set_events(EV_READ);
   }
 }
 
--- a/src/net/http_server.h
+++ b/src/net/http_server.h
@@ -1,5 +1,5 @@
-// An HTTP/1.1 server on libev, or on the transport of a simulated host. Requests of one connection are served
-// one after the other, never pipelined; the number of connections is bounded.
+// An HTTP/1.1 server on libev, or on the transport of a simulated host. Serves the requests of one
+// connection one after the other, without pipelining. The number of connections is bounded.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -20,21 +20,21 @@
  public:
   using ConnectionId = std::uint64_t;
   using Handler = std::function<void(ConnectionId, Request)>;
-  /// Binds at once; throws std::runtime_error when the address cannot be had.
+  /// Binds at once; throws std::runtime_error if the address cannot be bound.
   Server(Loop& loop, const std::string& address, std::size_t max_connections, Handler handler);
   ~Server();
   void respond(ConnectionId id, const Response& response);
-  /// A chunked response: its head, then any number of parts, then its end, with which the connection closes.
+  /// Starts a chunked response: begin(), any number of send_chunk(), then end(), which closes the connection.
   void begin(ConnectionId id, const Response& head);
-  /// false: the caller is gone.
-  bool part(ConnectionId id, std::string_view bytes);
+  /// Sends one chunk. Returns false if the client has disconnected.
+  bool send_chunk(ConnectionId id, std::string_view bytes);
   void end(ConnectionId id);
   bool connected(ConnectionId id) const { return connections_.contains(id) || transported_.contains(id); }
-  /// Bytes of its response that the caller has not taken yet.
+  /// Bytes of the response that the socket has not accepted yet.
   std::size_t unsent(ConnectionId id) const;
-  /// Takes no new connections; open ones close with their next response.
+  /// Accepts no new connections; open ones close with their next response.
   void close();
-  /// Whether a request waits for its response, or a response to be sent; chunked ones not counted.
+  /// Whether a request is unanswered or a response is not fully sent; chunked responses are not counted.
   bool busy() const;
   int port() const { return port_; }
   std::size_t connections() const { return connections_.size() + transported_.size(); }
@@ -43,12 +43,12 @@
   struct Connection;
   void listen(const std::string& address);
   void on_acceptable();
-  /// Whether there is room for one more connection, after dropping the longest idle one if need be.
+  /// Returns whether one more connection is allowed, after dropping the longest idle one if necessary.
   bool ensure_capacity();
   void add_connection(int descriptor);
   void on_ready(ConnectionId id, int events);
   void on_readable(Connection& connection);
-  /// Feeds bytes of the caller to the parser, and serves the request if it is complete.
+  /// Feeds received bytes to the parser, and serves the request if it is complete.
   void advance(Connection& connection, std::string_view bytes);
   void serve(Connection& connection);
   void flush(Connection& connection);
@@ -57,7 +57,7 @@
   void drop_idle();
 
   Loop& loop_;
-  Transport* transport_;  // null: sockets. Chunked responses are for sockets only.
+  Transport* transport_;  // null: sockets are used. Chunked responses need sockets.
   std::unordered_map<ConnectionId, Transport::Answer> transported_;
   std::size_t max_connections_;
   Handler handler_;
--- a/src/net/net_constants.h
+++ b/src/net/net_constants.h
@@ -4,14 +4,15 @@
 
 namespace corkmux::constants {
 
-inline constexpr std::size_t kMaxHeaderBytes = 16 * 1024;  // bytes; PROTOCOL's callers need less than 2 KiB
-inline constexpr std::size_t kMaxRequestBody = 64 * 1024;  // bytes; PROTOCOL's limit for requests
+inline constexpr std::size_t kMaxHeaderBytes =
+    16 * 1024;  // bytes; clients of the protocol need less than 2 KiB
+inline constexpr std::size_t kMaxRequestBody = 64 * 1024;  // bytes; the protocol's limit for requests
 inline constexpr std::size_t kMaxResponseBody =
-    8 * 1024 * 1024;                                  // bytes; a watch has no limit, our memory has
+    8 * 1024 * 1024;  // bytes; a watch response is unbounded, this process's memory is not
 inline constexpr std::size_t kMaxChunkSizeLine = 64;  // bytes
 inline constexpr std::size_t kReadChunk = 16 * 1024;  // bytes read per wake-up
-inline constexpr int kListenBacklog = 4096;           // connections; after an outage all callers come at once
-inline constexpr int kAcceptsPerWakeup = 32;          // connections
-inline constexpr double kIdleConnection = 75;         // s; far above the period of polls and heartbeats
+inline constexpr int kListenBacklog = 4096;    // connections; all clients reconnect at once after an outage
+inline constexpr int kAcceptsPerWakeup = 32;   // connections
+inline constexpr double kIdleConnection = 75;  // s; far longer than the period of polls and heartbeats
 
 }  // namespace corkmux::constants
--- a/src/net/parse_number.h
+++ b/src/net/parse_number.h
@@ -1,4 +1,4 @@
-// Numbers of headers and addresses.
+// Parsing of numbers in headers and addresses.
 #pragma once
 #include <charconv>
 #include <string_view>
@@ -6,7 +6,7 @@
 
 namespace corkmux::http {
 
-/// Whether the whole text is a number; sets `out` if so.
+/// Returns whether the whole text is a number, and sets `out` if so.
 template <typename Number>
 bool parse_number(std::string_view text, Number& out, int base = 10) {
   if (text.empty()) return false;
--- a/src/net/socket.cc
+++ b/src/net/socket.cc
@@ -20,7 +20,7 @@
 
 bool would_block() { return errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR; }
 
-/// The port at the end of "host:port", -1 if there is none.
+/// Parses a port number; returns -1 if the text is none.
 int parse_port(std::string_view text) {
   int port = 0;
   return parse_number(text, port) && port >= 0 && port <= kMaxPort ? port : -1;
--- a/src/net/socket.h
+++ b/src/net/socket.h
@@ -21,18 +21,18 @@
   int fd_;
 };
 
-/// "a.b.c.d:port"; throws std::runtime_error if it is not that.
+/// Parses "a.b.c.d:port"; throws std::runtime_error on any other text.
 sockaddr_in parse_address(const std::string& address);
 
-/// A descriptor of a new non-blocking socket, -1 with errno set if there is none.
+/// Returns the descriptor of a new non-blocking socket, or -1 with errno set.
 int open_socket();
-/// Sends small messages at once.
+/// Disables Nagle's algorithm, so that small messages are sent at once.
 void disable_delay(int fd);
 
 enum class IoStatus { Done, Blocked, Closed };
-/// Replaces `into` by what is there to read.
+/// Replaces `into` by the bytes available to read, at most kReadChunk.
 IoStatus read_some(int fd, std::string& into);
-/// Writes `out` from `offset` on; when all is written, clears both.
+/// Writes `out` from `offset` on; clears both when everything is written.
 IoStatus write_some(int fd, std::string& out, std::size_t& offset);
 
 }  // namespace corkmux::http
--- a/src/net/traffic.cc
+++ b/src/net/traffic.cc
@@ -5,7 +5,8 @@
 namespace corkmux::http {
 namespace {
 
-/// The first segment of the path, and the second unless it has a digit, as names of jobs and keys have.
+/// Returns the first segment of the path, and the second unless it contains a digit, as the names of jobs and
+/// keys do.
 std::string_view general_part(std::string_view target) {
   target = target.substr(0, target.find('?'));
   auto first = target.find('/', 1);
--- a/src/net/traffic.h
+++ b/src/net/traffic.h
@@ -1,5 +1,5 @@
-// Counts of the messages and bytes of this process, by kind: what `docs/CAPACITY.md` and the scale test
-// measure. A kind is a method with the part of the path that names no single job, key or request.
+// Counts the messages and bytes of this process by kind, as reported in `docs/CAPACITY.md` and by the scale
+// test. A kind is a method with the part of the path that does not identify a single job, key or request.
 #pragma once
 #include <cstddef>
 #include <cstdint>
@@ -22,12 +22,14 @@
     static Traffic traffic;
     return traffic;
   }
-  /// The count of that kind, which lives as long as the process. Callers choose paths, so kinds are bounded.
+  /// Returns the count of that kind, which lives as long as the process. The number of kinds is bounded,
+  /// since clients choose the paths.
   TrafficCount& kind(Side side, std::string_view method, std::string_view target);
   const std::map<std::string, TrafficCount, std::less<>>& counts() const { return counts_; }
 
  private:
-  static constexpr std::size_t kMaxKinds = 64;  // PROTOCOL and our own messages have some twenty
+  /// The protocol and the messages between controllers have about twenty kinds.
+  static constexpr std::size_t kMaxKinds = 64;
   std::map<std::string, TrafficCount, std::less<>> counts_;
 };
 
--- a/src/scheduler/machine_lifecycle.cc
+++ b/src/scheduler/machine_lifecycle.cc
@@ -186,7 +186,7 @@
 
 std::vector<std::string> MachineLifecycle::machines_with_expired_leases(double now) const {
   const SchedulerConfig& config = state_.config();
-  double lease = config.lease_s * (1 + c::kClockDrift) + c::kProofMargin;
+  double lease = config.lease_s * (1 + c::kClockDrift) + c::kTimeoutSafetyMargin;
   if (mutation_enabled("a lease expires after a half of its length")) lease /= 2;
   std::vector<std::string> out;
   for (const auto& [name, machine] : state_.machines()) {
--- a/src/scheduler/machine_reservations.cc
+++ b/src/scheduler/machine_reservations.cc
@@ -27,7 +27,7 @@
   for (const Job* job : waiting) {
     const JobSpec& spec = job->spec;
     // What its own team's limit holds back waits for no other; what fails is not kept from being served.
-    if (state_.within_limit(spec.team, spec.at_once()) && !job->fails_by_itself) {
+    if (state_.within_limit(spec.team, spec.resources_to_start()) && !job->fails_by_itself) {
       double wait_s = ahead.cpus / all.cpus;
       if (spec.need.gpus > 0) wait_s = std::max(wait_s, ahead.gpus / all.gpus);
       const double waited_s = now - job->ready_at;
--- a/src/scheduler/placement.cc
+++ b/src/scheduler/placement.cc
@@ -128,7 +128,7 @@
 
 bool Placement::place_gang(Job& job, double now) {
   const JobSpec& spec = job.spec;
-  if (!state_.within_limit(spec.team, spec.at_once())) {
+  if (!state_.within_limit(spec.team, spec.resources_to_start())) {
     job.why = "waiting: the team's limit leaves no room for the whole gang";
     return false;
   }
--- a/src/scheduler/task_lifecycle.cc
+++ b/src/scheduler/task_lifecycle.cc
@@ -155,7 +155,7 @@
     case ExitReason::Error:
       failures_.task_failed(machine, job, now);
       break;
-    case ExitReason::NoRoom:
+    case ExitReason::NoCapacity:
       machine.no_capacity_until = next_heartbeat;
       break;
     case ExitReason::Busy:
--- a/src/simulation/progress_sampler.cc
+++ b/src/simulation/progress_sampler.cc
@@ -38,7 +38,7 @@
   auto team = std::find_if(sources_.teams.begin(), sources_.teams.end(),
                            [&](const Team& candidate) { return candidate.name == spec.team; });
   Resources use = sources_.checker.team_usage(spec.team);
-  use += spec.at_once();
+  use += spec.resources_to_start();
   return team->allows(use);
 }
 
--- a/src/wire/cloud_codec.cc
+++ b/src/wire/cloud_codec.cc
@@ -11,7 +11,7 @@
 
 using namespace names;
 
-constexpr double kMinFetchRate = 1e-3;   // GB/s; guards divisions against a catalog without it
+constexpr double kMinFetchRate = 1e-3;   // GB/s; prevents a division by zero if the catalog gives no rate
 constexpr double kDefaultBootTime = 60;  // s
 
 MachineType parse_type(const Json& body) {
@@ -74,20 +74,20 @@
   return {{kMachineTypes, std::move(list)}};
 }
 
-Json rent_request(const std::string& request, const std::string& type, const std::string& zone, bool spot,
-                  int count) {
+Json provision_request(const std::string& request, const std::string& type, const std::string& zone,
+                       bool spot, int count) {
   return {{kRequestId, request}, {kMachineType, type}, {kZone, zone}, {kSpot, spot}, {kCount, count}};
 }
 
-std::vector<std::string> parse_rented(const Json& body) { return texts(body, kMachines); }
+std::vector<std::string> parse_provisioned(const Json& body) { return texts(body, kMachines); }
 
 bool is_no_capacity(const Json& body) { return text(body, kError) == kNoCapacity; }
 
 Json delete_request(const std::vector<std::string>& names) { return {{kMachines, names}}; }
 
-std::string list_path(const std::string& after, int most) {
+std::string list_path(const std::string& after, int limit) {
   return "/hosts?" + (after.empty() ? std::string() : "after=" + after + "&") +
-         "most=" + std::to_string(most);
+         "most=" + std::to_string(limit);
 }
 
 MachineList parse_machines(const Json& body) {
--- a/src/wire/codec.h
+++ b/src/wire/codec.h
@@ -1,4 +1,5 @@
-// The only folder that knows PROTOCOL's wire names (wire_names.h). Everything else speaks the field's terms.
+// Includes all codecs. The protocol's wire names (wire_names.h) are used in this folder only; all other code
+// uses standard terms.
 #pragma once
 #include "cloud_codec.h"
 #include "model.h"
--- a/src/wire/field_error.h
+++ b/src/wire/field_error.h
@@ -1,4 +1,4 @@
-// Why a submission is refused.
+// The error for a rejected submission.
 #pragma once
 #include <string>
 
@@ -7,7 +7,7 @@
 struct FieldError {
   std::string field;  // empty: the body as a whole
   std::string problem;
-  /// For users.
+  /// The error text for users.
   std::string text() const { return field.empty() ? problem : field + ": " + problem; }
 };
 
--- a/src/wire/msgpack.cc
+++ b/src/wire/msgpack.cc
@@ -5,7 +5,8 @@
 namespace corkmux::codec {
 namespace {
 
-/// Guards the stack: in MessagePack one byte opens a level, and both parser and destructor recurse.
+/// Limits the nesting depth to protect the stack: in MessagePack one byte opens a level, and both the parser
+/// and the destructor recurse.
 class BoundedBuilder : public nlohmann::detail::json_sax_dom_parser<Json> {
  public:
   explicit BoundedBuilder(Json& out) : json_sax_dom_parser(out, false) {}
--- a/src/wire/msgpack.h
+++ b/src/wire/msgpack.h
@@ -1,4 +1,4 @@
-// MessagePack bodies.
+// Encoding and decoding of MessagePack bodies.
 #pragma once
 #include <nlohmann/json.hpp>
 #include <optional>
@@ -10,7 +10,8 @@
 using Json = nlohmann::json;
 
 std::string pack(const Json& value);
-/// nullopt when the bytes are not one MessagePack value, or one that is nested too deeply.
+/// Returns nullopt if the bytes are not exactly one MessagePack value, or if it is nested deeper than
+/// kMaxDepth.
 std::optional<Json> unpack(std::string_view bytes);
 
 }  // namespace corkmux::codec
--- a/src/wire/name_table.h
+++ b/src/wire/name_table.h
@@ -1,4 +1,4 @@
-// Tables between enum values and PROTOCOL's names of them, for the codecs of this folder only.
+// Tables that map enum values to the protocol's names, for the codecs of this folder only.
 #pragma once
 #include <cstddef>
 #include <optional>
@@ -22,7 +22,7 @@
   return std::nullopt;
 }
 
-/// Empty if the value has no name.
+/// Returns an empty string if the value has no name.
 template <typename Enum>
 const char* to_name(const NameTable<Enum>& table, Enum value) {
   for (const auto& entry : table)
@@ -30,7 +30,7 @@
   return "";
 }
 
-/// The place of a name in its table, by which messages between controllers refer to it.
+/// The index of a name in its table, which stands for the name in messages between controllers.
 template <typename Enum>
 std::optional<int> index_of(const NameTable<Enum>& table, std::string_view name) {
   for (std::size_t i = 0; i < table.size(); ++i)
--- a/src/wire/state_store_codec.cc
+++ b/src/wire/state_store_codec.cc
@@ -12,7 +12,7 @@
 
 constexpr double kMillisecondsPerSecond = 1000;
 
-/// Null if there is none.
+/// Returns null if the body has no value.
 Json value_of(const Json& body) {
   const Json* value = field(body, kValue);
   return value ? *value : Json();
@@ -34,8 +34,8 @@
 
 std::string key_path(const std::string& key) { return "/kv/" + key; }
 
-std::string prefix_path(const std::string& prefix, const std::string& after, int most) {
-  return "/kv?under=" + prefix + (after.empty() ? "" : "&after=" + after) + "&most=" + std::to_string(most);
+std::string prefix_path(const std::string& prefix, const std::string& after, int limit) {
+  return "/kv?under=" + prefix + (after.empty() ? "" : "&after=" + after) + "&most=" + std::to_string(limit);
 }
 
 std::string watch_path(const std::string& prefix, std::uint64_t after, double wait_s) {
@@ -56,8 +56,8 @@
   return {{kConditions, std::move(condition_list)}, {kWrites, std::move(write_list)}};
 }
 
-Json lease_request(double life_s) {
-  return {{kLeaseLife, static_cast<std::uint64_t>(life_s * kMillisecondsPerSecond)}};
+Json lease_request(double duration_s) {
+  return {{kLeaseDuration, static_cast<std::uint64_t>(duration_s * kMillisecondsPerSecond)}};
 }
 
 std::uint64_t parse_lease(const Json& body) { return integer(body, kLeaseId); }
--- a/src/wire/user_codec.cc
+++ b/src/wire/user_codec.cc
@@ -61,14 +61,14 @@
   if (!list->is_array() || list->size() > constants::kMaxTypes) throw FieldError{kMachineTypes, "not a list"};
   std::vector<std::string> types;
   for (const auto& type : *list) {
-    if (!type.is_string() || !is_good_name(type.get_ref<const std::string&>()))
+    if (!type.is_string() || !is_valid_name(type.get_ref<const std::string&>()))
       throw FieldError{kMachineTypes, "not a list of texts"};
     types.push_back(type.get<std::string>());
   }
   return types;
 }
 
-/// Each once, in the order of the submission.
+/// Returns the dependencies without duplicates, in the order of the submission.
 std::vector<std::string> parse_dependencies(const Json& body) {
   std::vector<std::string> dependencies;
   const Json* list = field(body, kDependencies);
@@ -84,7 +84,7 @@
   return dependencies;
 }
 
-/// The first field that is wrong, in this order, is the one that is named.
+/// Throws FieldError for the first invalid field, in the order of the checks below.
 JobSpec need_job(const Json& body) {
   JobSpec job;
   job.id = need_job_id(body);
--- a/src/wire/user_codec.h
+++ b/src/wire/user_codec.h
@@ -1,5 +1,5 @@
-// What users send and receive: submissions, displays of jobs, errors, and the paths of all requests to a
-// controller.
+// Requests of users and their responses: submissions, views of jobs, errors; and the paths of all requests to
+// a controller.
 #pragma once
 #include <optional>
 #include <string>
@@ -13,19 +13,19 @@
 
 struct ParsedJob {
   std::optional<JobSpec> job;
-  FieldError error;  // if there is no job
+  FieldError error;  // set if `job` is absent
 };
 ParsedJob parse_job(const Json& body);
 Json job_to_wire(const JobSpec& job);
 bool valid_job_id(std::string_view id);
 
-/// A job as it is displayed to users.
+/// A job as displayed to users.
 struct JobView {
   std::string id;
   std::string phase;
   int done = 0;
   int running = 0;
-  std::string reason;  // why it waits or failed; an extra field, may be empty
+  std::string reason;  // why the job waits or failed; an optional field, may be empty
 };
 Json view_to_wire(const JobView& view, bool with_counts);
 Json error_to_wire(std::string_view text);
--- a/src/wire/wire_fields.cc
+++ b/src/wire/wire_fields.cc
@@ -23,9 +23,9 @@
   return value && value->is_string() ? value->get<std::string>() : std::string();
 }
 
-double number(const Json& map, const char* name, double otherwise) {
+double number(const Json& map, const char* name, double default_value) {
   const Json* value = field(map, name);
-  return value && value->is_number() ? value->get<double>() : otherwise;
+  return value && value->is_number() ? value->get<double>() : default_value;
 }
 
 std::uint64_t integer(const Json& map, const char* name) {
@@ -50,14 +50,14 @@
   return out;
 }
 
-bool is_good_name(std::string_view name) {
+bool is_valid_name(std::string_view name) {
   if (name.empty() || name.size() > constants::kMaxText) return false;
   return std::none_of(name.begin(), name.end(), [](unsigned char c) { return c <= ' ' || c == 127; });
 }
 
 std::string need_text(const Json& map, const char* name) {
   std::string value = text(map, name);
-  if (!is_good_name(value)) throw FieldError{name, "missing or not a short text"};
+  if (!is_valid_name(value)) throw FieldError{name, "missing or not a short text"};
   return value;
 }
 
--- a/src/wire/wire_fields.h
+++ b/src/wire/wire_fields.h
@@ -1,4 +1,4 @@
-// Reading of single fields of a decoded body, for the codecs of this folder only. What is missing or of
+// Reads single fields of a decoded body, for the codecs of this folder only. A field that is missing or of
 // another type reads as empty; the need_ functions throw FieldError instead.
 #pragma once
 #include <cstdint>
@@ -17,18 +17,19 @@
 /// Null unless the field is a list.
 const Json* list_field(const Json& map, const char* name);
 std::string text(const Json& map, const char* name);
-double number(const Json& map, const char* name, double otherwise = 0);
+double number(const Json& map, const char* name, double default_value = 0);
 /// Negative numbers read as 0.
 std::uint64_t integer(const Json& map, const char* name);
 bool flag(const Json& map, const char* name);
-/// The texts of a list; other items are left out.
+/// The strings of a list; other items are skipped.
 std::vector<std::string> texts(const Json& map, const char* name);
 
-/// Guards against hostile submissions: names end up in state keys, logs and memory.
-bool is_good_name(std::string_view name);
+/// Validates names from untrusted submissions, since names are used in state keys and logs and kept in
+/// memory.
+bool is_valid_name(std::string_view name);
 
 std::string need_text(const Json& map, const char* name);
-/// An amount: finite, not negative, at most kMaxAmount.
+/// Returns an amount: finite, not negative, at most kMaxAmount.
 double need_amount(const Json& map, const char* name);
 bool need_flag(const Json& map, const char* name);
 
--- a/src/wire/wire_names.h
+++ b/src/wire/wire_names.h
@@ -1,4 +1,4 @@
-// PROTOCOL's words, each named once by the term that the rest of the code uses.
+// The wire names of the protocol. Each constant is named by the term that the rest of the code uses.
 #pragma once
 
 namespace corkmux::codec::names {
@@ -76,7 +76,7 @@
 inline constexpr const char* kRevision = "stamp";
 inline constexpr const char* kStoreRevision = "epoch";
 inline constexpr const char* kLeaseId = "tenure";
-inline constexpr const char* kLeaseLife = "lifeMs";
+inline constexpr const char* kLeaseDuration = "lifeMs";
 inline constexpr const char* kConditions = "if";
 inline constexpr const char* kWrites = "writes";
 inline constexpr const char* kWrite = "write";
--- a/src/wire/worker_codec.cc
+++ b/src/wire/worker_codec.cc
@@ -13,7 +13,7 @@
 
 using namespace names;
 
-// The order is that of the compact forms and never changes.
+// The compact encoding stores the index in these tables, so their order never changes.
 const NameTable<TaskState> kStates{{"fetching", TaskState::Fetching},
                                    {"waiting", TaskState::Waiting},
                                    {"running", TaskState::Running},
@@ -21,7 +21,7 @@
                                    {"ended", TaskState::Exited}};
 const NameTable<ExitReason> kReasons{
     {"done", ExitReason::Done},   {"halted", ExitReason::Stopped}, {"mates_gone", ExitReason::PeersGone},
-    {"alone", ExitReason::Alone}, {"error", ExitReason::Error},    {"no_room", ExitReason::NoRoom},
+    {"alone", ExitReason::Alone}, {"error", ExitReason::Error},    {"no_room", ExitReason::NoCapacity},
     {"busy", ExitReason::Busy},   {"unknown", ExitReason::Unknown}};
 const NameTable<TaskCommand::Op> kOperations{
     {kStart, TaskCommand::Op::Start}, {kStop, TaskCommand::Op::Stop}, {kForget, TaskCommand::Op::Forget}};
@@ -45,13 +45,13 @@
   return index < list.size() && list[index].is_string() ? list[index].get<std::string>() : std::string();
 }
 
-/// Empty if the index names nothing.
+/// Returns an empty string if the index is out of range.
 template <typename Enum>
 const char* name_at(const NameTable<Enum>& table, const Json& index) {
   if (!index.is_number_integer()) return "";
-  auto place = index.get<std::int64_t>();
-  if (place < 0 || place >= static_cast<std::int64_t>(table.size())) return "";
-  return table[static_cast<std::size_t>(place)].name;
+  auto position = index.get<std::int64_t>();
+  if (position < 0 || position >= static_cast<std::int64_t>(table.size())) return "";
+  return table[static_cast<std::size_t>(position)].name;
 }
 
 /// Adds [index, attempt, state(, reason, saved)] under the status's job.
@@ -65,16 +65,16 @@
   tasks[task->job].push_back(std::move(status));
 }
 
-Json expand_status(const std::string& job, const Json& brief) {
-  Json status = {{kTask, task_name(job, brief[0].get<int>())},
-                 {kAttempt, brief[1]},
-                 {kPhase, name_at(kStates, brief[2])}};
-  if (brief.size() > 3) status[kExitReason] = name_at(kReasons, brief[3]);
-  if (brief.size() > 4) status[kSaved] = true;
+Json expand_status(const std::string& job, const Json& compact) {
+  Json status = {{kTask, task_name(job, compact[0].get<int>())},
+                 {kAttempt, compact[1]},
+                 {kPhase, name_at(kStates, compact[2])}};
+  if (compact.size() > 3) status[kExitReason] = name_at(kReasons, compact[3]);
+  if (compact.size() > 4) status[kSaved] = true;
   return status;
 }
 
-/// An operation by its first letter.
+/// Returns the operation that begins with this letter.
 std::string expand_operation(const std::string& letter) {
   for (const auto& operation : kOperations)
     if (letter == std::string(1, *operation.name)) return operation.name;
@@ -91,7 +91,7 @@
   heartbeat.address = text(body, kAddress);
   heartbeat.type = text(body, kMachineType);
   heartbeat.zone = text(body, kZone);
-  if (!is_good_name(heartbeat.machine) || !is_good_name(heartbeat.type) || !is_good_name(heartbeat.zone) ||
+  if (!is_valid_name(heartbeat.machine) || !is_valid_name(heartbeat.type) || !is_valid_name(heartbeat.zone) ||
       heartbeat.address.size() > constants::kMaxAddress)
     return std::nullopt;
   heartbeat.spot = flag(body, kSpot);
@@ -123,8 +123,8 @@
 }
 
 // [machine, address, type, zone, spot, worker epoch, sequence, fencing token, notice,
-//  {job: [index, attempt, state(, reason, saved)]...}]: statuses stand under their job, whose name is the
-//  long part.
+//  {job: [index, attempt, state(, reason, saved)]...}]: statuses are grouped by job, since the job's name
+//  is the longest field.
 Json compact_heartbeat(const Json& body) {
   if (!body.is_object()) return nullptr;
   Json tasks = Json::object();
@@ -137,49 +137,51 @@
           std::move(tasks)};
 }
 
-Json expand_heartbeat(const Json& brief) {
-  if (!brief.is_array() || brief.size() != kCompactHeartbeatFields || !brief[9].is_object()) return nullptr;
+Json expand_heartbeat(const Json& compact) {
+  if (!compact.is_array() || compact.size() != kCompactHeartbeatFields || !compact[9].is_object())
+    return nullptr;
   Json statuses = Json::array();
-  for (const auto& [job, tasks] : brief[9].items())
+  for (const auto& [job, tasks] : compact[9].items())
     for (const auto& task : tasks)
       if (task.is_array() && task.size() >= 3 && task[0].is_number_integer())
         statuses.push_back(expand_status(job, task));
-  return {{kMachine, text_at(brief, 0)},
-          {kAddress, text_at(brief, 1)},
-          {kMachineType, text_at(brief, 2)},
-          {kZone, text_at(brief, 3)},
-          {kSpot, brief[4] == 1},
-          {kWorkerEpoch, brief[5]},
-          {kSequence, brief[6]},
-          {kFencingToken, brief[7]},
-          {kNotice, brief[8]},
+  return {{kMachine, text_at(compact, 0)},
+          {kAddress, text_at(compact, 1)},
+          {kMachineType, text_at(compact, 2)},
+          {kZone, text_at(compact, 3)},
+          {kSpot, compact[4] == 1},
+          {kWorkerEpoch, compact[5]},
+          {kSequence, compact[6]},
+          {kFencingToken, compact[7]},
+          {kNotice, compact[8]},
           {kTaskStatuses, std::move(statuses)}};
 }
 
 // [fencing token, [operation, task, attempt(, grace)]...]
-Json compact_answer(const Json& body) {
+Json compact_commands(const Json& body) {
   if (!body.is_object()) return nullptr;
   Json out = {integer(body, kFencingToken)};
   if (const Json* commands = list_field(body, kCommands))
     for (const auto& command : *commands) {
-      Json brief = {text(command, kOperation).substr(0, 1), text(command, kTask), integer(command, kAttempt)};
-      if (const Json* grace = field(command, kGrace)) brief.push_back(*grace);
-      out.push_back(std::move(brief));
+      Json compact = {text(command, kOperation).substr(0, 1), text(command, kTask),
+                      integer(command, kAttempt)};
+      if (const Json* grace = field(command, kGrace)) compact.push_back(*grace);
+      out.push_back(std::move(compact));
     }
   return out;
 }
 
-Json expand_answer(const Json& brief) {
-  if (!brief.is_array() || brief.empty()) return nullptr;
+Json expand_commands(const Json& compact) {
+  if (!compact.is_array() || compact.empty()) return nullptr;
   Json commands = Json::array();
-  for (std::size_t i = 1; i < brief.size(); ++i) {
-    const Json& item = brief[i];
+  for (std::size_t i = 1; i < compact.size(); ++i) {
+    const Json& item = compact[i];
     if (!item.is_array() || item.size() < 3) continue;
     Json command = {{kOperation, expand_operation(text_at(item, 0))}, {kTask, item[1]}, {kAttempt, item[2]}};
     if (item.size() > 3) command[kGrace] = item[3];
     commands.push_back(std::move(command));
   }
-  return {{kFencingToken, brief[0]}, {kCommands, std::move(commands)}};
+  return {{kFencingToken, compact[0]}, {kCommands, std::move(commands)}};
 }
 
 Json redirect_to_wire(std::string_view label) { return {{kRedirectTarget, std::string(label)}}; }
--- a/src/wire/worker_codec.h
+++ b/src/wire/worker_codec.h
@@ -1,5 +1,5 @@
-// What workers send and receive: heartbeats, commands, redirects; and the compact forms of both in which
-// controllers relay them to each other.
+// Messages of workers: heartbeats, commands and redirects; and the compact encodings in which controllers
+// relay heartbeats and commands to each other.
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -12,20 +12,20 @@
 
 namespace corkmux::codec {
 
-/// The worker's path for commands.
+/// The path on which a worker accepts commands.
 inline constexpr const char* kCommandsPath = "/orders";
 
 std::optional<Heartbeat> parse_heartbeat(const Json& body);
 Json commands_to_wire(std::uint64_t fencing_token, const std::vector<TaskCommand>& commands,
                       std::optional<std::uint64_t> worker_epoch);
-/// To the controller of that name.
+/// A redirect to the controller with that name.
 Json redirect_to_wire(std::string_view label);
 
-/// The same bodies in few bytes, for messages relayed between controllers that read RecordFormat V2. Null:
-/// not such a body.
+/// Compact encodings of the same bodies, for messages relayed between controllers that read RecordFormat V2.
+/// Each returns null if its input is not such a body.
 Json compact_heartbeat(const Json& body);
-Json expand_heartbeat(const Json& brief);
-Json compact_answer(const Json& body);
-Json expand_answer(const Json& brief);
+Json expand_heartbeat(const Json& compact);
+Json compact_commands(const Json& body);
+Json expand_commands(const Json& compact);
 
 }  // namespace corkmux::codec
--- a/tests/loop_test.h
+++ b/tests/loop_test.h
@@ -1,4 +1,4 @@
-// The fixture of tests whose subjects run on an event loop in real time.
+// The fixture of tests that run an event loop in real time.
 #pragma once
 #include <gtest/gtest.h>
 
@@ -10,7 +10,8 @@
 
 class LoopTest : public ::testing::Test {
  protected:
-  /// `wait_limit_s`: of each wait that has no limit of its own; generous, since a slow machine is no failure.
+  /// `wait_limit_s`: the limit of each wait that is given none; generous, since a slow machine is not a
+  /// failure.
   explicit LoopTest(double wait_limit_s = 20) : wait_limit_s_(wait_limit_s) {}
 
   /// Runs the loop until the condition holds. Returns whether it did within the limit.
--- a/tests/platform_settings.h
+++ b/tests/platform_settings.h
@@ -1,4 +1,4 @@
-// A settings file as the platform hands it over, for tests.
+// A settings file in the platform's format, for tests.
 #pragma once
 #include <string>
 
