--- a/src/controller/controller.cc
+++ b/src/controller/controller.cc
@@ -7,7 +7,7 @@
 Controller::Controller(Loop& loop, const Settings& settings, const OperatorChoices& choices)
     : settings_(settings),
       own_label_(settings.label),
-      alone_(settings.peers.empty()),
+      single_controller_(settings.peers.empty()),
       state_(loop, settings.state),
       cloud_(loop, settings.cloud, 3, 64),
       cloud_outage_("the cloud's interface", settings.cloud),
@@ -71,8 +71,8 @@
   callbacks.cancelled = [this](const std::vector<std::string>& jobs) {
     leader_.tell([jobs](Leader& leader) { leader.cancelled(jobs); });
   };
-  callbacks.all_acknowledged = [this](double asked_at, double youngest) {
-    leader_.tell([=](Leader& leader) { leader.peers_heard(asked_at, youngest); });
+  callbacks.all_acknowledged = [this](double requested_at, double newest_incarnation_seen_at) {
+    leader_.tell([=](Leader& leader) { leader.peers_heard(requested_at, newest_incarnation_seen_at); });
   };
   return callbacks;
 }
@@ -107,7 +107,8 @@
 void Controller::post_heartbeats(const std::string& label, std::string body,
                                  std::function<void(http::Result)> done) {
   if (label != own_label_) return peer_exchange_.post_heartbeats(label, std::move(body), std::move(done));
-  // The leader of this very controller is spoken to as peers speak to theirs, without the network between.
+  // This controller leads: its own Leader gets the batch and answers it as it answers peers, without a
+  // request over the network.
   auto parsed = fanin::parse_heartbeats(body);
   leader_.tell([batch = std::move(parsed->message), done = std::move(done)](Leader& leader) mutable {
     leader.batch(std::move(batch), [done = std::move(done)](const auto& answers) {
@@ -133,14 +134,16 @@
   finish_stopping(steady_now(), std::move(done));
 }
 
-void Controller::finish_stopping(double since, std::function<void()> done) {
-  double elapsed = steady_now() - since;
-  // Workers that ask meanwhile are sent to the successor; without one in time they find it themselves.
-  bool successor_done = alone_ || worker_endpoint_.successor_known() || elapsed > constants::kSuccessorTime;
-  bool settled = resigned_ && successor_done && !front_end_.busy();
-  if (settled || elapsed >= constants::kEndTime) return done();
-  stop_timer_.once(constants::kEndCheckInterval,
-                   [this, since, done = std::move(done)] { finish_stopping(since, done); });
+void Controller::finish_stopping(double started_at, std::function<void()> done) {
+  double elapsed = steady_now() - started_at;
+  // While this controller waits, it redirects workers to the successor. If no successor is known in time,
+  // workers find it by themselves.
+  bool successor_done =
+      single_controller_ || worker_endpoint_.successor_known() || elapsed > constants::kSuccessorWait;
+  bool may_stop = resigned_ && successor_done && !front_end_.busy();
+  if (may_stop || elapsed >= constants::kShutdownTimeLimit) return done();
+  stop_timer_.once(constants::kShutdownCheckInterval,
+                   [this, started_at, done = std::move(done)] { finish_stopping(started_at, done); });
 }
 
 }  // namespace corkmux
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -1,5 +1,5 @@
-// One controller: all its actors, wired together. Owns them and the order in which they start and end;
-// decides nothing itself.
+// A controller process: constructs all actors, connects their callbacks, and owns them and the order in which
+// they start and stop. Makes no decisions of its own.
 #pragma once
 #include <functional>
 #include <memory>
@@ -19,22 +19,23 @@
 namespace corkmux {
 
 namespace constants {
-inline constexpr double kEndTime = 4.0;            // s an orderly end takes at most
-inline constexpr double kSuccessorTime = 1.5;      // s an end waits for a successor to be known
-inline constexpr double kEndCheckInterval = 0.05;  // s between checks whether everything is settled
+inline constexpr double kShutdownTimeLimit = 4.0;       // s that an orderly shutdown takes at most
+inline constexpr double kSuccessorWait = 1.5;           // s that a shutdown waits until a successor is known
+inline constexpr double kShutdownCheckInterval = 0.05;  // s between checks whether the shutdown may complete
 }  // namespace constants
 
 class Controller {
  public:
   Controller(Loop& loop, const Settings& settings, const OperatorChoices& choices);
   void start();
-  /// An orderly end: turns `/ready` off, refuses new work, gives leadership back, settles what is open, then
-  /// calls `done`, within kEndTime whatever happens. Whatever it leaves undone is as after a crash.
+  /// Shuts down in order: turns `/ready` off, refuses new work, releases the leader lease and settles open
+  /// requests, then calls `done`, after kShutdownTimeLimit at the latest. Whatever is unsettled then is in
+  /// the same state as after a crash.
   void stop(std::function<void()> done);
   int port() const { return front_end_.port(); }
   bool leading() const { return leader_.leading(); }
 
-  // For other front ends to the same jobs.
+  // Shared with other front ends to the same jobs.
   StateClient& state() { return state_; }
   const JobAdmission& admission() const { return admission_; }
   JobStatusCache& status_cache() { return status_cache_; }
@@ -45,13 +46,13 @@
   PeerExchange::Callbacks peer_callbacks();
   JobStatusCache::Callbacks status_callbacks();
   void leader_changed(const std::string& label, std::uint64_t term);
-  /// A batch for whoever leads, ourselves included.
+  /// Sends a batch of heartbeats to the leader with that label, which may be this controller.
   void post_heartbeats(const std::string& label, std::string body, PeerExchange::PostCallback done);
-  void finish_stopping(double since, std::function<void()> done);
+  void finish_stopping(double started_at, std::function<void()> done);
 
   Settings settings_;
   std::string own_label_;
-  bool alone_;  // no other controller is named in the settings
+  bool single_controller_;  // the settings name no other controller
   StateClient state_;
   http::Client cloud_;
   OutageLog cloud_outage_;
--- a/src/controller/dependency_barrier_reader.cc
+++ b/src/controller/dependency_barrier_reader.cc
@@ -6,13 +6,13 @@
 
 namespace corkmux {
 
-/// Guards against calling a job queued that can never run, since one that it needs was cancelled longer than
-/// cancel_s ago: its end is the leader's to store, and there may have been none, or no state service, since
-/// then. What counts is what was known before the job was read. A leader of a former version says nothing,
-/// and writes no record: then nothing is held back.
-bool DependencyBarrierReader::may_be_called_unfinished(double barrier_at_before) {
+/// Prevents the answer "queued" for a job that can never run because a job that it depends on was cancelled
+/// more than cancel_s ago: only the leader stores the end of such a job, and since the cancel there may have
+/// been no leader or no state store. Only a barrier that was known before the job was read counts. A leader
+/// of an older version announces no barrier and writes no record; then no answer is held back.
+bool DependencyBarrierReader::may_report_unfinished(double barrier_at_before_read) {
   double now = steady_now();
-  if (now - barrier_at_before < cancel_s_ - constants::kCancelReserve) return true;
+  if (now - barrier_at_before_read < cancel_s_ - constants::kCancelReserve) return true;
   if (!reading_ && now - read_at_ > constants::kBarrierReadInterval) {
     reading_ = true;
     read_at_ = now;
--- a/src/controller/dependency_barrier_reader.h
+++ b/src/controller/dependency_barrier_reader.h
@@ -1,5 +1,5 @@
-// Whether an unfinished job that depends on others may be called unfinished. Owns what was read of the
-// barrier's record in the state store; never writes it: the leader does.
+// Decides whether a job that depends on others may be reported as unfinished. Owns the result of reads of the
+// dependency barrier's record in the state store; never writes the record: the leader does.
 #pragma once
 #include "peer_exchange.h"
 #include "settings.h"
@@ -16,11 +16,11 @@
  public:
   DependencyBarrierReader(const Settings& settings, StateClient& state, PeerExchange& peer_exchange)
       : cancel_s_(settings.cancel_s), state_(state), peer_exchange_(peer_exchange) {}
-  /// The barrier as known now; to be asked before the job is read.
+  /// The latest barrier that this controller has received; to be called before the job is read.
   double barrier_at() const { return peer_exchange_.dependency_barrier_at(); }
-  /// Whether a job that depends on others may be called unfinished, by the barrier that was known before the
-  /// job was read. Else the record is read, for the next request.
-  bool may_be_called_unfinished(double barrier_at_before);
+  /// Whether a job that depends on others may be reported as unfinished, by the barrier that was known before
+  /// the job was read. If that barrier is too old, its record is read for the next request.
+  bool may_report_unfinished(double barrier_at_before_read);
 
  private:
   enum class RecordState { Unknown, Absent, Present };
--- a/src/controller/fanin_coordinator.cc
+++ b/src/controller/fanin_coordinator.cc
@@ -27,7 +27,7 @@
   was_leading_ = leading;
   if (!leading) return;
   // A new leader continues as its predecessor did, until heartbeats show how many machines are up.
-  if (became_leader) policy_.start_from(!peer_exchange_.fanin_members().empty());
+  if (became_leader) policy_.set_initial(!peer_exchange_.fanin_members().empty());
   bool use_fanin_members = policy_.update(leader_.machines_up());
   auto members = use_fanin_members ? peer_exchange_.eligible_fanin_members() : std::vector<std::string>();
   if (members == peer_exchange_.fanin_members()) return;
--- a/src/controller/http_front_end.cc
+++ b/src/controller/http_front_end.cc
@@ -11,7 +11,7 @@
       workers_(workers),
       readiness_(readiness),
       server_(loop, settings.listen,
-              static_cast<std::size_t>(std::max(constants::kSmallestFrontEnd,
+              static_cast<std::size_t>(std::max(constants::kMinCallerSockets,
                                                 settings.max_connections - constants::kReservedSockets)),
               [this](http::Server::ConnectionId connection, const http::Request& request) {
                 route(Responder(server_, connection), request);
@@ -19,7 +19,7 @@
 
 void HttpFrontEnd::route(const Responder& caller, const http::Request& request) {
   auto routed = codec::route(request.method, request.target);
-  // Of users only; workers are still told where to go.
+  // Only users are refused: workers are still redirected to another controller.
   if (admission_.closing() && routed.route != codec::Route::Heartbeat)
     return caller.unavailable("this controller is ending: try another");
   switch (routed.route) {
@@ -29,7 +29,7 @@
       return caller.error(405, "method not allowed here");
     case codec::Route::Ready:
       if (!readiness_.ready()) return caller.unavailable("not ready");
-      return caller.pass_on(200, "");
+      return caller.answer_encoded(200, "");
     case codec::Route::Submit:
       return users_.submit(caller, request.body);
     case codec::Route::Query:
--- a/src/controller/http_front_end.h
+++ b/src/controller/http_front_end.h
@@ -1,5 +1,5 @@
-// The one HTTP server for users, workers and health checks: hands each request to whoever answers it. Owns
-// the server; knows paths and nothing of what is behind them.
+// The HTTP server for users, workers and health checks: passes each request to the module that answers it.
+// Owns the server; maps paths and does not process requests itself.
 #pragma once
 #include "job_admission.h"
 #include "readiness_probe.h"
@@ -11,16 +11,16 @@
 namespace corkmux {
 
 namespace constants {
-inline constexpr int kReservedSockets = 160;  // kept for commands to workers, peers, state service and cloud
-inline constexpr int kSmallestFrontEnd = 16;  // sockets for callers, however few there are
+inline constexpr int kReservedSockets = 160;  // for commands to workers, peers, state store and cloud
+inline constexpr int kMinCallerSockets = 16;  // sockets for callers, however low the limit on connections
 }  // namespace constants
 
 class HttpFrontEnd {
  public:
-  /// Binds at once; throws std::runtime_error when the address cannot be had.
+  /// Binds the address; throws std::runtime_error if it is not available.
   HttpFrontEnd(Loop& loop, const Settings& settings, const JobAdmission& admission, UserApi& users,
                WorkerEndpoint& workers, const ReadinessProbe& readiness);
-  /// Takes no new connections; what is open is answered.
+  /// Accepts no new connections; requests on open ones are still answered.
   void close() { server_.close(); }
   bool busy() const { return server_.busy(); }
   int port() const { return server_.port(); }
--- a/src/controller/job_admission.cc
+++ b/src/controller/job_admission.cc
@@ -7,7 +7,7 @@
 namespace corkmux {
 namespace {
 
-/// Whether machines of the type may be in the zone; a type that names no zones may be in all.
+/// Whether the type is offered in the zone; a type that names no zones is offered in all of them.
 bool offered_in(const MachineType& type, const std::string& zone) {
   return type.zones.empty() || std::find(type.zones.begin(), type.zones.end(), zone) != type.zones.end();
 }
@@ -34,14 +34,14 @@
   Resources all{job.need.cpus * tasks_at_once, job.need.gpus * tasks_at_once,
                 job.need.memory_gb * tasks_at_once};
   if (!team->allows(all)) return AdmissionError{"the job needs more than its team's limit"};
-  // At most half of them may be in one zone, and all of them run at once.
+  // A spread job has at most half of its tasks in one zone, and all of these tasks run at once.
   if (job.spread && tasks_at_once > 1 && (job.one_zone || job.zone))
     return AdmissionError{"its tasks run at once, in one zone, and must be spread over zones"};
   return std::nullopt;
 }
 
 bool JobAdmission::state_reachable() const {
-  return steady_now() - state_.last_contact() < constants::kStateLost;
+  return steady_now() - state_.last_contact() < constants::kStateStoreLostAfter;
 }
 
 }  // namespace corkmux
--- a/src/controller/job_admission.h
+++ b/src/controller/job_admission.h
@@ -1,6 +1,6 @@
-// Which new jobs this controller may accept. Owns the switch that ends acceptance on shutdown; reads the
-// settings and the catalog of machine types; never reads or writes a job. Shared by all front ends: the user
-// API here and the Kubernetes API of `src/kube/`.
+// Decides which new jobs this controller may accept. Owns the flag that ends acceptance on shutdown; reads
+// the settings and the catalog of machine types; never reads or writes a job. Shared by all front ends: the
+// user API here and the Kubernetes API of `src/kube/`.
 #pragma once
 #include <cstddef>
 #include <optional>
@@ -13,7 +13,7 @@
 
 namespace corkmux {
 
-/// Why a job can never run here.
+/// Why a job can never run on this cluster.
 struct AdmissionError {
   std::string text;
 };
@@ -22,15 +22,15 @@
  public:
   JobAdmission(const Settings& settings, const StateClient& state, const Catalog& catalog)
       : settings_(settings), state_(state), catalog_(catalog) {}
-  /// No error: it may be accepted.
+  /// No value: the job may be accepted.
   std::optional<AdmissionError> check(const JobSpec& job) const;
-  /// Whether machine types are known; without them nothing can be accepted.
+  /// Whether the machine types are known; without them no job can be accepted.
   bool types_known() const { return !catalog_.types().empty(); }
-  /// Whether the state service has answered lately.
+  /// Whether the state store has answered within kStateStoreLostAfter.
   bool state_reachable() const;
-  /// Bytes that a record may take, now and after the announced limits apply.
+  /// Bytes that a record may take, both now and once the announced limits apply.
   std::size_t record_size_limit() const { return static_cast<std::size_t>(settings_.next.value_kb * 1024); }
-  /// From now on front ends refuse new requests.
+  /// Makes the front ends refuse new requests from now on.
   void close() { closing_ = true; }
   bool closing() const { return closing_; }
 
--- a/src/controller/job_reader.cc
+++ b/src/controller/job_reader.cc
@@ -15,28 +15,29 @@
       bool cancelled = record.cancelled();
       if (cancelled) status_cache_.note_cancelled(job);
       found = {cancelled ? job_phase::kCancelled : job_phase::kQueued, stored->revision, std::move(record)};
-      // A record too long to be written again was cancelled by a mark beside it.
+      // The cancel of a record that is too long to be written again is marked beside the record, so the
+      // record alone does not show it: the outcome is read as well.
       if (cancelled || found.record.size() <= admission_.record_size_limit()) return done(std::move(found));
     }
     if (!reply.ok() && reply.status != StateStatus::Missing) return done(std::nullopt);
-    read_end(job, std::move(found), done);
+    read_outcome(job, std::move(found), done);
   });
 }
 
-void JobReader::read_end(const std::string& job, StoredJob so_far, Callback done) {
-  state_.get(kFinals + job,
-             [this, job, so_far = std::move(so_far), done = std::move(done)](StateReply reply) mutable {
-               if (reply.status == StateStatus::Missing) return done(std::move(so_far));
-               auto stored = reply.ok() ? codec::parse_value(reply.body) : std::nullopt;
-               if (!stored) return done(std::nullopt);
-               auto outcome = parse_job_outcome(stored->value);
-               JobEnd end{std::move(outcome.phase), outcome.tasks_done};
-               if (end.phase == job_phase::kCancelled) status_cache_.note_cancelled(job);
-               status_cache_.remember_end(job, end);
-               StoredJob ended;
-               ended.phase = end.phase;
-               done(std::move(ended));
-             });
+void JobReader::read_outcome(const std::string& job, StoredJob unfinished_job, Callback done) {
+  state_.get(kFinals + job, [this, job, unfinished_job = std::move(unfinished_job),
+                             done = std::move(done)](StateReply reply) mutable {
+    if (reply.status == StateStatus::Missing) return done(std::move(unfinished_job));
+    auto stored = reply.ok() ? codec::parse_value(reply.body) : std::nullopt;
+    if (!stored) return done(std::nullopt);
+    auto outcome = parse_job_outcome(stored->value);
+    JobEnd end{std::move(outcome.phase), outcome.tasks_done};
+    if (end.phase == job_phase::kCancelled) status_cache_.note_cancelled(job);
+    status_cache_.cache_end(job, end);
+    StoredJob ended;
+    ended.phase = end.phase;
+    done(std::move(ended));
+  });
 }
 
 }  // namespace corkmux
--- a/src/controller/job_reader.h
+++ b/src/controller/job_reader.h
@@ -1,4 +1,4 @@
-// Reads how a job stands in the state store. Owns nothing; what it reads of ends and cancels it notes in the
+// Reads the state of a job from the state store. Owns nothing; notes ends and cancels that it reads in the
 // job status cache. Never writes to the store.
 #pragma once
 #include <cstdint>
@@ -13,28 +13,28 @@
 
 namespace corkmux {
 
-/// A job as the state store has it.
+/// A job as read from the state store.
 struct StoredJob {
-  std::string phase;           // as users are told; empty: never accepted
-  std::uint64_t revision = 0;  // of the record of an unfinished job
-  StoredJobRecord record;      // of an unfinished job
+  std::string phase;           // as shown to users; empty: never accepted
+  std::uint64_t revision = 0;  // of the record, for an unfinished job
+  StoredJobRecord record;      // for an unfinished job
   bool accepted() const { return !phase.empty(); }
   bool unfinished() const { return phase == job_phase::kQueued; }
-  /// Whether it is unfinished and depends on other jobs, or may.
+  /// Whether the job is unfinished and depends on other jobs, or may depend on some.
   bool has_dependencies() const { return unfinished() && record.has_dependencies(); }
 };
 
 class JobReader {
  public:
-  /// No value: the state service could not say.
+  /// No value: the state store could not be read.
   using Callback = std::function<void(std::optional<StoredJob>)>;
   JobReader(StateClient& state, const JobAdmission& admission, JobStatusCache& status_cache)
       : state_(state), admission_(admission), status_cache_(status_cache) {}
-  /// Reads a job's record, then its end.
+  /// Reads a job's record, and its outcome where the record does not settle the state.
   void read(const std::string& job, Callback done);
 
  private:
-  void read_end(const std::string& job, StoredJob so_far, Callback done);
+  void read_outcome(const std::string& job, StoredJob unfinished_job, Callback done);
   StateClient& state_;
   const JobAdmission& admission_;
   JobStatusCache& status_cache_;
--- a/src/controller/job_status_cache.cc
+++ b/src/controller/job_status_cache.cc
@@ -6,18 +6,19 @@
 namespace corkmux {
 
 void JobStatusCache::update(const codec::JobView& view) {
-  // These two come only after they are stored, so they may be cached for good.
+  // The leader publishes these two phases only after they are stored, so they are final and may be cached as
+  // such.
   if (view.phase == job_phase::kDone || view.phase == job_phase::kCancelled)
-    return remember_end(view.id, {view.phase, view.done});
+    return cache_end(view.id, {view.phase, view.done});
   if (ended(view.id)) return;
   if (views_.insert_or_assign(view.id, view).second) view_order_.push_back(view.id);
-  while (view_order_.size() > constants::kSummaryCache) {
+  while (view_order_.size() > constants::kMaxCachedJobViews) {
     views_.erase(view_order_.front());
     view_order_.pop_front();
   }
 }
 
-void JobStatusCache::remember_end(const std::string& job, const JobEnd& end) {
+void JobStatusCache::cache_end(const std::string& job, const JobEnd& end) {
   if (!ends_.emplace(job, end).second) return;
   views_.erase(job);
   callbacks_.ended(job);
@@ -28,12 +29,12 @@
   }
 }
 
-/// Whoever is told that a job is cancelled counts `cancel_s` from then, so the leader has to know by another
-/// way than its watch of the jobs, whose answers may be lost; also where the answer to the write that
-/// cancelled it was.
+/// `cancel_s` runs from the moment at which a user gets the answer that the job is cancelled. The leader's
+/// watch of the jobs may lose its answers, so the leader is also notified through the callback; this covers a
+/// cancel whose write had its answer lost, too.
 void JobStatusCache::note_cancelled(const std::string& job) {
   if (ended(job)) return;
-  remember_end(job, {job_phase::kCancelled, 0});
+  cache_end(job, {job_phase::kCancelled, 0});
   callbacks_.cancelled(job);
 }
 
--- a/src/controller/job_status_cache.h
+++ b/src/controller/job_status_cache.h
@@ -1,6 +1,6 @@
-// What this controller knows of jobs without asking the state store: how they ended, which were accepted, and
-// how far unfinished ones have got by the leader's word. Owns these facts, bounded; reads and writes nothing
-// elsewhere. Shared by all front ends.
+// Caches what this controller has received about jobs, to answer without a read of the state store: how they
+// ended, which were accepted, and the progress of unfinished ones as published by the leader. Owns these
+// entries, bounded in number; reads and writes nothing elsewhere. Shared by all front ends.
 #pragma once
 #include <cstddef>
 #include <deque>
@@ -23,26 +23,26 @@
 class JobStatusCache {
  public:
   struct Callbacks {
-    std::function<void(const std::string& job)> ended;      // its end is known for the first time
-    std::function<void(const std::string& job)> cancelled;  // a front ends' cancel is stored
+    std::function<void(const std::string& job)> ended;      // the job's end is cached for the first time
+    std::function<void(const std::string& job)> cancelled;  // a front end's cancel is stored
   };
   explicit JobStatusCache(Callbacks callbacks) : callbacks_(std::move(callbacks)) {}
 
-  /// The leader's word on a job.
+  /// Takes in the leader's view of a job.
   void update(const codec::JobView& view);
-  /// Its end stands in the state store.
-  void remember_end(const std::string& job, const JobEnd& end);
-  /// Its cancel stands in the state store: the leader is told, on the first call.
+  /// The job's end is stored in the state store.
+  void cache_end(const std::string& job, const JobEnd& end);
+  /// The job's cancel is stored in the state store: the first call notifies the leader.
   void note_cancelled(const std::string& job);
-  /// Its acceptance stands in the state store, for good.
+  /// The job's acceptance is stored in the state store and is final.
   void note_accepted(const std::string& job);
 
   bool ended(const std::string& job) const { return ends_.contains(job); }
-  /// Whether it is known without a look into the state store that the job was accepted.
+  /// Whether it is known without a read of the state store that the job was accepted.
   bool known_accepted(const std::string& job) const { return accepted_.contains(job) || ended(job); }
-  /// A job that the store says is in this phase, with what is known of its tasks.
+  /// The view of a job that has this phase in the state store, with the cached progress of its tasks.
   codec::JobView display(const std::string& job, const std::string& phase) const;
-  /// A job whose end is known; not called for others.
+  /// The view of a job whose end is cached; must not be called for others.
   codec::JobView display_ended(const std::string& job) const { return display(job, ends_.at(job).phase); }
 
  private:
--- a/src/controller/job_writer.h
+++ b/src/controller/job_writer.h
@@ -1,5 +1,5 @@
 // Stores new jobs in the state store, each on the condition that it was never accepted before. Owns nothing;
-// tells its caller how the write ended and answers nobody.
+// reports the result of the write to its caller and sends no answer itself.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -16,18 +16,18 @@
 namespace corkmux {
 
 namespace constants {
-inline constexpr double kSubmitTime = 3.0;  // s a submission may take us; its user waits 5 s
-inline constexpr int kSubmitTries = 2;      // of a submission refused by the rate limit
+inline constexpr double kSubmitTimeLimit = 3.0;  // s that a submission may take here; its user waits 5 s
+inline constexpr int kMaxSubmitAttempts = 2;     // of a submission that is refused because of the rate limit
 }  // namespace constants
 
 class JobWriter {
  public:
   enum class Status {
     Stored,
-    Exists,      // the job was accepted before, or ended; nothing was written
-    Unanswered,  // it may be stored
-    Refused,     // the state service takes no changes
-    Unreadable   // the state service cannot be read
+    Exists,      // the job was accepted before, or has ended; nothing was written
+    Unanswered,  // the job may be stored
+    Refused,     // the state store accepts no changes
+    Unreadable   // the state store cannot be read
   };
   struct Result {
     Status status;
@@ -41,9 +41,9 @@
  private:
   using JobPtr = std::shared_ptr<const JobSpec>;
   using Keys = std::set<std::string>;
-  void store_whole(const JobPtr& job, int tries, Callback done);
-  void store_in_pieces(const JobPtr& job, double until, Callback done);
-  void store_missing_pieces(const JobPtr& job, const Keys& stored, double until, Callback done);
+  void store_whole(const JobPtr& job, int attempts_left, Callback done);
+  void store_in_pieces(const JobPtr& job, double deadline, Callback done);
+  void store_missing_pieces(const JobPtr& job, const Keys& stored, double deadline, Callback done);
   const Settings& settings_;
   StateClient& state_;
   const JobAdmission& admission_;
--- a/src/controller/peer_exchange.cc
+++ b/src/controller/peer_exchange.cc
@@ -58,7 +58,7 @@
   for (auto& [label, peer] : peers_)
     for (const auto& view : views) {
       // Bounded: job displays are best effort; an unreachable peer only shows older counts.
-      if (peer.views.size() >= constants::kSummaryCache) peer.views.clear();
+      if (peer.views.size() >= constants::kMaxCachedJobViews) peer.views.clear();
       peer.views[view.id] = view;
     }
 }
@@ -164,7 +164,7 @@
   double now = steady_now();
   for (const auto& [label, peer] : peers_) {
     bool answered_recently = now - peer.answered_at < constants::kPeerUnreachableAfter;
-    bool has_state_service = now - peer.state_at < constants::kStateSilent;
+    bool has_state_service = now - peer.state_at < constants::kStateStoreOutageLimit;
     if (peer.takes_batches && answered_recently && has_state_service) out.push_back(label);
   }
   return out;
--- a/src/controller/peer_exchange.h
+++ b/src/controller/peer_exchange.h
@@ -82,7 +82,7 @@
   /// False only for a known peer that has not answered for kPeerUnreachableAfter.
   bool reachable(const std::string& label) const;
   /// Peers that can be fan-in members: their version takes batches, they answered within
-  /// kPeerUnreachableAfter, and they reached the state store within kStateSilent.
+  /// kPeerUnreachableAfter, and they reached the state store within kStateStoreOutageLimit.
   std::vector<std::string> eligible_fanin_members() const;
   const std::vector<std::string>& fanin_members() const { return membership_.members(); }
   /// The latest Leader::dependency_barrier_at() of any controller, as far as received; s of this machine's
--- a/src/controller/readiness_probe.h
+++ b/src/controller/readiness_probe.h
@@ -1,5 +1,5 @@
-// Whether users should be sent to this controller. Asks the state service now and then, so that a controller
-// without users knows as well whether it is served; changes nothing.
+// Decides whether users should be sent to this controller. Probes the state store when it has not answered
+// for a while, so that a controller without users detects a lost connection as well; changes nothing.
 #pragma once
 #include "job_admission.h"
 #include "peer_exchange.h"
@@ -8,7 +8,7 @@
 namespace corkmux {
 
 namespace constants {
-inline constexpr double kStateProbe = 0.7;  // s without an answer before the state service is asked
+inline constexpr double kStateProbeInterval = 0.7;  // s without an answer until the state store is probed
 }
 
 class ReadinessProbe {
@@ -21,7 +21,7 @@
 
  private:
   void probe();
-  /// Whether this controller has lost what the others may still have.
+  /// Whether this controller has lost the state store while other controllers may still reach it.
   bool cut_off() const;
   StateClient& state_;
   const JobAdmission& admission_;
--- a/src/controller/user_api.h
+++ b/src/controller/user_api.h
@@ -1,6 +1,6 @@
-// What users ask of a controller: submit, query and cancel jobs. Owns the reads that wait; every answer rests
-// on the state store, so any controller gives the same. Decides nothing about scheduling and speaks to no
-// leader.
+// The user API of a controller: submits, queries and cancels jobs. Owns the reads that wait; every answer is
+// based on the state store, so all controllers give the same answers. Makes no scheduling decisions and sends
+// no requests to a leader.
 #pragma once
 #include <memory>
 #include <string>
@@ -17,7 +17,7 @@
 namespace corkmux {
 
 namespace constants {
-inline constexpr int kCancelTries = 3;  // of a cancel whose job changes meanwhile
+inline constexpr int kMaxCancelAttempts = 3;  // to cancel a job whose record changes meanwhile
 }
 
 class UserApi {
@@ -30,29 +30,31 @@
   void query(const Responder& caller, const std::string& job);
   void cancel(const Responder& caller, const std::string& job);
 
-  /// Its end is known: nothing will be read for it again.
+  /// The job's end is cached: it will not be read again.
   void job_ended(const std::string& job) { linearizable_reader_.forget(job); }
 
  private:
   using JobPtr = std::shared_ptr<const JobSpec>;
-  /// Where a cancel is marked: in the job's record, or beside one that is over a limit that has fallen.
-  enum class MarkPlace { InRecord, BesideRecord };
-  /// What a submission's user is told of a job that was never accepted.
+  /// Where a cancel is marked: in the job's record, or beside a record that exceeds a limit that was lowered.
+  enum class CancelMarkLocation { InRecord, BesideRecord };
+  /// The answer to a submission whose job was never accepted.
   struct Refusal {
     int status;
     std::string text;
   };
-  LinearizableReader::Read read_for_batcher();
-  /// Reads a job for a caller, who gets 503 if it cannot be read.
+  LinearizableReader::ReadJob read_for_batcher();
+  /// Reads a job and passes it to `then`; the caller gets 503 if it cannot be read.
   void read_for(const Responder& caller, const std::string& job, std::function<void(StoredJob)> then);
-  /// A job that was accepted before is answered as such, whatever is wrong with its submission.
-  void answer_known_or(const Responder& caller, const std::string& job, Refusal refusal);
+  /// Answers with the state of the job if it was accepted before, even if this submission is faulty; with the
+  /// refusal otherwise.
+  void answer_accepted_or(const Responder& caller, const std::string& job, Refusal refusal);
   void check_dependencies(const Responder& caller, const JobPtr& job);
   void store(const Responder& caller, const JobPtr& job);
   void answer_store(const Responder& caller, const JobSpec& job, const JobWriter::Result& result);
-  void cancel(const Responder& caller, const std::string& job, int tries, MarkPlace place);
-  void answer_cancel(const Responder& caller, const std::string& job, int tries, MarkPlace place,
-                     StateStatus status);
+  void cancel(const Responder& caller, const std::string& job, int attempts_left,
+              CancelMarkLocation mark_location);
+  void answer_cancel(const Responder& caller, const std::string& job, int attempts_left,
+                     CancelMarkLocation mark_location, StateStatus status);
 
   StateClient& state_;
   const JobAdmission& admission_;
--- a/src/controller/worker_endpoint.h
+++ b/src/controller/worker_endpoint.h
@@ -1,6 +1,6 @@
-// Where workers' heartbeats arrive: sends a worker to the controller that should take its heartbeats, or
-// passes the heartbeat to the leader by the best way that is open, and answers with what came back. Owns what
-// is remembered of each worker's connection; renews no lease by itself and knows nothing of jobs.
+// Receives workers' heartbeats: redirects a worker to the controller that should take its heartbeats, or
+// passes the heartbeat to the leader by the best route available and answers with the leader's reply. Owns
+// what is kept about each worker's connection; renews no lease by itself and does not handle jobs.
 #pragma once
 #include <optional>
 #include <string>
@@ -20,20 +20,23 @@
 namespace corkmux {
 
 namespace constants {
-inline constexpr double kRelayWindow = 8.0;  // s; a worker back within it could not reach the leader
-inline constexpr double kRelayTime = 30.0;   // s a worker is relayed here before it is redirected again
-/// Share of a controller's sockets for workers' heartbeats.
+/// s; a worker that returns within it after a redirect could not reach the leader.
+inline constexpr double kReturnAfterRedirectWindow = 8.0;
+/// s that a worker is relayed here before it is redirected again.
+inline constexpr double kRelayDuration = 30.0;
+/// Share of a controller's sockets that workers' heartbeats may take.
 inline constexpr double kHeartbeatSocketShare = 0.35;
-/// Workers that a controller redirects for balance, a second: so many at least, or that share of its own.
-inline constexpr double kMovesPerSecond = 40;
-inline constexpr double kMovesShare = 0.05;
+/// Workers that a controller redirects for balance per second: the larger of the first number and of the
+/// second, a share of the workers that it serves.
+inline constexpr double kMinRebalancesPerSecond = 40;
+inline constexpr double kRebalanceShare = 0.05;
 inline constexpr double kWorkerConnectionSweepInterval = 5;  // s
-inline constexpr double kWorkerConnectionMemory = 120;       // s a worker that came is remembered
+inline constexpr double kWorkerConnectionRetention = 120;    // s that a connection's state is kept
 }  // namespace constants
 
 class WorkerEndpoint {
  public:
-  /// The ways by which a heartbeat can reach the leader.
+  /// The routes by which a heartbeat can reach the leader.
   struct LeaderRoutes {
     Leader& leader;
     PeerExchange& peer_exchange;
@@ -46,34 +49,34 @@
 
   // Requests.
   void heartbeat(const Responder& worker, const std::string& body);
-  /// A heartbeat that a peer passed on because its worker could not reach us.
+  /// Handles a heartbeat that a peer passed on because its worker could not reach this controller.
   void relayed(const std::string& body, LeaderReplyCallback reply, HeartbeatRoute route);
 
   // Changes.
   /// Empty: no leader is known.
   void leader_changed(const std::string& label);
-  /// Which controllers take heartbeats from now on; none: the leader alone.
+  /// Sets which controllers take heartbeats from now on; without members: the leader alone.
   void sharding_changed(fanin::WorkerSharding sharding) { sharding_ = std::move(sharding); }
 
   /// Whether workers can be redirected to another leader.
-  bool successor_known() const { return !leader_label_.empty() && !leads(); }
+  bool successor_known() const { return !leader_label_.empty() && !is_leader(); }
 
  private:
-  /// What is remembered of a worker that has come; times in s of the steady clock.
+  /// State of the connection to one worker; times in s of the steady clock.
   struct WorkerConnectionState {
     double redirected_at = kLongAgo;
     double relay_until = kLongAgo;
-    double seen_at = kLongAgo;
-    double accepted_at = kLongAgo;  // when its heartbeat was last taken here
+    double last_heartbeat_at = kLongAgo;
+    double accepted_at = kLongAgo;  // when this controller last took a heartbeat of the worker
   };
-  bool leads() const { return leader_label_ == settings_.label; }
-  /// Where a worker should send its heartbeats instead.
+  bool is_leader() const { return leader_label_ == settings_.label; }
+  /// The controller to which the worker should send its heartbeats instead; no value: this one.
   std::optional<std::string> redirect_target(const Heartbeat& heartbeat, WorkerConnectionState& connection);
   std::optional<std::string> target_without_sharding(WorkerConnectionState& connection) const;
   std::optional<std::string> target_for_own_worker(const Heartbeat& heartbeat,
                                                    const WorkerConnectionState& connection) const;
   bool usable(const std::string& label) const;
-  bool may_move(const WorkerConnectionState& connection);
+  bool may_rebalance(const WorkerConnectionState& connection);
   void to_leader(Heartbeat heartbeat, const std::string& body, bool unknown_worker,
                  LeaderReplyCallback reply);
   void to_known_leader(Heartbeat heartbeat, const std::string& body, bool unknown_worker,
@@ -89,9 +92,9 @@
   std::string leader_label_;
   fanin::WorkerSharding sharding_;
   std::unordered_map<std::string, WorkerConnectionState> connections_;  // by machine
-  double moves_left_ = 0;    // workers that may be redirected for balance, as of moves_at_
-  double moves_at_ = 0;      // s of the steady clock
-  int accepted_lately_ = 0;  // workers whose heartbeats were taken here, counted every so often
+  double rebalance_allowance_ = 0;     // workers that may be redirected for balance
+  double rebalance_allowance_at_ = 0;  // when the allowance was computed, s of the steady clock
+  int recently_accepted_workers_ = 0;  // workers accepted here within lease_s, recounted at each sweep
   Timer sweep_timer_;
 };
 
--- a/src/heartbeat_fanin/command_delivery.cc
+++ b/src/heartbeat_fanin/command_delivery.cc
@@ -4,13 +4,13 @@
 
 namespace corkmux::fanin {
 
-CommandDelivery::CommandDelivery(Loop& loop, std::size_t most_connections, OutcomeCallback outcome)
-    : Actor(loop), connections_(loop, most_connections), outcome_(std::move(outcome)), idle_timer_(loop) {
-  idle_timer_.every(constants::kConnectionSweep, [this] { connections_.close_idle(); });
+CommandDelivery::CommandDelivery(Loop& loop, std::size_t max_connections, OutcomeCallback outcome)
+    : Actor(loop), connections_(loop, max_connections), outcome_(std::move(outcome)), idle_timer_(loop) {
+  idle_timer_.every(constants::kConnectionSweepInterval, [this] { connections_.close_idle(); });
 }
 
 bool CommandDelivery::deliver(const ForwardedCommandBatch& batch) {
-  if (in_flight_ + batch.commands.size() > constants::kDeliveriesInFlight) return false;
+  if (in_flight_ + batch.commands.size() > constants::kMaxDeliveriesInFlight) return false;
   for (const auto& commands : batch.commands) {
     ++in_flight_;
     connections_.to(commands.machine, commands.address)
--- a/src/heartbeat_fanin/command_delivery.h
+++ b/src/heartbeat_fanin/command_delivery.h
@@ -1,6 +1,6 @@
-// A fan-in member's side of commands: takes the leader's commands to workers over connections of its own and
-// hands back what each worker said. Owns those connections. Decides nothing and repeats nothing: what is not
-// answered in time is the leader's to settle.
+// Delivers the leader's commands to workers on behalf of a fan-in member, over connections of its own, and
+// reports each worker's reply. Owns those connections. Makes no decisions and retries nothing: commands that
+// are not answered in time are left to the leader.
 #pragma once
 #include <cstddef>
 #include <functional>
@@ -11,17 +11,17 @@
 namespace corkmux {
 
 namespace constants {
-inline constexpr std::size_t kDeliveriesInFlight = 4000;  // commands on their way to workers
+inline constexpr std::size_t kMaxDeliveriesInFlight = 4000;  // commands in flight to workers
 }  // namespace constants
 
 namespace fanin {
 
 class CommandDelivery : public Actor<CommandDelivery> {
  public:
-  /// What became of the commands to one worker; called once for each.
+  /// Gets the outcome of the commands to one worker; called once for each entry of a batch.
   using OutcomeCallback = std::function<void(CommandOutcome)>;
-  CommandDelivery(Loop& loop, std::size_t most_connections, OutcomeCallback outcome);
-  /// false: too much is on its way; nothing of the batch was or will be sent.
+  CommandDelivery(Loop& loop, std::size_t max_connections, OutcomeCallback outcome);
+  /// False: too many commands are in flight; no command of the batch was or will be sent.
   bool deliver(const ForwardedCommandBatch& batch);
 
  private:
--- a/src/heartbeat_fanin/fanin_messages.cc
+++ b/src/heartbeat_fanin/fanin_messages.cc
@@ -7,12 +7,13 @@
 
 using codec::Json;
 
-constexpr std::size_t kEntryFrame = 64;  // bytes an entry takes beside its texts: numbers and their lengths
+/// Bytes that an entry takes besides its texts: numbers and their lengths.
+constexpr std::size_t kEntryOverheadBytes = 64;
 
 struct MalformedEntry {};
 
-constexpr std::uint64_t kHighestStatus = 599;  // of HTTP
-constexpr int kFullHeartbeatRequired = 428;    // the status that stands for FullHeartbeatRequired
+constexpr std::uint64_t kMaxHttpStatus = 599;
+constexpr int kFullHeartbeatRequired = 428;  // the status that stands for FullHeartbeatRequired
 
 std::uint64_t number(const Json& entry, std::size_t at) {
   if (!entry.at(at).is_number_unsigned()) throw MalformedEntry();
@@ -32,14 +33,14 @@
 
 int status(const Json& entry, std::size_t at) {
   auto out = number(entry, at);
-  if (out > kHighestStatus) throw MalformedEntry();
+  if (out > kMaxHttpStatus) throw MalformedEntry();
   return static_cast<int>(out);
 }
 
 Json heartbeat_to_json(const ForwardedHeartbeat& heartbeat) {
   if (const auto* full = std::get_if<FullHeartbeat>(&heartbeat.heartbeat)) return {heartbeat.id, full->body};
   const auto& delta = std::get<HeartbeatDelta>(heartbeat.heartbeat);
-  return {heartbeat.id, delta.machine, delta.worker_epoch, delta.same_as, delta.number};
+  return {heartbeat.id, delta.machine, delta.worker_epoch, delta.base_seq, delta.seq};
 }
 
 ForwardedHeartbeat heartbeat_from(const Json& entry) {
@@ -66,17 +67,17 @@
 
 HeartbeatAnswer answer_from(const Json& entry) {
   auto id = number(entry, 0);
-  int said = status(entry, 1);
+  int status_code = status(entry, 1);
   const auto& body = text(entry, 2);
-  if (said == kFullHeartbeatRequired) return {id, FullHeartbeatRequired()};
-  return {id, LeaderReply::from_wire(said, body)};
+  if (status_code == kFullHeartbeatRequired) return {id, FullHeartbeatRequired()};
+  return {id, LeaderReply::from_wire(status_code, body)};
 }
 
 ForwardedCommands commands_from(const Json& entry) {
   return {number(entry, 0), name(entry, 1), name(entry, 2), text(entry, 3)};
 }
 
-/// Entries that parse; the others are counted.
+/// The entries that parse; counts the others in `malformed`.
 template <typename Entry>
 std::vector<Entry> entries(const Json& message, const char* field, int& malformed,
                            Entry (*parse)(const Json&)) {
@@ -164,12 +165,14 @@
 
 std::size_t size_of(const ForwardedHeartbeat& heartbeat) {
   if (const auto* full = std::get_if<FullHeartbeat>(&heartbeat.heartbeat))
-    return kEntryFrame + full->body.size();
-  return kEntryFrame + std::get<HeartbeatDelta>(heartbeat.heartbeat).machine.size();
+    return kEntryOverheadBytes + full->body.size();
+  return kEntryOverheadBytes + std::get<HeartbeatDelta>(heartbeat.heartbeat).machine.size();
+}
+std::size_t size_of(const CommandOutcome& outcome) {
+  return kEntryOverheadBytes + outcome.reply.body().size();
 }
-std::size_t size_of(const CommandOutcome& outcome) { return kEntryFrame + outcome.reply.body().size(); }
 std::size_t size_of(const ForwardedCommands& commands) {
-  return kEntryFrame + commands.machine.size() + commands.address.size() + commands.body.size();
+  return kEntryOverheadBytes + commands.machine.size() + commands.address.size() + commands.body.size();
 }
 
 }  // namespace corkmux::fanin
--- a/src/heartbeat_fanin/fanin_messages.h
+++ b/src/heartbeat_fanin/fanin_messages.h
@@ -1,6 +1,6 @@
-// The messages between a fan-in member and the leader: heartbeats and the outcomes of commands one way,
-// answers and commands the other, many in one message. The only file that knows their form on the wire.
-// Whatever a message from another controller holds, parsing it fails at most for the entry that is wrong.
+// The messages between a fan-in member and the leader: heartbeats and outcomes of commands in one direction,
+// answers and commands in the other, many in one message. The only file that depends on their wire format.
+// Whatever a message from another controller contains, parsing it fails at most for its malformed entries.
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -20,23 +20,24 @@
   std::string body;
 };
 
-/// A heartbeat that repeats but for its number the heartbeat `same_as`, which the leader has answered.
+/// A heartbeat that equals the heartbeat with sequence number `base_seq`, which the leader has answered, in
+/// all but its own sequence number.
 struct HeartbeatDelta {
   std::string machine;
   std::uint64_t worker_epoch = 0;
-  std::uint64_t same_as = 0;
-  std::uint64_t number = 0;
+  std::uint64_t base_seq = 0;
+  std::uint64_t seq = 0;
 };
 
 /// A worker's heartbeat on its way to the leader.
 struct ForwardedHeartbeat {
-  std::uint64_t id = 0;  // names it in the answer
+  std::uint64_t id = 0;  // identifies it in the answer
   std::variant<FullHeartbeat, HeartbeatDelta> heartbeat;
 };
 
-/// What became of commands that the leader sent through a fan-in member.
+/// The outcome of commands that the leader sent through a fan-in member.
 struct CommandOutcome {
-  std::uint64_t id;  // the leader's name for them
+  std::uint64_t id;  // by which the leader identifies them
   WorkerReply reply;
 };
 
@@ -46,7 +47,7 @@
   std::vector<CommandOutcome> outcomes;
 };
 
-/// The leader cannot complete the delta: the heartbeat is sent in full then.
+/// The leader cannot complete the delta: the heartbeat has to be sent in full.
 struct FullHeartbeatRequired {};
 
 /// The leader's answer to one heartbeat of a batch.
@@ -60,7 +61,7 @@
   std::uint64_t id = 0;
   std::string machine;
   std::string address;
-  std::string body;  // in the worker's wire form
+  std::string body;  // in the worker's wire format
 };
 
 struct ForwardedCommandBatch {
@@ -72,18 +73,18 @@
 std::string pack(const std::vector<HeartbeatAnswer>& answers);
 std::string pack(const ForwardedCommandBatch& batch);
 
-/// What was received; `malformed` counts the entries that are not what they should be and were passed over.
+/// A received message; `malformed` counts its entries that could not be parsed and were skipped.
 template <typename Message>
 struct Parsed {
   Message message;
   int malformed = 0;
 };
-/// No value: not such a message at all.
+/// No value: the bytes are no such message.
 std::optional<Parsed<HeartbeatBatch>> parse_heartbeats(std::string_view bytes);
 std::optional<Parsed<ForwardedCommandBatch>> parse_commands(std::string_view bytes);
 std::optional<std::vector<HeartbeatAnswer>> parse_answers(std::string_view bytes);
 
-/// Bytes that an entry takes in its message, at most.
+/// Upper bound of the bytes that an entry takes in its message.
 std::size_t size_of(const ForwardedHeartbeat& heartbeat);
 std::size_t size_of(const CommandOutcome& outcome);
 std::size_t size_of(const ForwardedCommands& commands);
--- a/src/heartbeat_fanin/heartbeat_fanin_constants.h
+++ b/src/heartbeat_fanin/heartbeat_fanin_constants.h
@@ -1,4 +1,4 @@
-// Limits of the heartbeat fan-in that the leader shares.
+// Limits that the heartbeat fan-in and the leader share.
 #pragma once
 #include <cstddef>
 
--- a/src/heartbeat_fanin/heartbeat_forwarder.cc
+++ b/src/heartbeat_fanin/heartbeat_forwarder.cc
@@ -16,7 +16,7 @@
       post_(std::move(post)),
       flush_timer_(loop),
       overdue_timer_(loop) {
-  overdue_timer_.every(constants::kForwardSweep, [this] { give_up_overdue(); });
+  overdue_timer_.every(constants::kOverdueCheckInterval, [this] { refuse_overdue(); });
 }
 
 // ---------------------------------------------------------------- messages
@@ -24,17 +24,17 @@
 void HeartbeatForwarder::leader_changed(const std::string& label) {
   if (label == leader_) return;
   leader_ = label;
-  confirmed_.clear();  // what the former leader knew says nothing of the next
+  confirmed_.clear();  // the next leader cannot complete deltas to heartbeats that the former one answered
   for (auto& waiting : waiting_) waiting.needs_full = true;
-  if (!leader_.empty() && !nothing_waits()) schedule(0);
+  if (!leader_.empty() && !nothing_pending()) schedule(0);
 }
 
 void HeartbeatForwarder::forward(const Heartbeat& heartbeat, std::string body, LeaderReplyCallback reply) {
   bool delta = repeats_confirmed(heartbeat);
-  if (delta && mutation_enabled("a serving controller answers without the leader"))
+  if (delta && mutation_enabled("a fan-in member answers without the leader"))
     return reply(LeaderReply::answered(
         codec::pack(codec::commands_to_wire(heartbeat.fencing_token, {}, std::nullopt))));
-  if (waiting_bytes_ + body.size() > constants::kForwardBytes) return reply(LeaderReply::unavailable());
+  if (waiting_bytes_ + body.size() > constants::kMaxForwardBytes) return reply(LeaderReply::unavailable());
   waiting_bytes_ += body.size();
   waiting_.push_back({heartbeat, std::move(body), std::move(reply), steady_now(), !delta});
   schedule(delta ? constants::kDeltaBatchDelay : constants::kChangeBatchDelay);
@@ -46,9 +46,9 @@
 }
 
 bool HeartbeatForwarder::repeats_confirmed(const Heartbeat& heartbeat) const {
-  auto known = confirmed_.find(heartbeat.machine);
-  if (known == confirmed_.end() || heartbeat.notice_s) return false;
-  Heartbeat same = known->second.heartbeat;
+  auto confirmed = confirmed_.find(heartbeat.machine);
+  if (confirmed == confirmed_.end() || heartbeat.notice_s) return false;
+  Heartbeat same = confirmed->second.heartbeat;
   same.seq = heartbeat.seq;
   return same == heartbeat;
 }
@@ -63,8 +63,9 @@
 }
 
 void HeartbeatForwarder::flush() {
-  // Beyond that many at once the leader is behind: what comes meanwhile goes with the next.
-  while (!leader_.empty() && in_flight_ < constants::kBatchesInFlight && !nothing_waits()) send();
+  // With that many batches in flight the leader is behind: heartbeats that arrive meanwhile go into the next
+  // batch.
+  while (!leader_.empty() && in_flight_ < constants::kMaxBatchesInFlight && !nothing_pending()) send();
 }
 
 void HeartbeatForwarder::add_outcomes(HeartbeatBatch& batch, std::size_t& bytes) {
@@ -75,20 +76,20 @@
   }
 }
 
-ForwardedHeartbeat HeartbeatForwarder::next_entry(const Waiting& waiting) const {
+ForwardedHeartbeat HeartbeatForwarder::next_entry(const PendingHeartbeat& waiting) const {
   const Heartbeat& heartbeat = waiting.heartbeat;
   if (waiting.needs_full || !repeats_confirmed(heartbeat)) return {next_id_, FullHeartbeat{waiting.body}};
-  auto same_as = confirmed_.at(heartbeat.machine).heartbeat.seq;
-  return {next_id_, HeartbeatDelta{heartbeat.machine, heartbeat.worker_epoch, same_as, heartbeat.seq}};
+  auto base_seq = confirmed_.at(heartbeat.machine).heartbeat.seq;
+  return {next_id_, HeartbeatDelta{heartbeat.machine, heartbeat.worker_epoch, base_seq, heartbeat.seq}};
 }
 
-HeartbeatBatch HeartbeatForwarder::next_batch(Sent& sent) {
+HeartbeatBatch HeartbeatForwarder::next_batch(SentHeartbeats& sent) {
   HeartbeatBatch batch;
   batch.from = own_label_;
   std::size_t bytes = 0;
   add_outcomes(batch, bytes);
   while (!waiting_.empty()) {
-    Waiting& waiting = waiting_.front();
+    PendingHeartbeat& waiting = waiting_.front();
     auto entry = next_entry(waiting);
     bytes += size_of(entry);
     bool first = batch.heartbeats.empty() && batch.outcomes.empty();
@@ -102,7 +103,7 @@
 }
 
 void HeartbeatForwarder::send() {
-  auto sent = std::make_shared<Sent>();
+  auto sent = std::make_shared<SentHeartbeats>();
   auto batch = next_batch(*sent);
   ++in_flight_;
   post_(leader_, pack(batch), [this, leader = leader_, sent](const http::Result& result) {
@@ -114,26 +115,28 @@
 
 // ---------------------------------------------------------------- answers
 
-void HeartbeatForwarder::answered(const std::string& leader, Sent sent, const http::Result& result) {
+void HeartbeatForwarder::answered(const std::string& leader, SentHeartbeats sent,
+                                  const http::Result& result) {
   auto answers = result.ok() ? parse_answers(result.body) : std::nullopt;
-  if (answers && leader == leader_) return take_answers(std::move(sent), *answers);
-  // Refused, or it never left: nobody has it. Else it may have been taken, and only its answer was lost.
-  bool nobody_has_it = !result.sent || result.status == 503 || result.status == 421;
-  if (nobody_has_it) return try_again(std::move(sent));
+  if (answers && leader == leader_) return deliver_answers(std::move(sent), *answers);
+  // A batch that was refused or never sent was not processed. Any other may have been processed, with only
+  // its answer lost.
+  bool not_processed = !result.sent || result.status == 503 || result.status == 421;
+  if (not_processed) return retry(std::move(sent));
   for (auto& [id, waiting] : sent) waiting.reply(LeaderReply::unanswered());
 }
 
-void HeartbeatForwarder::take_answers(Sent sent, const std::vector<HeartbeatAnswer>& answers) {
-  bool mixed_up = mutation_enabled("answers of a batch are mixed up");
+void HeartbeatForwarder::deliver_answers(SentHeartbeats sent, const std::vector<HeartbeatAnswer>& answers) {
+  bool swapped = mutation_enabled("answers of a batch are swapped");
   for (const auto& answer : answers) {
-    auto entry = mixed_up && !sent.empty() ? sent.extract(std::prev(sent.end())) : sent.extract(answer.id);
-    if (entry) take_answer(std::move(entry.mapped()), answer);
+    auto entry = swapped && !sent.empty() ? sent.extract(std::prev(sent.end())) : sent.extract(answer.id);
+    if (entry) deliver_answer(std::move(entry.mapped()), answer);
   }
-  // The leader said nothing of the others.
+  // The message has no answer of the leader to the others.
   for (auto& [id, waiting] : sent) waiting.reply(LeaderReply::unanswered());
 }
 
-void HeartbeatForwarder::take_answer(Waiting waiting, const HeartbeatAnswer& answer) {
+void HeartbeatForwarder::deliver_answer(PendingHeartbeat waiting, const HeartbeatAnswer& answer) {
   const auto* reply = std::get_if<LeaderReply>(&answer.content);
   if (!reply) {
     waiting.needs_full = true;
@@ -145,12 +148,12 @@
   waiting.reply(*reply);
 }
 
-void HeartbeatForwarder::try_again(Sent sent) {
+void HeartbeatForwarder::retry(SentHeartbeats sent) {
   std::for_each(sent.rbegin(), sent.rend(), [this](auto& entry) { put_back(std::move(entry.second)); });
   schedule(constants::kRetryPause);
 }
 
-void HeartbeatForwarder::put_back(Waiting waiting) {
+void HeartbeatForwarder::put_back(PendingHeartbeat waiting) {
   waiting_bytes_ += waiting.body.size();
   waiting_.push_front(std::move(waiting));
 }
@@ -159,16 +162,16 @@
   confirmed_[heartbeat.machine] = {heartbeat, steady_now()};
 }
 
-void HeartbeatForwarder::give_up_overdue() {
+void HeartbeatForwarder::refuse_overdue() {
   double now = steady_now();
-  while (!waiting_.empty() && now - waiting_.front().since > constants::kForwardTime) {
-    Waiting overdue = std::move(waiting_.front());
+  while (!waiting_.empty() && now - waiting_.front().arrived_at > constants::kForwardTimeout) {
+    PendingHeartbeat overdue = std::move(waiting_.front());
     waiting_.pop_front();
     waiting_bytes_ -= overdue.body.size();
     overdue.reply(LeaderReply::unavailable());
   }
   std::erase_if(confirmed_,
-                [&](const auto& entry) { return now - entry.second.at > constants::kConfirmedTime; });
+                [&](const auto& entry) { return now - entry.second.at > constants::kConfirmedRetention; });
 }
 
 }  // namespace corkmux::fanin
--- a/src/heartbeat_fanin/leader_reply.h
+++ b/src/heartbeat_fanin/leader_reply.h
@@ -1,5 +1,5 @@
-// What came back for a heartbeat that was passed on to the leader, whichever way it went. Between controllers
-// it travels as an HTTP status and a body; this is the one place that maps between the two.
+// The reply to a heartbeat that was passed on to the leader, by whichever route. Between controllers it
+// travels as an HTTP status and a body; only this class maps between the two.
 #pragma once
 #include <functional>
 #include <string>
@@ -9,13 +9,13 @@
 
 class LeaderReply {
  public:
-  /// The worker's lease is renewed; its commands in their wire form.
+  /// The worker's lease is renewed. `commands`: its commands in wire format.
   static LeaderReply answered(std::string commands) { return {kAnswered, std::move(commands)}; }
-  /// No leader takes the heartbeat now, and none has it: the worker tries elsewhere.
+  /// No leader takes the heartbeat now, and none has received it: the worker tries another controller.
   static LeaderReply unavailable() { return {kUnavailable, ""}; }
-  /// The heartbeat cannot be read.
+  /// The heartbeat cannot be parsed.
   static LeaderReply malformed() { return {kMalformed, ""}; }
-  /// The leader may have the heartbeat; its answer was not heard.
+  /// The leader may have received the heartbeat; its answer was not received.
   static LeaderReply unanswered() { return {kUnanswered, ""}; }
   static LeaderReply from_wire(int status, std::string body) { return {status, std::move(body)}; }
 
--- a/src/heartbeat_fanin/worker_connections.h
+++ b/src/heartbeat_fanin/worker_connections.h
@@ -1,5 +1,5 @@
-// The connections to workers of a controller that sends them commands, one a worker. Those that carried
-// nothing for a while are closed, sooner when they are many. Sends nothing by itself.
+// The connections to workers of a controller that sends them commands, one for each worker. Closes
+// connections that have been idle for a while, sooner if there are many. Sends nothing by itself.
 #pragma once
 #include <cstddef>
 #include <memory>
@@ -11,19 +11,21 @@
 namespace corkmux {
 
 namespace constants {
-inline constexpr double kConnectionSweep = 0.25;           // s between looks for idle connections
-inline constexpr double kCommandConnectionScarceIdle = 5;  // s a connection idles when there are many
+inline constexpr double kConnectionSweepInterval = 0.25;  // s between checks for idle connections
+/// s that a connection may idle when there are many connections.
+inline constexpr double kCommandConnectionIdleOverLimit = 5;
 }  // namespace constants
 
 namespace fanin {
 
 class WorkerConnections {
  public:
-  /// `most`: connections to keep when all of them idle.
-  WorkerConnections(Loop& loop, std::size_t most) : loop_(loop), most_(most) {}
-  /// The connection to a worker, which may have moved to another address.
+  /// `max_connections`: connections to keep when all of them idle.
+  WorkerConnections(Loop& loop, std::size_t max_connections)
+      : loop_(loop), max_connections_(max_connections) {}
+  /// The connection to a worker; replaced if the worker has moved to another address.
   http::Client& to(const std::string& worker, const std::string& address);
-  /// Closes those that idle for too long; its owner calls it every kConnectionSweep.
+  /// Closes connections that have idled for too long; the owner calls it every kConnectionSweepInterval.
   void close_idle();
   std::size_t size() const { return connections_.size(); }
 
@@ -33,7 +35,7 @@
     double used_at = 0;  // s of the steady clock
   };
   Loop& loop_;
-  std::size_t most_;
+  std::size_t max_connections_;
   std::unordered_map<std::string, Connection> connections_;  // by worker
 };
 
--- a/src/heartbeat_fanin/worker_reply.h
+++ b/src/heartbeat_fanin/worker_reply.h
@@ -1,5 +1,5 @@
-// What came of commands that were sent to a worker. Between controllers it travels as an HTTP status, whether
-// the request was sent, and a body; this is the one place that maps between the two.
+// The reply to commands that were sent to a worker. Between controllers it travels as an HTTP status, whether
+// the request was sent, and a body; only this class maps between the two.
 #pragma once
 #include <string>
 #include <utility>
@@ -11,10 +11,10 @@
 class WorkerReply {
  public:
   enum class Kind {
-    Executed,    // the worker has taken the commands
-    Refused,     // it obeys a newer fencing token, or is another worker than the one meant
-    Unanswered,  // it may have got them
-    Unsent       // they surely never left the controller that was to send them
+    Executed,    // the worker has accepted the commands
+    Refused,     // the worker has accepted a newer fencing token, or is not the intended worker
+    Unanswered,  // the worker may have received the commands
+    Unsent       // the commands certainly never left the controller that was to send them
   };
 
   static WorkerReply from_http(http::Result result) {
@@ -29,7 +29,7 @@
     if (status_ == kRefused) return Kind::Refused;
     return sent_ ? Kind::Unanswered : Kind::Unsent;
   }
-  /// The worker's heartbeat, where it answered.
+  /// The worker's heartbeat, if it answered.
   const std::string& body() const { return body_; }
   /// 0: no answer.
   int wire_status() const { return status_; }
--- a/src/heartbeat_fanin/worker_sharding.h
+++ b/src/heartbeat_fanin/worker_sharding.h
@@ -1,6 +1,6 @@
-// Which controller takes which worker's heartbeats, as a pure function of the fan-in members and the worker's
-// name and zone (rendezvous hashing): every controller that knows the same members gives the same answer, and
-// a member that comes or goes moves only its own shard. Sends nothing and knows no connections.
+// Assigns each worker's heartbeats to a controller, as a pure function of the fan-in members and the worker's
+// name and zone (rendezvous hashing): all controllers with the same list of members give the same answer, and
+// a member that joins or leaves moves only its own shard. Sends nothing and has no connections.
 #pragma once
 #include <functional>
 #include <optional>
@@ -25,9 +25,9 @@
   bool empty() const { return members_.empty(); }
   /// Whether that controller is a member.
   bool contains(const std::string& label) const;
-  /// The owner of the worker's shard: the usable member with the highest score for that worker, of its own
-  /// zone if there is one there, so that a cut between zones leaves most workers with a controller on their
-  /// side. No value: none is usable.
+  /// The owner of the worker's shard: the usable member with the highest score for that worker, from the
+  /// worker's own zone if one is usable there, so that a partition between zones leaves most workers with a
+  /// controller on their side. No value: no member is usable.
   std::optional<std::string> owner_of(const std::string& worker, const std::string& zone,
                                       const UsablePredicate& usable) const;
 
--- a/src/leader/heartbeat_delta_cache.cc
+++ b/src/leader/heartbeat_delta_cache.cc
@@ -25,10 +25,10 @@
   if (last == last_full_.end()) return Error::FullHeartbeatRequired;
   const Heartbeat& full = last->second;
   bool repeats =
-      full.worker_epoch == delta.worker_epoch && full.seq == delta.same_as && delta.number > delta.same_as;
+      full.worker_epoch == delta.worker_epoch && full.seq == delta.base_seq && delta.seq > delta.base_seq;
   if (!repeats) return Error::FullHeartbeatRequired;
   Heartbeat heartbeat = full;
-  heartbeat.seq = delta.number;
+  heartbeat.seq = delta.seq;
   return heartbeat;
 }
 
--- a/src/linearizable_reads/linearizable_reader.cc
+++ b/src/linearizable_reads/linearizable_reader.cc
@@ -11,15 +11,15 @@
 namespace c = constants;
 namespace {
 
-constexpr double kReadRateShare = 0.5;               // of the state store's rate, of all controllers together
-constexpr int kMaxConditions = 200;                  // in one transaction, so that its keys fit a request
-constexpr int kConditionsPerChange = 4;              // that the state store allows (PROTOCOL, POST /multi)
-constexpr int kConditionsPerJob = 2;                 // of its record and of its end
+constexpr double kReadRateShare = 0.5;   // of the state store's rate limit, for all controllers together
+constexpr int kMaxConditions = 200;      // in one transaction, so that its keys fit a request
+constexpr int kConditionsPerChange = 4;  // allowed by the state store (the protocol, POST /multi)
+constexpr int kConditionsPerJob = 2;     // one on its record, one on its outcome
 constexpr double kKnownRevisionsMemoryShare = 0.02;  // of the controller's memory
 constexpr double kKnownRevisionBytes = 200;          // of memory for one: name, revision, two table entries
 
-/// Reads take a part of the state store's rate, shared by all controllers: the rest is for submissions,
-/// cancels and the leader, whatever users ask.
+/// Reads may use a part of the state store's rate limit, shared by all controllers. The rest is for
+/// submissions, cancels and the leader, however many reads users request.
 double read_rate(const Settings& settings) {
   return settings.state_rps * kReadRateShare / static_cast<double>(settings.peers.size() + 1);
 }
@@ -33,7 +33,7 @@
                                   kKnownRevisionBytes);
 }
 
-/// The jobs whose records or ends a failed comparison names.
+/// The jobs whose records or outcomes a failed comparison names.
 std::unordered_set<std::string> jobs_in(const std::vector<std::string>& failed_keys) {
   std::unordered_set<std::string> jobs;
   for (const auto& key : failed_keys)
@@ -44,40 +44,40 @@
 
 }  // namespace
 
-LinearizableReader::LinearizableReader(Loop& loop, const Settings& settings, StateClient& state, Read read)
+LinearizableReader::LinearizableReader(Loop& loop, const Settings& settings, StateClient& state, ReadJob read)
     : Actor(loop),
       state_(state),
       read_(std::move(read)),
       batcher_(read_rate(settings), jobs_per_batch(settings), max_known(settings)),
       timer_(loop) {}
 
-void LinearizableReader::ask(const std::string& job, Done done) {
+void LinearizableReader::request_read(const std::string& job, Done done) {
   auto request = next_request_++;
   waiting_.emplace(request, std::move(done));
-  batcher_.ask(request, job, steady_now());
+  batcher_.add(request, job, steady_now());
   if (auto revision = batcher_.revision(job);
-      revision && mutation_enabled("what was read before is told again"))
-    return answer({request}, Standing{true, *revision, {}, false});
+      revision && mutation_enabled("a known revision is answered without a read"))
+    return answer({request}, ReadResult{true, *revision, {}, false});
   pump();
 }
 
 void LinearizableReader::answer(const std::vector<RequestId>& requests,
-                                const std::optional<Standing>& standing) {
+                                const std::optional<ReadResult>& result) {
   for (auto request : requests) {
     auto waiting = waiting_.find(request);
     if (waiting == waiting_.end()) continue;
     auto done = std::move(waiting->second);
     waiting_.erase(waiting);
-    done(standing);
+    done(result);
   }
 }
 
 void LinearizableReader::pump() {
   double now = steady_now();
-  answer(batcher_.overdue(now), std::nullopt);
+  answer(batcher_.remove_overdue(now), std::nullopt);
   if (now >= paused_until_)
     while (auto batch = batcher_.next(now)) send(std::move(*batch));
-  if (auto wait = batcher_.wait(now))
+  if (auto wait = batcher_.time_until_next(now))
     timer_.once(std::max({*wait, paused_until_ - now, kPumpInterval}), [this] { pump(); });
 }
 
@@ -93,22 +93,23 @@
 void LinearizableReader::compare(ReadBatch batch) {
   std::vector<codec::Condition> conditions;
   for (std::size_t i = 0; i < batch.reads.size(); ++i) {
-    // Its record unchanged and no end beside it: of a record too long to be written again only the end tells.
+    // The record has to be unchanged and no outcome stored: the cancel of a record that is too long to be
+    // written again shows only in its outcome.
     conditions.push_back({kJobs + batch.reads[i].job, batch.revisions[i]});
     conditions.push_back({kFinals + batch.reads[i].job, 0});
   }
-  // Guards against one lost answer that keeps all reads waiting: nothing was written, so the next batch may
-  // compare the same.
+  // The timeout keeps one lost answer from holding up all reads. A comparison writes nothing, so the next
+  // batch may compare the same revisions.
   state_.compare(conditions, batch_timeout_, [this, batch = std::move(batch)](StateReply reply) mutable {
     compared(std::move(batch), std::move(reply));
   });
 }
 
 void LinearizableReader::compared(ReadBatch batch, StateReply reply) {
-  double took = steady_now() - reply.sent_at;
-  // Guards against a process that stalled meanwhile: what held then is not answered now.
-  if (took > c::kReadDeadline) reply.status = StateStatus::Unanswered;
-  adapt_timeout(reply, took);
+  double elapsed = steady_now() - reply.sent_at;
+  // If the process stalled meanwhile, the comparison is too old to answer from.
+  if (elapsed > c::kReadDeadline) reply.status = StateStatus::Unanswered;
+  adapt_timeout(reply, elapsed);
   switch (reply.status) {
     case StateStatus::Ok:
       unchanged(batch);
@@ -130,28 +131,29 @@
   pump();
 }
 
-void LinearizableReader::adapt_timeout(const StateReply& reply, double took) {
+void LinearizableReader::adapt_timeout(const StateReply& reply, double elapsed) {
   if (reply.status == StateStatus::Unanswered) {
     batch_timeout_ = std::min(c::kReadDeadline, 2 * batch_timeout_);
     return;
   }
-  batch_time_ += kBatchTimeSmoothing * (took - batch_time_);
-  batch_timeout_ = std::clamp(kBatchTimeoutFactor * batch_time_, kBatchTimeout, c::kReadDeadline);
+  recent_batch_time_ += kBatchTimeSmoothing * (elapsed - recent_batch_time_);
+  batch_timeout_ = std::clamp(kBatchTimeoutFactor * recent_batch_time_, kMinBatchTimeout, c::kReadDeadline);
 }
 
 void LinearizableReader::unchanged(const ReadBatch& batch) {
   batcher_.answered(batch);
   for (std::size_t i = 0; i < batch.reads.size(); ++i)
-    answer(batch.reads[i].requests, Standing{true, batch.revisions[i], {}, batch.has_dependencies[i]});
+    answer(batch.reads[i].requests, ReadResult{true, batch.revisions[i], {}, batch.has_dependencies[i]});
 }
 
 void LinearizableReader::changed(ReadBatch batch, const StateReply& reply) {
   batcher_.changed(std::move(batch), jobs_in(codec::parse_failed(reply.body)));
 }
 
-/// Over its rate the state store answers soon; where it is away, reads fail at once.
+/// Above its rate limit the state store answers soon, so the batch is retried; if the store is unreachable,
+/// its reads fail at once.
 void LinearizableReader::refused(ReadBatch batch, const StateReply& reply) {
-  if (state_.last_contact() < reply.sent_at) return answer(batcher_.unanswered(batch), std::nullopt);
+  if (state_.last_contact() < reply.sent_at) return answer(batcher_.fail(batch), std::nullopt);
   paused_until_ = steady_now() + c::kRetryPause;
   batcher_.put_back(std::move(batch));
 }
@@ -160,21 +162,21 @@
 
 void LinearizableReader::read_single(ReadBatch batch) {
   const std::string job = batch.reads.front().job;
-  read_(job, [this, batch = std::move(batch)](const std::optional<Standing>& standing) {
-    single_read(batch, standing);
+  read_(job, [this, batch = std::move(batch)](const std::optional<ReadResult>& result) {
+    single_read(batch, result);
     pump();
   });
 }
 
-void LinearizableReader::single_read(const ReadBatch& batch, const std::optional<Standing>& standing) {
-  if (!standing) return answer(batcher_.unanswered(batch), std::nullopt);
+void LinearizableReader::single_read(const ReadBatch& batch, const std::optional<ReadResult>& result) {
+  if (!result) return answer(batcher_.fail(batch), std::nullopt);
   batcher_.answered(batch);
   const auto& read = batch.reads.front();
-  if (standing->unfinished)
-    batcher_.learn(read.job, standing->revision, standing->has_dependencies);
+  if (result->unfinished)
+    batcher_.note_revision(read.job, result->revision, result->has_dependencies);
   else
     batcher_.forget(read.job);
-  answer(read.requests, standing);
+  answer(read.requests, result);
 }
 
 }  // namespace corkmux
--- a/src/linearizable_reads/read_batcher.cc
+++ b/src/linearizable_reads/read_batcher.cc
@@ -14,15 +14,15 @@
 
 // ---------------------------------------------------------------- known revisions
 
-void ReadBatcher::learn(const std::string& job, std::uint64_t revision, bool has_dependencies) {
-  // Only jobs that exist get in, so nobody can push others out by reading jobs that do not.
+void ReadBatcher::note_revision(const std::string& job, std::uint64_t revision, bool has_dependencies) {
+  // Only jobs that exist are added, so reads of jobs that do not exist cannot evict others.
   if (!known_.insert_or_assign(job, KnownJob{revision, has_dependencies}).second) return;
   known_order_.push_back(job);
   while (known_.size() > max_known_) {
     known_.erase(known_order_.front());
     known_order_.pop_front();
   }
-  // Jobs forgotten meanwhile leave their names behind.
+  // forget() leaves the name of the job in known_order_.
   if (known_order_.size() > 2 * max_known_)
     std::erase_if(known_order_, [this](const auto& name) { return !known_.contains(name); });
 }
@@ -36,51 +36,51 @@
 
 // ---------------------------------------------------------------- waiting reads
 
-void ReadBatcher::ask(RequestId request, const std::string& job, double now) {
+void ReadBatcher::add(RequestId request, const std::string& job, double now) {
   auto starved = starved_since_.find(job);
   PendingRead read{job, now, starved == starved_since_.end() ? now : starved->second, {request}, 0};
   put(std::move(read), known_.contains(job) ? compares_ : singles_);
 }
 
-/// The job that has gone without an answer for longest is first. Guards against a job that is last again and
-/// again while others get theirs ('forgotten'). Who reads the same job joins, since the request is still to
-/// be sent.
+/// Orders the queue by how long a job has gone without an answer, longest first. Keeps a job from being last
+/// again and again while others get answers (invariant 'forgotten'). A read joins a queued read of the same
+/// job, since the request is still to be sent.
 void ReadBatcher::put(PendingRead read, Queue& queue) {
   auto same = std::find_if(queue.begin(), queue.end(),
                            [&](const PendingRead& other) { return other.job == read.job; });
   if (same != queue.end()) {
     read.requests.insert(read.requests.end(), same->requests.begin(), same->requests.end());
-    read.since = std::min(read.since, same->since);
+    read.requested_at = std::min(read.requested_at, same->requested_at);
     read.starved_since = std::min(read.starved_since, same->starved_since);
     queue.erase(same);
   }
-  auto at =
-      std::upper_bound(queue.begin(), queue.end(), read.starved_since,
-                       [](double since, const PendingRead& other) { return since < other.starved_since; });
+  auto at = std::upper_bound(
+      queue.begin(), queue.end(), read.starved_since,
+      [](double starved_since, const PendingRead& other) { return starved_since < other.starved_since; });
   queue.insert(at, std::move(read));
 }
 
-std::vector<ReadBatcher::RequestId> ReadBatcher::give_up(const PendingRead& read) {
+std::vector<ReadBatcher::RequestId> ReadBatcher::mark_starved(const PendingRead& read) {
   if (starved_since_.size() < max_known_) starved_since_.emplace(read.job, read.starved_since);
   return read.requests;
 }
 
-std::vector<ReadBatcher::RequestId> ReadBatcher::give_up_overdue(Queue& queue, double now) {
-  std::vector<RequestId> given_up;
+std::vector<ReadBatcher::RequestId> ReadBatcher::remove_overdue_from(Queue& queue, double now) {
+  std::vector<RequestId> expired;
   std::erase_if(queue, [&](const PendingRead& read) {
-    if (now - read.since < c::kReadDeadline) return false;
-    auto requests = give_up(read);
-    given_up.insert(given_up.end(), requests.begin(), requests.end());
+    if (now - read.requested_at < c::kReadDeadline) return false;
+    auto requests = mark_starved(read);
+    expired.insert(expired.end(), requests.begin(), requests.end());
     return true;
   });
-  return given_up;
+  return expired;
 }
 
-std::vector<ReadBatcher::RequestId> ReadBatcher::overdue(double now) {
-  auto given_up = give_up_overdue(compares_, now);
-  auto singles = give_up_overdue(singles_, now);
-  given_up.insert(given_up.end(), singles.begin(), singles.end());
-  return given_up;
+std::vector<ReadBatcher::RequestId> ReadBatcher::remove_overdue(double now) {
+  auto expired = remove_overdue_from(compares_, now);
+  auto singles = remove_overdue_from(singles_, now);
+  expired.insert(expired.end(), singles.begin(), singles.end());
+  return expired;
 }
 
 // ---------------------------------------------------------------- requests
@@ -88,7 +88,7 @@
 bool ReadBatcher::can_compare() const { return !compares_.empty() && compares_in_flight_ == 0; }
 
 bool ReadBatcher::can_read_single() const {
-  return !singles_.empty() && singles_in_flight_ < c::kSingleReadsInFlight;
+  return !singles_.empty() && singles_in_flight_ < c::kMaxSingleReadsInFlight;
 }
 
 double ReadBatcher::allowance(double now) const {
@@ -121,8 +121,8 @@
   return batch;
 }
 
-/// As many waiting comparisons as fit; nullopt if all of these jobs were forgotten meanwhile, which are read
-/// by themselves then.
+/// A batch of as many waiting comparisons as fit. Jobs whose revisions were forgotten meanwhile are read by
+/// themselves instead; nullopt if that applies to all of them.
 std::optional<ReadBatcher::ReadBatch> ReadBatcher::comparison() {
   ReadBatch batch;
   batch.compare = true;
@@ -143,11 +143,11 @@
   return batch;
 }
 
-std::optional<double> ReadBatcher::wait(double now) const {
+std::optional<double> ReadBatcher::time_until_next(double now) const {
   if (waiting() == 0) return std::nullopt;
   double oldest = now;
   for (const auto* queue : {&compares_, &singles_})
-    for (const auto& read : *queue) oldest = std::min(oldest, read.since);
+    for (const auto& read : *queue) oldest = std::min(oldest, read.requested_at);
   double wait = oldest + c::kReadDeadline - now;
   if (can_compare() || can_read_single()) wait = std::min(wait, (1 - allowance(now)) / rate_);
   return std::max(0.0, wait);
@@ -173,7 +173,7 @@
 void ReadBatcher::lost(ReadBatch batch) {
   finished(batch);
   for (auto& read : batch.reads) {
-    bool single = !batch.compare || ++read.misses >= c::kBatchMissesBeforeRead;
+    bool single = !batch.compare || ++read.misses >= c::kMissesBeforeSingleRead;
     put(std::move(read), single ? singles_ : compares_);
   }
 }
@@ -183,8 +183,8 @@
   for (auto& read : batch.reads) {
     bool has_changed = jobs.contains(read.job);
     if (has_changed) forget(read.job);
-    // Guards against comparisons that fail for ever because of other jobs in them.
-    bool single = has_changed || ++read.misses >= c::kBatchMissesBeforeRead;
+    // Keeps comparisons of a job from failing for ever because of other jobs in its batches.
+    bool single = has_changed || ++read.misses >= c::kMissesBeforeSingleRead;
     put(std::move(read), single ? singles_ : compares_);
   }
 }
@@ -194,14 +194,14 @@
   put_back(std::move(batch));
 }
 
-std::vector<ReadBatcher::RequestId> ReadBatcher::unanswered(const ReadBatch& batch) {
+std::vector<ReadBatcher::RequestId> ReadBatcher::fail(const ReadBatch& batch) {
   finished(batch);
-  std::vector<RequestId> given_up;
+  std::vector<RequestId> expired;
   for (const auto& read : batch.reads) {
-    auto requests = give_up(read);
-    given_up.insert(given_up.end(), requests.begin(), requests.end());
+    auto requests = mark_starved(read);
+    expired.insert(expired.end(), requests.begin(), requests.end());
   }
-  return given_up;
+  return expired;
 }
 
 }  // namespace corkmux
