--- a/src/scale_test/event_merger.cc
+++ b/src/scale_test/event_merger.cc
@@ -74,7 +74,7 @@
   if (const auto* submission = std::get_if<simulation::JobSubmitted>(&event))
     return listener_.submitted(submission->spec, at);
   const auto* answer = std::get_if<UserAnswer>(&event);
-  if (!answer || answer->to != UserAnswer::To::Submission) return;
+  if (!answer || answer->request != UserAnswer::Request::Submission) return;
   const bool is_accepted = answer->status == 200 || answer->status == 201;
   if (!is_accepted) return listener_.refused(answer->status, at);
   const bool is_first = accepted_.insert(answer->job).second;
--- a/src/scale_test/scale_test_run.cc
+++ b/src/scale_test/scale_test_run.cc
@@ -91,7 +91,7 @@
   users_ = std::make_unique<simulation::Users>(loop_, controllers_.user_addresses(), merger_, registry_);
   metrics_.set_window({now + plan_.warm_s, now + plan_.for_s});
   // The users' balancer probes each second; before its first answer no controller counts as healthy.
-  loop_.call_later(2 * simulation::kReadyEvery, [this] { load_.start(*users_); });
+  loop_.call_later(2 * simulation::kProbeInterval, [this] { load_.start(*users_); });
   loop_.call_later(plan_.warm_s, [this] { open_window(); });
   loop_.call_later(plan_.for_s, [this] { close_window(); });
   for (const auto& fault : plan_.faults) loop_.call_later(fault.at_s, [this, &fault] { inject(fault); });
--- a/src/simulation/fault_injector.cc
+++ b/src/simulation/fault_injector.cc
@@ -12,7 +12,7 @@
 using HostPair = SimulatedNetwork::HostPair;
 using DeliveryMode = SimulatedNetwork::DelayedDelivery::Mode;
 
-constexpr const char* kTransactionPath = "/multi";            // of the state service
+constexpr const char* kTransactionPath = "/multi";            // of the state store
 constexpr const char* kHeartbeatPath = "/v1/report";          // of controllers
 constexpr const char* kHeartbeatBatchPath = "/peer/reports";  // of controllers, for one another
 constexpr const char* kCommandBatchPath = "/peer/orders";     // of controllers, for one another
@@ -39,10 +39,10 @@
       {FaultKind::HeartbeatsRepeated, &FaultInjector::repeat_heartbeats},
       {FaultKind::WritesLate, &FaultInjector::delay_writes},
       {FaultKind::MachinePartition, &FaultInjector::partition_machines},
-      {FaultKind::MachineReceivesNothing, &FaultInjector::lose_messages_to_machines},
+      {FaultKind::MachineMessagesLost, &FaultInjector::lose_messages_to_machines},
       {FaultKind::MachineDeath, &FaultInjector::terminate_machines},
       {FaultKind::MachineHang, &FaultInjector::hang_machines},
-      {FaultKind::MachineReachesNobody, &FaultInjector::lose_requests_of_machines},
+      {FaultKind::MachineRequestsLost, &FaultInjector::lose_requests_of_machines},
       {FaultKind::MachineFaulty, &FaultInjector::make_machines_faulty},
       {FaultKind::ControllerCrash, &FaultInjector::crash_controllers},
       {FaultKind::ControllerPartition, &FaultInjector::partition_controllers},
@@ -52,7 +52,7 @@
       {FaultKind::ControllerSlowLinks, &FaultInjector::slow_links_of_controllers},
       {FaultKind::InvalidRequests, &FaultInjector::send_invalid_requests},
       {FaultKind::PeersRefuse, &FaultInjector::refuse_between_peers},
-      {FaultKind::PollStorm, &FaultInjector::poll_more},
+      {FaultKind::PollStorm, &FaultInjector::increase_poll_rate},
       {FaultKind::SpotReclaim, &FaultInjector::reclaim_spot_machines},
       {FaultKind::StateLimits, &FaultInjector::lower_state_limits},
       {FaultKind::StateOutage, &FaultInjector::stop_state_service},
@@ -104,7 +104,7 @@
   if (fault.from_workers) roles.insert(HostRole::Worker);
   if (fault.from_peers) roles.insert(HostRole::Controller);
   for (auto* process : targets_.controllers.draw(fault.count, fault.busiest))
-    // By address: whoever runs there meanwhile.
+    // Matches by address, which also covers a controller process restarted at that address.
     partition(fault, fault.mode,
               [ip = process->host().ip(), from_all, roles](const Host& from, const Host& to) {
                 return from.ip() == ip && (from_all || roles.contains(to.role()));
@@ -124,7 +124,7 @@
   partition(fault, PartitionMode::Refuse, between_roles(HostRole::Controller, HostRole::Controller));
 }
 
-// ---------------------------------------------------------------- state service and cloud
+// ---------------------------------------------------------------- state store and cloud
 
 void FaultInjector::stop_state_service(const Fault& fault) {
   targets_.state.faults.unavailable = true;
@@ -205,7 +205,7 @@
 }
 
 void FaultInjector::partition_machines(const Fault& fault) {
-  // A machine has no operating system beside it that could refuse for it.
+  // Refuse is not possible: no operating system keeps running on a partitioned machine to refuse connections.
   auto mode = fault.mode == PartitionMode::Reset ? PartitionMode::Reset : PartitionMode::Hold;
   for (const auto& name : targets_.machines.draw(machine_count(fault, false), "", false))
     targets_.machines.partition(name, mode, fault.for_s);
@@ -223,7 +223,7 @@
   return hosts;
 }
 
-/// Their heartbeats arrive; answers and commands to them are lost.
+/// Heartbeats of these machines arrive; responses and commands to them are lost.
 void FaultInjector::lose_messages_to_machines(const Fault& fault) {
   auto to_them = [hosts = draw_machine_hosts(fault)](const Host& from, const Host& to) {
     return from.role() == HostRole::Controller && hosts.contains(&to);
@@ -232,7 +232,7 @@
   targets_.simulator.network().lose_requests(to_them, end_of(fault));
 }
 
-/// They reach no controller; what is sent to them arrives and is answered.
+/// Requests of these machines reach no controller; requests to them arrive and are answered.
 void FaultInjector::lose_requests_of_machines(const Fault& fault) {
   auto from_them = [hosts = draw_machine_hosts(fault)](const Host& from, const Host& to) {
     return to.role() == HostRole::Controller && hosts.contains(&from);
@@ -312,7 +312,7 @@
   targets_.arrivals.burst(fault.job_class, fault.team, fault.factor, fault.for_s);
 }
 
-void FaultInjector::poll_more(const Fault& fault) {
+void FaultInjector::increase_poll_rate(const Fault& fault) {
   targets_.users.scale_poll_rate(fault.factor);
   targets_.simulator.schedule_after(fault.for_s, [this] { targets_.users.scale_poll_rate(1); });
 }
@@ -333,7 +333,7 @@
   });
 }
 
-/// Users cancel jobs that run; some of their machines hang.
+/// Users cancel running jobs; with `hang_s`, some of the machines of these jobs hang.
 void FaultInjector::cancel_running_jobs(const Fault& fault) {
   auto running = targets_.checker.running_jobs();
   std::vector<std::string> jobs;
--- a/src/simulation/fault_parser.cc
+++ b/src/simulation/fault_parser.cc
@@ -24,7 +24,7 @@
   return *mode;
 }
 
-/// In the file 0 says the same as leaving the field out.
+/// In the plan file, 0 is equivalent to omitting the field.
 std::optional<double> positive_amount(const Reader& reader, const char* field) {
   double amount = reader.amount_or(field, 0);
   return amount > 0 ? std::optional(amount) : std::nullopt;
--- a/src/simulation/fault_parser.h
+++ b/src/simulation/fault_parser.h
@@ -1,11 +1,11 @@
-// Reads one fault of a simulation's plan and checks it.
+// Parses and validates one fault of a simulation plan.
 #pragma once
 #include "fault.h"
 #include "toml_reader.h"
 
 namespace corkmux::simulation {
 
-/// Throws SettingsError: an unknown kind, a field that the kind does not have, a value out of range.
+/// Throws SettingsError for an unknown kind, a field that the kind does not have, or a value out of range.
 Fault parse_fault(const Reader& reader);
 
 }  // namespace corkmux::simulation
--- a/src/simulation/gang_member.h
+++ b/src/simulation/gang_member.h
@@ -1,4 +1,4 @@
-// A machine on which a task of a gang is, as the gang sees it.
+// Interface through which a gang notifies and queries the machine of one of its tasks.
 #pragma once
 #include <cstdint>
 #include <string>
@@ -8,15 +8,15 @@
 class GangMember {
  public:
   virtual ~GangMember() = default;
-  // What becomes of its task. Each takes effect once the machine is awake.
+  // Notifications about the machine's task. Each takes effect once the machine no longer hangs.
   virtual void gang_started(const std::string& job, int index, std::uint64_t attempt) = 0;
   virtual void gang_saves(const std::string& job, int index, std::uint64_t attempt) = 0;
-  /// `saved`: with all its progress safe.
+  /// `saved`: all progress of the task is saved.
   virtual void gang_exits(const std::string& job, int index, std::uint64_t attempt, const char* cause,
                           bool saved) = 0;
-  /// Of its tasks, as a multiple of the usual one.
+  /// Speed of the machine's tasks, as a multiple of the normal speed.
   virtual double speed() const = 0;
-  /// It is stalled and does nothing.
+  /// Whether the machine is stalled and makes no progress.
   virtual bool hangs() const = 0;
 };
 
--- a/src/simulation/history_recorder.h
+++ b/src/simulation/history_recorder.h
@@ -1,6 +1,6 @@
-// What happened in a simulation: events for a reader, and one number that stands for the order of everything
-// that machines and users saw. Stands between the machines and the InvariantChecker and passes on all that it
-// is told.
+// Records the history of a simulation: readable events, and a hash over the ordered events, task placements
+// and task removals that identifies the run. Forwards all machine events to the next observer, the
+// InvariantChecker.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -15,20 +15,20 @@
 class HistoryRecorder : public MachineObserver {
  public:
   struct Callbacks {
-    /// s of simulated time.
+    /// Returns seconds of simulated time.
     std::function<double()> now;
-    /// A task has its image on that machine; called after the next observer was told.
+    /// A task's image is on that machine; called after the next observer was notified.
     std::function<void(const std::string& machine)> task_placed;
-    /// All tasks of the job are done; called after the next observer was told.
+    /// All tasks of the job are done; called after the next observer was notified.
     std::function<void(const std::string& job)> job_done;
   };
   HistoryRecorder(MachineObserver& next, Callbacks callbacks);
 
-  /// An event for the reader: a fault, a new leader.
+  /// Records a readable event, such as a fault or a new leader.
   void note(const std::string& event);
-  /// A line each, with the time, in order.
+  /// One line per event, with its time, in order.
   const std::vector<std::string>& events() const { return events_; }
-  /// Equal histories have equal ones.
+  /// Equal histories have equal hashes.
   std::uint64_t hash() const { return hash_; }
 
   void task_placed(const MachineFacts& machine, const SimulatedJob& work, int index,
@@ -45,7 +45,7 @@
   MachineObserver& next_;
   Callbacks callbacks_;
   std::vector<std::string> events_;
-  std::uint64_t hash_ = 1469598103934665603ULL;  // FNV-1a, so far
+  std::uint64_t hash_ = 1469598103934665603ULL;  // FNV-1a, updated with each event
 };
 
 }  // namespace corkmux::simulation
--- a/src/simulation/invalid_submission.cc
+++ b/src/simulation/invalid_submission.cc
@@ -11,19 +11,19 @@
 constexpr int kMalformed = 400;
 constexpr int kCanNeverRun = 422;
 
-// PROTOCOL's names of the fields that a submission must have.
+// Fields that a submission must have, by their names in the protocol.
 constexpr std::array kRequiredFields = {
     "troupe", "crew",    "shape",    "rank",   "parts",    "vcpus",  "accelerators", "memGb",
     "bundle", "imageGb", "together", "spread", "lendable", "guessS", "bookmarkS",    "stashS"};
 
-/// Each way has the share 1 of this, a missing field the rest.
-constexpr int kWays = 8;
+/// Defects 0 to 5 are each used for 1 of this many numbers, a missing field for the rest.
+constexpr int kDefectCycle = 8;
 
 }  // namespace
 
 InvalidSubmission make_invalid_submission(Json valid_job, int number, std::mt19937_64& rng) {
   Json job = std::move(valid_job);
-  switch (number % kWays) {
+  switch (number % kDefectCycle) {
     case 0:
       job["crew"] = "nobody";
       return {std::move(job), kCanNeverRun};
--- a/src/simulation/invalid_submission.h
+++ b/src/simulation/invalid_submission.h
@@ -1,4 +1,5 @@
-// Submissions that a controller must refuse: a field is missing or impossible, or the job can never run.
+// Builds submissions that a controller must refuse: a field is missing or impossible, or the job can never
+// run.
 #pragma once
 #include <random>
 
@@ -8,10 +9,10 @@
 
 struct InvalidSubmission {
   codec::Json job;
-  int required_status = 400;  // of HTTP, by PROTOCOL
+  int required_status = 400;  // HTTP status that the protocol requires
 };
 
-/// Makes the valid job invalid; `number` chooses how.
+/// Makes the valid job invalid; `number` selects the defect.
 InvalidSubmission make_invalid_submission(codec::Json valid_job, int number, std::mt19937_64& rng);
 
 }  // namespace corkmux::simulation
--- a/src/simulation/job_arrivals.h
+++ b/src/simulation/job_arrivals.h
@@ -1,5 +1,5 @@
-// The jobs that users submit in a simulation: draws their sizes, run times and times of arrival from the
-// plan's workloads. Owns the streams of arrivals; the Users submit what is drawn.
+// Generates the jobs that users submit in a simulation: draws sizes, run times and arrival times from the
+// plan's workloads. Owns the arrival streams; Users submits the drawn jobs.
 #pragma once
 #include <memory>
 #include <optional>
@@ -15,13 +15,13 @@
 
 class JobArrivals {
  public:
-  /// `users_loop` runs on `users_host`. Plan and users have to outlive it.
+  /// `users_loop` runs on `users_host`. All arguments must outlive this object.
   JobArrivals(EventSimulator& simulator, const SimulationPlan& plan, Host& users_host, Loop& users_loop,
               Users& users);
-  /// Schedules the jobs of the start, the streams, and questions about jobs that nobody submitted. Runs on
-  /// the users' host.
+  /// Schedules the initial jobs, the streams, and polls of jobs that were never submitted. Runs on the users'
+  /// host.
   void start();
-  /// Multiplies the rate of arrivals for so many seconds; an empty class or team: of all.
+  /// Multiplies the arrival rate for `for_s` seconds; an empty class or team matches all.
   void burst(const std::string& job_class, const std::string& team, double factor, double for_s);
 
  private:
@@ -36,7 +36,7 @@
   void set_factor(Stream& stream, double factor);
   void submit(const Workload& workload);
   SimulatedJob draw_job(const Workload& workload);
-  /// s from the submission until its user cancels it; none: never.
+  /// Seconds from the submission until the user cancels the job; empty: never.
   std::optional<double> draw_cancellation(const SimulatedJob& job, const Workload& workload);
 
   EventSimulator& simulator_;
--- a/src/simulation/job_registry.h
+++ b/src/simulation/job_registry.h
@@ -1,5 +1,5 @@
-// What exists outside all controllers and machines: the jobs' descriptions as their users uploaded them,
-// checkpoints, and the gangs, whose tasks find one another by their attempt (PROTOCOL, 'Gangs').
+// Holds the state that exists outside all controllers and machines: the job descriptions that users uploaded,
+// checkpoints, and the gangs, whose tasks find each other by their attempt (protocol, 'Gangs').
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -17,30 +17,32 @@
 
 class JobRegistry {
  public:
-  /// `gang_peer_s`: that a gang's member survives another; `now`: one clock for all machines, s.
+  /// `gang_peer_s`: how long members of a gang survive the loss of another; `now`: one clock for all
+  /// machines, s.
   JobRegistry(Loop& loop, double gang_peer_s, MachineObserver& observer,
               std::function<double()> now = steady_now);
   ~JobRegistry();
 
-  /// Null: no such job, or not submitted. Stays valid as long as the registry.
+  /// Returns null if the job does not exist or was not submitted. The pointer stays valid as long as the
+  /// registry.
   SimulatedJob* find(const std::string& job);
   SimulatedJob& add(SimulatedJob job);
-  /// Makes a job that is asked for but unknown; for tests that submit without telling.
+  /// Creates a requested job that is not registered; for tests that submit jobs without adding them here.
   std::function<SimulatedJob(const std::string&)> make_unknown_job;
   MachineObserver& observer() { return observer_; }
   const std::map<std::string, SimulatedJob>& jobs() const { return jobs_; }
 
-  /// What a run of so many seconds is worth when it ends without saving: whole checkpoints.
+  /// Progress that remains, s, when a run of `progress_s` ends without saving: whole checkpoint intervals.
   static double checkpointed(const SimulatedJob& job, double progress_s);
 
-  // Gangs. `member` is kept until member_gone or gang_exits.
-  /// The task waits for the others; the gang starts when all are there.
+  // Gangs. The pointer `member` is kept until member_gone or gang_exits.
+  /// The task waits for the other members; the gang starts when all members have joined.
   void join_gang(SimulatedJob& job, std::uint64_t attempt, int index, GangMember* member);
-  /// The task has ended for that reason, or its machine has; before the start the others go on waiting.
+  /// The task or its machine has ended. Before the gang's start, the other members continue waiting.
   void member_gone(const SimulatedJob& job, std::uint64_t attempt, int index);
-  /// Its machine hangs: its gang notices unless it resumes in time.
+  /// The task's machine hangs; its gang detects this unless the machine resumes in time.
   void member_hangs(const SimulatedJob& job, std::uint64_t attempt, int index);
-  /// The task is told to stop: it saves with the others if they are all told, and if there is time to.
+  /// Stops the task. Its progress is saved if all members are stopped and the grace period is long enough.
   void stop_member(const SimulatedJob& job, std::uint64_t attempt, int index, double grace_s);
 
  private:
@@ -58,7 +60,7 @@
   void break_gang(const GangKey& key, const char* why);
   void end_saving(const GangKey& key);
   std::unique_ptr<GangRendezvous> take_gang(const GangKey& key);
-  /// Frees it once the message that runs now, maybe one of its timers', is over.
+  /// Frees the gang after the current callback, which may belong to one of the gang's timers.
   void dispose(std::unique_ptr<GangRendezvous> gang);
   void detect_hang(const GangKey& key, int index, const GangMember* member);
   double progress(const GangRendezvous& gang) const;
--- a/src/simulation/load_balancer.cc
+++ b/src/simulation/load_balancer.cc
@@ -24,13 +24,13 @@
     controller->client = std::make_unique<http::Client>(loop_, address, kMaxConnections, kMaxConnections);
     controllers_.push_back(std::move(controller));
   }
-  probe_timer_.every(kReadyEvery, [this] {
+  probe_timer_.every(kProbeInterval, [this] {
     for (auto& controller : controllers_) probe(*controller);
   });
 }
 
 void LoadBalancer::probe(Controller& controller) {
-  controller.client->request("GET", "/ready", "", kReadyWait, [&controller](const http::Result& result) {
+  controller.client->request("GET", "/ready", "", kProbeTimeout, [&controller](const http::Result& result) {
     probed(controller, result.status == 200);
   });
 }
@@ -45,7 +45,7 @@
     controller.removed_at = now;
     controller.healthy = false;
     const int doublings = std::min(controller.recent_removals, kMaxPauseDoublings);
-    controller.healthy_not_before = now + std::min(kReadyPauseMost, kReadyPause * (1 << doublings));
+    controller.healthy_not_before = now + std::min(kMaxReadmitDelay, kReadmitDelay * (1 << doublings));
     return;
   }
   const int needed = controller.was_healthy ? kGoodProbesToReturn : 1;
@@ -88,7 +88,7 @@
     const bool refused = !result.sent && result.status == 0;
     controller->refused_connections = refused ? controller->refused_connections + 1 : 0;
     if (controller->refused_connections >= kRefusedConnectionsToSkip)
-      controller->skipped_until = steady_now() + kRefusedPause;
+      controller->skipped_until = steady_now() + kFailedConnectionPause;
     if (!refused) return attempt.done(std::move(result));
     run(std::move(attempt));
   };
--- a/src/simulation/machine_facts.h
+++ b/src/simulation/machine_facts.h
@@ -1,4 +1,4 @@
-// A machine as the cloud provided it.
+// Properties of a machine that the cloud provisioned.
 #pragma once
 #include <string>
 
--- a/src/simulation/machine_observer.h
+++ b/src/simulation/machine_observer.h
@@ -1,4 +1,4 @@
-// Who wants to hear what happens on machines.
+// Interface for observers of the events on simulated machines.
 #pragma once
 #include <cstdint>
 #include <string>
@@ -8,17 +8,17 @@
 
 namespace corkmux::simulation {
 
-/// Knows nothing of the controllers. Every method may be left as it is.
+/// Receives no state of the controllers. The default implementation of each method does nothing.
 class MachineObserver {
  public:
   virtual ~MachineObserver() = default;
-  /// The task has its image: from now on it is on that machine.
+  /// The task's image is fetched; from now on the task is on that machine.
   virtual void task_placed(const MachineFacts& /*machine*/, const SimulatedJob& /*job*/, int /*index*/,
                            std::uint64_t /*attempt*/) {}
-  /// It is there no more, for that reason.
+  /// The task is no longer on the machine, for the reason `why`.
   virtual void task_removed(const std::string& /*machine*/, const SimulatedJob& /*job*/, int /*index*/,
                             std::uint64_t /*attempt*/, const std::string& /*why*/) {}
-  /// So many seconds of a task's run were for nothing.
+  /// `seconds` of a task's run were lost.
   virtual void progress_lost(const SimulatedJob& /*job*/, const std::string& /*why*/, double /*seconds*/) {}
   virtual void task_running(const SimulatedJob& /*job*/, int /*index*/) {}
   virtual void task_done(const SimulatedJob& /*job*/, int /*index*/) {}
--- a/src/simulation/random_faults.h
+++ b/src/simulation/random_faults.h
@@ -1,4 +1,4 @@
-// Draws faults at random for a cluster, for simulations of whatever may happen.
+// Draws random faults for a cluster, for simulations of arbitrary fault combinations.
 #pragma once
 #include <cstdint>
 #include <vector>
@@ -7,8 +7,8 @@
 
 namespace corkmux::simulation {
 
-/// So many faults for that plan's cluster, in order of time, all over when the plan's last third begins. The
-/// same seed draws the same faults.
+/// Returns `count` faults for the plan's cluster, ordered by time; all have ended when the last third of the
+/// plan begins. The same seed draws the same faults.
 std::vector<Fault> draw_faults(const SimulationPlan& plan, int count, std::uint64_t seed);
 
 }  // namespace corkmux::simulation
--- a/src/simulation/simulation_plan_parser.cc
+++ b/src/simulation/simulation_plan_parser.cc
@@ -116,7 +116,7 @@
   std::sort(aims.begin(), aims.end());
 }
 
-/// Adds the faults of the scenario; an empty name: of the first.
+/// Adds the faults of the named scenario; an empty name selects the first.
 void parse_scenario(const Reader& top, const std::string& file, const std::string& scenario,
                     SimulationPlan& plan) {
   bool found = scenario.empty();
--- a/src/simulation/simulation_plan_parser.h
+++ b/src/simulation/simulation_plan_parser.h
@@ -1,5 +1,5 @@
-// Reads a simulation's plan from its TOML file (docs/simulation.md). Whatever is wrong in the file throws
-// SettingsError, which names the file and the field.
+// Parses a simulation plan from its TOML file (docs/simulation.md). Errors in the file throw SettingsError,
+// which names the file and the field.
 #pragma once
 #include <string>
 #include <vector>
@@ -8,7 +8,7 @@
 
 namespace corkmux::simulation {
 
-/// The file's cluster with the faults of one of its scenarios; the first when no name is given.
+/// Returns the file's cluster with the faults of the named scenario; an empty name selects the first.
 SimulationPlan parse_plan(const std::string& text, const std::string& file, const std::string& scenario = "");
 SimulationPlan load_plan(const std::string& file, const std::string& scenario = "");
 std::vector<std::string> scenario_names(const std::string& file);
--- a/src/simulation/user_observer.h
+++ b/src/simulation/user_observer.h
@@ -1,4 +1,4 @@
-// What users do and are told, as events, and who wants to hear of it.
+// Events for the requests of users and the answers to them, and the interface for observers of these events.
 #pragma once
 #include <string>
 #include <variant>
@@ -11,21 +11,22 @@
   JobSpec spec;
 };
 
-/// An answer to a request about one job. One that was asked for before another answer came may be older than
-/// that.
+/// An answer to a request about one job. Its content may be older than that of another answer which arrived
+/// after this request was sent.
 struct UserAnswer {
-  enum class To {
+  enum class Request {
     Submission,
     Cancellation,
     Poll,
-    /// A question, or a cancellation of what is done, that counts for what it says alone.
+    /// A status query, or a cancellation of a finished job; only the answer's content is checked, and a
+    /// missing answer is not counted.
     ConcurrentRead,
   };
-  To to = To::Poll;
+  Request request = Request::Poll;
   std::string job;
-  int status = 0;       // of HTTP; 0: there was no response
-  std::string phase;    // as PROTOCOL spells it; empty: none was told
-  double asked_at = 0;  // s on the clock of whoever tells
+  int status = 0;           // HTTP status; 0: there was no response
+  std::string phase;        // as spelled in the protocol; empty: none in the answer
+  double requested_at = 0;  // when the request was sent, s on the clock given to Users
 };
 
 struct SubmissionAbandoned {
@@ -36,7 +37,7 @@
   std::string job;
 };
 
-/// The answer to a submission that has to be refused with the required status.
+/// The answer to an invalid submission, which must be refused with the required status.
 struct InvalidSubmissionAnswered {
   std::string job;
   int status = 0;
--- a/src/simulation/users.h
+++ b/src/simulation/users.h
@@ -1,5 +1,6 @@
-// Users as PROTOCOL has them, behind its load balancer: they submit and repeat, poll, cancel some jobs, and
-// now and then ask about jobs that are over or that nobody submitted. Runs on any Loop.
+// Simulates users as the protocol describes them, behind its load balancer: they submit and resubmit jobs,
+// poll, cancel some jobs, and occasionally query jobs that are finished or were never submitted. Runs on any
+// Loop.
 #pragma once
 #include <functional>
 #include <map>
@@ -17,25 +18,26 @@
 
 class Users {
  public:
-  /// `controllers`: label and address of each; `now`: the clock of the observer, s.
+  /// `controllers`: label and address of each controller; `now`: the observer's clock, s.
   Users(Loop& loop, const std::map<std::string, std::string>& controllers, UserObserver& observer,
         JobRegistry& registry, std::function<double()> now = steady_now);
-  /// Submits it now, and cancels it so long after; none: never.
+  /// Submits the job now, and cancels it `cancel_after_s` later; empty: never.
   void submit(SimulatedJob job, std::optional<double> cancel_after_s);
-  /// One question about a job, whoever submitted it.
+  /// Sends one status query for a job, which need not have been submitted here.
   void poll_once(const std::string& job);
-  /// Polls come so many times as often from now on.
+  /// Multiplies the normal poll rate by `factor` from now on.
   void scale_poll_rate(double factor);
-  /// Until then, s of the steady clock: questions at every controller within milliseconds, and repeats, right
-  /// after a job was accepted, ended or confirmed as cancelled; some cancel at once.
+  /// Until `time`, s of the steady clock: status queries at every controller within milliseconds, and
+  /// resubmissions, right after a job was accepted, ended or confirmed as cancelled; some jobs are cancelled
+  /// at once.
   void read_concurrently_until(double time) { concurrent_reads_until_ = time; }
-  /// Until then: repeats, cancellations of what is done, and jobs that lack a field or can never run.
+  /// Until `time`: resubmissions, cancellations of done jobs, and jobs that lack a field or can never run.
   void send_invalid_requests_until(double time);
-  /// Until then: that share of the jobs that end is cancelled at that moment.
+  /// Until `time`: cancels `share` of the ending jobs at the moment of their end.
   void cancel_at_end_until(double time, double share);
-  /// The last task of the job has ended just now.
+  /// Called when the last task of the job has just ended.
   void job_ended(const std::string& job);
-  /// Their users cancel these within a moment.
+  /// Users cancel these jobs within kCancelWindow.
   void cancel_soon(const std::vector<std::string>& jobs);
 
  private:
@@ -53,11 +55,11 @@
   void cancel_finished(const std::string& job);
   void send_invalid_submission();
   std::string submission(const std::string& job) const;
-  const std::string& any_of(const std::vector<std::string>& jobs);
+  const std::string& random_job(const std::vector<std::string>& jobs);
   void after(double delay_s, std::function<void()> callback);
-  /// Tells the observer, and returns what it was told.
-  UserAnswer observe(UserAnswer::To kind, const std::string& job, const http::Result& result,
-                     double asked_at);
+  /// Passes the answer to the observer and returns it.
+  UserAnswer observe(UserAnswer::Request kind, const std::string& job, const http::Result& result,
+                     double requested_at);
 
   Loop& loop_;
   LoadBalancer balancer_;
@@ -72,10 +74,10 @@
   double cancel_at_end_until_ = kLongAgo;
   double cancel_at_end_share_ = 0;
   int invalid_submissions_ = 0;
-  // As their users know it.
+  // By the last answers that users received.
   std::vector<std::string> unfinished_;
   std::vector<std::string> finished_;
-  std::map<std::string, std::uint64_t> next_poll_;  // timers of jobs that are polled
+  std::map<std::string, std::uint64_t> next_poll_;  // poll timers, by job
 };
 
 }  // namespace corkmux::simulation
